--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -57,7 +57,7 @@
 		e := newTest()
 		defer e.Close()
 		_, err := e.Ask(t.Context(), func(id reducer.RequestID) reducer.Event {
-			return reducer.Inquired{Request: id, Job: "nobody's"}
+			return reducer.JobStatusRequested{Request: id, Job: "nobody's"}
 		})
 		var refusal *classifier.Error
 		if !errors.As(err, &refusal) || refusal.Verdict != classifier.NotRun {
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -14,7 +14,7 @@
 // status asks for a job's state.
 func (d *desk) status(job string) *JobStatus {
 	taken[Reply](d)
-	d.do(Inquired{Request: 99, Job: job})
+	d.do(JobStatusRequested{Request: 99, Job: job})
 	replies := taken[Reply](d)
 	Expect(replies).To(HaveLen(1))
 	Expect(replies[0].Err).To(BeNil())
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -82,8 +82,8 @@
 	Job     string
 }
 
-// Inquired asks for the state of a job.
-type Inquired struct {
+// JobStatusRequested asks for the state of a job.
+type JobStatusRequested struct {
 	Request RequestID
 	Job     string
 }
@@ -169,7 +169,7 @@
 func (Appended) event()        {}
 func (Submitted) event()       {}
 func (Cancelled) event()       {}
-func (Inquired) event()        {}
+func (JobStatusRequested) event()        {}
 func (KeyRequested) event()    {}
 func (PlanRequested) event()   {}
 func (StatusRequested) event() {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -40,7 +40,7 @@
 		d.wait(6 * time.Second)
 		Expect(taken[SyncWorker](d)[0].Sync.Ack).To(Equal([]runner.Run{run}))
 
-		d.do(Inquired{Request: 2, Job: "menu"})
+		d.do(JobStatusRequested{Request: 2, Job: "menu"})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Job.State).To(Equal("done"))
 		Expect(reply.Job.Results).To(Equal([]json.RawMessage{json.RawMessage(`"ok"`)}))
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -137,7 +137,7 @@
 		s.submit(e)
 	case Cancelled:
 		s.cancel(e)
-	case Inquired:
+	case JobStatusRequested:
 		s.inquire(e)
 	case KeyRequested:
 		s.claimKey(e)
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -169,7 +169,7 @@
 	return nil, nil
 }
 
-func (s *State) inquire(e Inquired) {
+func (s *State) inquire(e JobStatusRequested) {
 	if h, j := s.locate(e.Request, e.Job); j != nil {
 		h.answer(e.Request, j)
 	}
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -101,7 +101,7 @@
 
 func (r *Responder) inquireHere(ctx context.Context, job string) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
-		return reducer.Inquired{Request: id, Job: job}
+		return reducer.JobStatusRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
