--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -76,8 +76,8 @@
 	Job     describer.Job
 }
 
-// Cancelled asks to cancel a job.
-type Cancelled struct {
+// CancelRequested asks to cancel a job.
+type CancelRequested struct {
 	Request RequestID
 	Job     string
 }
@@ -168,7 +168,7 @@
 func (ShardLost) event()       {}
 func (Appended) event()        {}
 func (Submitted) event()       {}
-func (Cancelled) event()       {}
+func (CancelRequested) event()       {}
 func (JobStatusRequested) event()        {}
 func (KeyRequested) event()    {}
 func (PlanRequested) event()   {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -85,7 +85,7 @@
 		starts := d.started()
 		Expect(starts).To(HaveLen(4), "the worker has room for four")
 		taken[Reply](d)
-		d.do(Cancelled{Request: 2, Job: "menu"})
+		d.do(CancelRequested{Request: 2, Job: "menu"})
 		Expect(taken[StopTask](d)).To(BeEmpty())
 		d.durable()
 		reply := taken[Reply](d)[0]
@@ -108,7 +108,7 @@
 		d := newDesk("w1")
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		first := taken[Append](d)
-		d.do(Cancelled{Request: 2, Job: "menu"})
+		d.do(CancelRequested{Request: 2, Job: "menu"})
 		d.do(Appended{Shard: "bne-1", Epoch: 1, Batch: first[0].Batch})
 		d.durable()
 		d.wait(time.Second)
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -41,7 +41,7 @@
 	case 0, 1, 2, 3:
 		w.submit(fmt.Sprintf("job-%d", i), rapid.IntRange(1, 6).Draw(t, "tasks"))
 	case 4:
-		w.everywhere(func(n *node) { n.reduce(Cancelled{Job: fmt.Sprintf("job-%d", max(i-2, 0))}) })
+		w.everywhere(func(n *node) { n.reduce(CancelRequested{Job: fmt.Sprintf("job-%d", max(i-2, 0))}) })
 	case 5:
 		n := w.node(t)
 		n.kill()
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -135,7 +135,7 @@
 		s.stop()
 	case Submitted:
 		s.submit(e)
-	case Cancelled:
+	case CancelRequested:
 		s.cancel(e)
 	case JobStatusRequested:
 		s.inquire(e)
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -176,7 +176,7 @@
 }
 
 // cancel ends a job: what is pending never starts, what may run is stopped.
-func (s *State) cancel(e Cancelled) {
+func (s *State) cancel(e CancelRequested) {
 	h, j := s.locate(e.Request, e.Job)
 	if j == nil {
 		return
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -108,7 +108,7 @@
 
 func (r *Responder) cancelHere(ctx context.Context, job string) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
-		return reducer.Cancelled{Request: id, Job: job}
+		return reducer.CancelRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
