--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -93,7 +93,7 @@
 	sent := time.Now()
 	synced, err := e.options.Worker.Sync(ctx, f.Address, f.Sync)
 	if err != nil {
-		return reducer.WorkerFailed{
+		return reducer.WorkerSyncFailed{
 			Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, Fenced: errors.Is(err, runner.ErrFenced),
 		}
 	}
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -213,7 +213,7 @@
 		for range 50 {
 			d.wait(time.Second)
 			for _, c := range taken[SyncWorker](d) {
-				d.do(WorkerFailed{Shard: "bne-1", Epoch: 1, Worker: c.Worker})
+				d.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 1, Worker: c.Worker})
 			}
 			records = append(records, d.durable()...)
 		}
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -117,8 +117,8 @@
 	Synced runner.Synced
 }
 
-// WorkerFailed says that a SyncWorker had no answer.
-type WorkerFailed struct {
+// WorkerSyncFailed says that a SyncWorker had no answer.
+type WorkerSyncFailed struct {
 	Shard  string
 	Epoch  int64
 	Worker string
@@ -174,7 +174,7 @@
 func (PlanRequested) event()   {}
 func (StatusRequested) event() {}
 func (WorkerSynced) event()    {}
-func (WorkerFailed) event()    {}
+func (WorkerSyncFailed) event()    {}
 func (StartAnswered) event()   {}
 func (StopAnswered) event()    {}
 func (Proposed) event()        {}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -166,10 +166,10 @@
 		w.call(n, e.Worker, func(m *fakeWorker) Event {
 			s, err := m.sync(e.Sync)
 			if err != "" {
-				return WorkerFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
+				return WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
 			}
 			return WorkerSynced{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Sent: sent, Synced: s}
-		}, WorkerFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker})
+		}, WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker})
 	case Reply:
 		if id := w.asked[e.Request]; id != "" && e.Err != nil && e.Err.Verdict == classifier.NotRun {
 			w.refused[id] = true
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -173,7 +173,7 @@
 		if h := s.owned(e.Shard, e.Epoch); h != nil {
 			h.synced(e)
 		}
-	case WorkerFailed:
+	case WorkerSyncFailed:
 		if h := s.owned(e.Shard, e.Epoch); h != nil {
 			h.unanswered(e)
 		}
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -58,14 +58,14 @@
 			if c.Worker == "w2" {
 				s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: "w2", Sent: s.now})
 			} else {
-				s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
+				s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
 			}
 		}
 		fail := func() {
 			s.wait(time.Second)
 			for _, c := range taken[SyncWorker](s) {
 				if c.Worker == "w1" {
-					s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: c.Worker})
+					s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: c.Worker})
 				} else {
 					s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: c.Worker, Sent: s.now})
 				}
@@ -96,7 +96,7 @@
 		for range 30 + 5 + 3 { // lease, margin, and the interval between looks
 			s.wait(time.Second)
 			for range taken[SyncWorker](s) {
-				s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
+				s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
 			}
 		}
 		Expect(kinds(s.durable())).To(ContainElement(describer.TaskReleased))
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -120,7 +120,7 @@
 }
 
 // unanswered leaves a silent worker's leases to lapse after some failures.
-func (h *shard) unanswered(e WorkerFailed) {
+func (h *shard) unanswered(e WorkerSyncFailed) {
 	w := h.workers[e.Worker]
 	if w == nil || !w.calling {
 		return
