--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := e.Ask(ctx, func(reducer.RequestID) reducer.Event {
-			return reducer.StoreReached{OK: true} // has no reply
+			return reducer.StoreChecked{OK: true} // has no reply
 		})
 		if err == nil || classifier.Of(err) != classifier.MayHaveRun {
 			t.Fatalf("error %v", err)
@@ -86,7 +86,7 @@
 		e := newTest()
 		e.Close()
 		for len(e.inbox) < cap(e.inbox) {
-			e.inbox <- reducer.StoreReached{} // nobody reads any more
+			e.inbox <- reducer.StoreChecked{} // nobody reads any more
 		}
 		_, err := e.Ask(t.Context(), status)
 		if classifier.Of(err) != classifier.NotRun {
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -37,10 +37,10 @@
 	Leaving bool
 }
 
-// StoreReached says whether the last store call had an answer. It comes after
+// StoreChecked says whether the last store call had an answer. It comes after
 // each renewal of the shards' leases, not only on a change. When a call
 // shows that a shard's lease is over, ShardLost comes first.
-type StoreReached struct{ OK bool }
+type StoreChecked struct{ OK bool }
 
 // ShardClaimed says that this daemon owns a shard from now on. Snapshot and
 // Records are the ledger's content; Snapshot may be nil.
@@ -162,7 +162,7 @@
 func (Configured) event()      {}
 func (HostsListed) event()     {}
 func (PeersChanged) event()    {}
-func (StoreReached) event()    {}
+func (StoreChecked) event()    {}
 func (ShardClaimed) event()    {}
 func (ClaimFailed) event()     {}
 func (ShardLost) event()       {}
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -126,7 +126,7 @@
 		s.listHosts(e.Hosts)
 	case PeersChanged:
 		s.changePeers(e.Alive)
-	case StoreReached:
+	case StoreChecked:
 		s.reached = e.OK
 		if e.OK {
 			s.contact = s.now
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -37,7 +37,7 @@
 		if d.observe != nil {
 			d.observe(e)
 		}
-		if r, ok := e.(reducer.StoreReached); ok {
+		if r, ok := e.(reducer.StoreChecked); ok {
 			d.reached = append(d.reached, r.OK)
 			return
 		}
