--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := e.Ask(ctx, func(reducer.RequestID) reducer.Event {
-			return reducer.StoreChecked{OK: true} // has no reply
+			return reducer.StoreChecked{Reachable: true} // has no reply
 		})
 		if err == nil || classifier.Of(err) != classifier.MayHaveRun {
 			t.Fatalf("error %v", err)
--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -111,7 +111,7 @@
 	eachSize(b, func(b *testing.B, s *State) {
 		for n := 0; n < b.N; {
 			effects := s.Reduce(Tick{Now: s.now.Add(10 * time.Millisecond)})
-			s.Reduce(StoreChecked{OK: true})
+			s.Reduce(StoreChecked{Reachable: true})
 			for _, e := range effects {
 				call, ok := e.(SyncWorker)
 				if !ok {
@@ -166,7 +166,7 @@
 			s.Reduce(StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token})
 			h := s.shards[e.Shard]
 			h.finished(h.book.task(e.Start.Task), h.workers[e.Worker], nil)
-			work = append(work, s.Reduce(StoreChecked{OK: true})...)
+			work = append(work, s.Reduce(StoreChecked{Reachable: true})...)
 		}
 	}
 }
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -36,7 +36,7 @@
 var _ = Describe("placement", func() {
 	It("takes urgent tasks first, then those close to their deadline, then by share", func() {
 		d := newDesk("w1")
-		d.do(StoreChecked{OK: true})
+		d.do(StoreChecked{Reachable: true})
 		d.Reduce(Tick{Now: d.now})
 		d.shards["bne-1"].phase = releasing // nothing is placed until all are queued
 		h := d.shards["bne-1"]
@@ -142,7 +142,7 @@
 		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
 		d.durable()
 		run := runOf(d.started()[0])
-		d.do(StoreChecked{OK: false})
+		d.do(StoreChecked{Reachable: false})
 		d.do(Tick{Now: d.now.Add(6 * time.Second)})
 		Expect(taken[SyncWorker](d)[0].Sync.Renew).To(ContainElement(run))
 		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now})
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -40,7 +40,7 @@
 // StoreChecked says whether the last store call had an answer. It comes after
 // each renewal of the shards' leases, not only on a change. When a call
 // shows that a shard's lease is over, ShardLost comes first.
-type StoreChecked struct{ OK bool }
+type StoreChecked struct{ Reachable bool }
 
 // ShardClaimed says that this daemon owns a shard from now on. Snapshot and
 // Records are the ledger's content; Snapshot may be nil.
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -69,7 +69,7 @@
 
 	It("is refused at once while the store is away", func() {
 		d := newDesk("w1")
-		d.do(StoreChecked{OK: false})
+		d.do(StoreChecked{Reachable: false})
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Code).To(Equal("store-unavailable"))
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -112,7 +112,7 @@
 // renew keeps the shards' leases in the store.
 func (n *node) renew() {
 	if !n.reaches() {
-		n.reduce(StoreChecked{OK: false})
+		n.reduce(StoreChecked{Reachable: false})
 		return
 	}
 	for _, shard := range sortedKeys(n.owns) {
@@ -120,7 +120,7 @@
 			n.lose(shard, n.owns[shard])
 		}
 	}
-	n.reduce(StoreChecked{OK: true})
+	n.reduce(StoreChecked{Reachable: true})
 }
 
 func (n *node) lose(shard string, epoch int64) {
@@ -218,7 +218,7 @@
 	}
 	again := func() { n.later(time.Second, func() { n.append(shard) }) }
 	if n.paused || !n.reaches() {
-		n.reduce(StoreChecked{OK: false})
+		n.reduce(StoreChecked{Reachable: false})
 		again()
 		return
 	}
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -127,8 +127,8 @@
 	case PeersChanged:
 		s.changePeers(e.Alive)
 	case StoreChecked:
-		s.reached = e.OK
-		if e.OK {
+		s.reached = e.Reachable
+		if e.Reachable {
 			s.contact = s.now
 		}
 	case StopRequested:
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -81,7 +81,7 @@
 func (d *desk) wait(t time.Duration) {
 	for end := d.now.Add(t); d.now.Before(end); {
 		d.do(Tick{Now: d.now.Add(min(250*time.Millisecond, end.Sub(d.now)))})
-		d.do(StoreChecked{OK: true})
+		d.do(StoreChecked{Reachable: true})
 	}
 }
 
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -191,9 +191,9 @@
 				time.Sleep(10 * time.Second)
 				a.watch(nil)
 				Expect(order).To(ContainElement(lost(1)))
-				Expect(order).To(ContainElement(reducer.StoreChecked{OK: true}))
+				Expect(order).To(ContainElement(reducer.StoreChecked{Reachable: true}))
 				first := slices.Index(order, lost(1))
-				Expect(order[:first]).NotTo(ContainElement(reducer.StoreChecked{OK: true}))
+				Expect(order[:first]).NotTo(ContainElement(reducer.StoreChecked{Reachable: true}))
 			})()
 		}
 	})
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -38,7 +38,7 @@
 			d.observe(e)
 		}
 		if r, ok := e.(reducer.StoreChecked); ok {
-			d.reached = append(d.reached, r.OK)
+			d.reached = append(d.reached, r.Reachable)
 			return
 		}
 		d.events = append(d.events, e)
--- a/internal/state/holder/reach.go
+++ b/internal/state/holder/reach.go
@@ -47,7 +47,7 @@
 		return
 	}
 	h.known, h.reached = true, ok
-	h.post(reducer.StoreChecked{OK: ok})
+	h.post(reducer.StoreChecked{Reachable: ok})
 }
 
 // isHolding reports whether there is a shard to lose; h.mu is held.
