--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -26,7 +26,7 @@
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.throttle(ctx, f) })
 	case reducer.SyncWorker:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.sync(ctx, f) })
-	case reducer.Propose:
+	case reducer.ProposeDrainUpdate:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.propose(ctx, f) })
 	default:
 		if !e.options.Ledger.Do(effect) {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (e *Executor) propose(ctx context.Context, f reducer.Propose) reducer.Event {
+func (e *Executor) propose(ctx context.Context, f reducer.ProposeDrainUpdate) reducer.Event {
 	err := e.options.Propose(ctx, f)
 	if err != nil {
 		e.options.Log.Info().Err(err).Str("drain", f.Drain).Msg("proposal failed")
--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -40,7 +40,7 @@
 	State    *reducer.State
 	Ledger   Ledger
 	Worker   runner.Worker
-	Propose  func(ctx context.Context, p reducer.Propose) error
+	Propose  func(ctx context.Context, p reducer.ProposeDrainUpdate) error
 	Publish  func(table *describer.RoutingTable)
 	Interval time.Duration // between ticks
 	Timeout  time.Duration // of a call to a worker or of a proposal
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -58,7 +58,7 @@
 		}
 		for _, h := range s.order {
 			if h.isDeciding() && h.book != nil && h.hasAny(d.Workers) && h.mayPropose(d.ID) {
-				s.emit(Propose{Drain: d.ID})
+				s.emit(ProposeDrainUpdate{Drain: d.ID})
 				break
 			}
 		}
@@ -151,6 +151,6 @@
 		return
 	}
 	if ok && d.state == describer.Restoring && h.book.restored[name] == d.id && h.mayPropose(name) {
-		h.state.emit(Propose{Drain: d.id, Worker: name})
+		h.state.emit(ProposeDrainUpdate{Drain: d.id, Worker: name})
 	}
 }
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -82,10 +82,10 @@
 // Publish replaces the traffic side's routing table.
 type Publish struct{ Table *describer.RoutingTable }
 
-// Propose changes the configuration: the worker has its work back from the
+// ProposeDrainUpdate changes the configuration: the worker has its work back from the
 // drain, which is removed when all of its workers have, or (Worker empty) the
 // drain's time is over and its restore begins. The answer is Proposed.
-type Propose struct {
+type ProposeDrainUpdate struct {
 	Drain  string
 	Worker string
 }
@@ -100,7 +100,7 @@
 func (SyncWorker) effect()   {}
 func (Reply) effect()        {}
 func (Publish) effect()      {}
-func (Propose) effect()      {}
+func (ProposeDrainUpdate) effect()      {}
 
 // Status reports on the shards that a daemon owns.
 type Status struct {
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -169,7 +169,7 @@
 }
 
 // propose changes the configuration as the distributor does.
-func (s *ledgers) propose(n *node, e Propose) {
+func (s *ledgers) propose(n *node, e ProposeDrainUpdate) {
 	i := slices.IndexFunc(s.config.Drains, func(d describer.Drain) bool { return d.ID == e.Drain })
 	if !n.reaches() || i < 0 {
 		return
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -179,7 +179,7 @@
 			w.t.Fatalf("%s: configuration reverts from %d to %d", n.name, n.revision, e.Table.Revision)
 		}
 		n.revision = e.Table.Revision
-	case Propose:
+	case ProposeDrainUpdate:
 		if !w.chance(0.3) {
 			n.later(w.between(1e6, 5e7), func() { w.store.propose(n, e) })
 		}
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -144,8 +144,8 @@
 
 		d.wait(time.Minute)
 		d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(again[0])}}})
-		proposals := taken[Propose](d)
-		Expect(proposals[0]).To(Equal(Propose{Drain: "d1"}))
+		proposals := taken[ProposeDrainUpdate](d)
+		Expect(proposals[0]).To(Equal(ProposeDrainUpdate{Drain: "d1"}))
 		Expect(len(proposals)).To(BeNumerically("<=", 2))
 
 		c.Revision = 3
@@ -155,15 +155,15 @@
 			d.wait(5 * time.Second)
 			d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(again[0])}}})
 		}
-		Expect(taken[Propose](d)).To(BeEmpty(), "its end isn't durable")
+		Expect(taken[ProposeDrainUpdate](d)).To(BeEmpty(), "its end isn't durable")
 		Expect(kinds(d.durable())).To(ContainElement(describer.DrainRestored))
 		d.wait(12 * time.Second)
-		Expect(len(taken[Propose](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
+		Expect(len(taken[ProposeDrainUpdate](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
 		c.Revision = 4
 		c.Drains = nil
 		d.do(Configured{Configuration: c})
 		d.wait(12 * time.Second)
-		Expect(taken[Propose](d)).To(BeEmpty())
+		Expect(taken[ProposeDrainUpdate](d)).To(BeEmpty())
 	})
 })
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -147,7 +147,7 @@
 }
 
 // propose carries out the reducer's change of a drain.
-func (s *Server) propose(ctx context.Context, p reducer.Propose) error {
+func (s *Server) propose(ctx context.Context, p reducer.ProposeDrainUpdate) error {
 	_, err := s.config.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
 		if p.Worker == "" {
 			return planner.BeginRestore(c, p.Drain), nil
