--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -107,5 +107,5 @@
 	if err != nil {
 		e.options.Log.Info().Err(err).Str("drain", f.Drain).Msg("proposal failed")
 	}
-	return reducer.Proposed{Drain: f.Drain, Worker: f.Worker, OK: err == nil}
+	return reducer.DrainUpdateAnswered{Drain: f.Drain, Worker: f.Worker, OK: err == nil}
 }
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -147,9 +147,9 @@
 	Err     string
 }
 
-// Proposed is the outcome of a Propose effect; the new configuration follows
+// DrainUpdateAnswered is the outcome of a Propose effect; the new configuration follows
 // as Configured.
-type Proposed struct {
+type DrainUpdateAnswered struct {
 	Drain  string
 	Worker string
 	OK     bool
@@ -177,7 +177,7 @@
 func (WorkerSyncFailed) event()    {}
 func (StartAnswered) event()   {}
 func (StopAnswered) event()    {}
-func (Proposed) event()        {}
+func (DrainUpdateAnswered) event()        {}
 func (StopRequested) event()   {}
 
 // RequestID ties a Reply to the event that asked for it; 0 wants no reply.
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -145,7 +145,7 @@
 		s.plan(e)
 	case StatusRequested:
 		s.status(e)
-	case Proposed:
+	case DrainUpdateAnswered:
 		// The configuration that follows says whether it took effect.
 	default:
 		s.takeShard(event)
