--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -16,7 +16,7 @@
 	switch f := effect.(type) {
 	case reducer.Reply:
 		e.answer(f)
-	case reducer.Publish:
+	case reducer.PublishRoutingTable:
 		e.options.Publish(f.Table)
 	case reducer.StartTask:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.start(ctx, f) })
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -79,8 +79,8 @@
 	Err     *classifier.Error
 }
 
-// Publish replaces the traffic side's routing table.
-type Publish struct{ Table *describer.RoutingTable }
+// PublishRoutingTable replaces the traffic side's routing table.
+type PublishRoutingTable struct{ Table *describer.RoutingTable }
 
 // ProposeDrainUpdate changes the configuration: the worker has its work back from the
 // drain, which is removed when all of its workers have, or (Worker empty) the
@@ -99,7 +99,7 @@
 func (ThrottleTask) effect() {}
 func (SyncWorker) effect()   {}
 func (Reply) effect()        {}
-func (Publish) effect()      {}
+func (PublishRoutingTable) effect()      {}
 func (ProposeDrainUpdate) effect()      {}
 
 // Status reports on the shards that a daemon owns.
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -174,7 +174,7 @@
 		if id := w.asked[e.Request]; id != "" && e.Err != nil && e.Err.Verdict == classifier.NotRun {
 			w.refused[id] = true
 		}
-	case Publish:
+	case PublishRoutingTable:
 		if e.Table.Revision < n.revision {
 			w.t.Fatalf("%s: configuration reverts from %d to %d", n.name, n.revision, e.Table.Revision)
 		}
--- a/internal/control/reducer/routing.go
+++ b/internal/control/reducer/routing.go
@@ -40,7 +40,7 @@
 			table.Owners[h.id] = s.address()
 		}
 	}
-	s.emit(Publish{Table: table})
+	s.emit(PublishRoutingTable{Table: table})
 }
 
 // isReady reports whether the daemon may serve: it has a configuration and a
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -128,7 +128,7 @@
 		}}
 		d.do(Configured{Configuration: c})
 		d.wait(2 * time.Second)
-		tables := taken[Publish](d)
+		tables := taken[PublishRoutingTable](d)
 		Expect(tables[len(tables)-1].Table.Services["menu-desk"][0].Closed).To(BeTrue())
 		stop := taken[StopTask](d)[0]
 		Expect(stop.Stop.Checkpoint).To(BeTrue())
