--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -249,7 +249,7 @@
 		d.do(ShardLost{Shard: "bne-1", Epoch: 1})
 		Expect(taken[Reply](d)[0].Err.Verdict).To(Equal(classifier.MayHaveRun))
 		d.wait(2 * time.Minute)
-		Expect(taken[Claim](d)).To(BeEmpty())
+		Expect(taken[ClaimShard](d)).To(BeEmpty())
 	})
 })
 
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -9,8 +9,8 @@
 // Effect is something to be done outside the control state.
 type Effect interface{ effect() }
 
-// Claim asks for ownership of a shard. The answer is ShardClaimed or ClaimFailed.
-type Claim struct{ Shard string }
+// ClaimShard asks for ownership of a shard. The answer is ShardClaimed or ClaimFailed.
+type ClaimShard struct{ Shard string }
 
 // Release gives a shard up once its pending appends are done. The answer is ShardLost.
 type Release struct {
@@ -90,7 +90,7 @@
 	Worker string
 }
 
-func (Claim) effect()        {}
+func (ClaimShard) effect()        {}
 func (Release) effect()      {}
 func (Append) effect()       {}
 func (SaveSnapshot) effect() {}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -134,7 +134,7 @@
 func (n *node) execute(effect Effect) {
 	w := n.world
 	switch e := effect.(type) {
-	case Claim:
+	case ClaimShard:
 		n.later(w.between(1e6, 5e7), func() { n.claim(e.Shard) })
 	case Release:
 		n.later(w.between(1e6, 5e7), func() { n.release(e) })
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -154,7 +154,7 @@
 		return
 	}
 	h.phase = claiming
-	s.emit(Claim{Shard: h.id})
+	s.emit(ClaimShard{Shard: h.id})
 }
 
 // since returns from when a claim's wait counts.
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -70,7 +70,7 @@
 	d.do(Tick{Now: start})
 	d.do(HostsListed{Hosts: testHosts(workers...)})
 	d.do(Configured{Configuration: testConfiguration()})
-	Expect(taken[Claim](d)).To(HaveLen(1))
+	Expect(taken[ClaimShard](d)).To(HaveLen(1))
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
 	d.inventory(runner.Synced{})
 	return d
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -140,7 +140,7 @@
 			}
 			return faker.Answer
 		})
-		a.Do(reducer.Claim{Shard: shard})
+		a.Do(reducer.ClaimShard{Shard: shard})
 		time.Sleep(minute)
 		broken.Store(false)
 		time.Sleep(10 * time.Second)
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -137,7 +137,7 @@
 // any other effect.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
-	case reducer.Claim:
+	case reducer.ClaimShard:
 		h.claim(e.Shard)
 	case reducer.Release:
 		h.release(e.Shard, e.Epoch)
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -82,7 +82,7 @@
 // claim returns the event that the claim ended with.
 func (d *daemon) claim() reducer.Event {
 	d.take()
-	d.Do(reducer.Claim{Shard: shard})
+	d.Do(reducer.ClaimShard{Shard: shard})
 	for range 100 {
 		time.Sleep(100 * time.Millisecond)
 		if out := d.take(); len(out) > 0 {
