--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -241,7 +241,7 @@
 		d := newDesk("w1")
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		d.do(StopRequested{})
-		Expect(taken[Release](d)).To(HaveLen(1))
+		Expect(taken[ReleaseShard](d)).To(HaveLen(1))
 		d.do(Submitted{Request: 2, Job: testJob("late", 1)})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Code).To(Equal("not-owner"))
@@ -274,6 +274,6 @@
 	It("that can't be read makes the daemon give the shard up", func() {
 		s := successor(nil, "w1")
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Snapshot: []byte("{")})
-		Expect(taken[Release](s)).To(ContainElement(Release{Shard: "bne-1", Epoch: 3}))
+		Expect(taken[ReleaseShard](s)).To(ContainElement(ReleaseShard{Shard: "bne-1", Epoch: 3}))
 	})
 })
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -12,8 +12,8 @@
 // ClaimShard asks for ownership of a shard. The answer is ShardClaimed or ClaimFailed.
 type ClaimShard struct{ Shard string }
 
-// Release gives a shard up once its pending appends are done. The answer is ShardLost.
-type Release struct {
+// ReleaseShard gives a shard up once its pending appends are done. The answer is ShardLost.
+type ReleaseShard struct {
 	Shard string
 	Epoch int64
 }
@@ -91,7 +91,7 @@
 }
 
 func (ClaimShard) effect()        {}
-func (Release) effect()      {}
+func (ReleaseShard) effect()      {}
 func (Append) effect()       {}
 func (SaveSnapshot) effect() {}
 func (StartTask) effect()    {}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -136,7 +136,7 @@
 	switch e := effect.(type) {
 	case ClaimShard:
 		n.later(w.between(1e6, 5e7), func() { n.claim(e.Shard) })
-	case Release:
+	case ReleaseShard:
 		n.later(w.between(1e6, 5e7), func() { n.release(e) })
 	case Append:
 		n.appends[e.Shard] = append(n.appends[e.Shard], e)
@@ -198,7 +198,7 @@
 	n.reduce(ShardClaimed{Shard: shard, Epoch: epoch, Snapshot: l.snapshot, Records: l.tail()})
 }
 
-func (n *node) release(e Release) {
+func (n *node) release(e ReleaseShard) {
 	if n.owns[e.Shard] != e.Epoch {
 		return
 	}
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -236,7 +236,7 @@
 		return
 	}
 	h.handing = true
-	h.state.emit(Release{Shard: h.id, Epoch: h.epoch})
+	h.state.emit(ReleaseShard{Shard: h.id, Epoch: h.epoch})
 }
 
 func (s *State) claimFailed(e ClaimFailed) {
@@ -256,7 +256,7 @@
 func (s *State) claimed(e ShardClaimed) {
 	h := s.shards[e.Shard]
 	if h == nil {
-		s.emit(Release{Shard: e.Shard, Epoch: e.Epoch})
+		s.emit(ReleaseShard{Shard: e.Shard, Epoch: e.Epoch})
 		return
 	}
 	if h.book != nil {
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -90,7 +90,7 @@
 		d.do(StopRequested{})
 		last := d.durable()
 		Expect(kinds(last)).To(Equal([]describer.RecordKind{describer.ShardReleased}))
-		Expect(taken[Release](d)).To(HaveLen(1))
+		Expect(taken[ReleaseShard](d)).To(HaveLen(1))
 
 		s := successor(append(records, last...), "w1")
 		for range 30 + 5 + 3 { // lease, margin, and the interval between looks
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -119,7 +119,7 @@
 		a.claim()
 		a.client.SetDown(true)
 		a.append(1, 1, "one")
-		a.Do(reducer.Release{Shard: shard, Epoch: 1})
+		a.Do(reducer.ReleaseShard{Shard: shard, Epoch: 1})
 		time.Sleep(5 * minute)
 		Expect(a.take()).To(BeEmpty())
 		a.client.SetDown(false)
@@ -232,7 +232,7 @@
 		time.Sleep(2 * minute)
 		Expect(d.take()).To(Equal([]reducer.Event{reducer.Appended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
 		kept = append(kept, name)
-		d.Do(reducer.Release{Shard: shard, Epoch: claimed.Epoch})
+		d.Do(reducer.ReleaseShard{Shard: shard, Epoch: claimed.Epoch})
 		time.Sleep(minute)
 		Expect(d.take()).To(Equal([]reducer.Event{reducer.ShardLost{Shard: shard, Epoch: claimed.Epoch}}))
 	}
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -139,7 +139,7 @@
 	switch e := e.(type) {
 	case reducer.ClaimShard:
 		h.claim(e.Shard)
-	case reducer.Release:
+	case reducer.ReleaseShard:
 		h.release(e.Shard, e.Epoch)
 	case reducer.Append:
 		h.append(e)
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -128,7 +128,7 @@
 		}))
 		Expect(b.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 		a.append(1, 3, "four")
-		a.Do(reducer.Release{Shard: shard, Epoch: 1})
+		a.Do(reducer.ReleaseShard{Shard: shard, Epoch: 1})
 		time.Sleep(time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{
 			reducer.Appended{Shard: shard, Epoch: 1, Batch: 3},
