--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -20,7 +20,7 @@
 
 func (silentLedger) Do(effect reducer.Effect) bool {
 	switch effect.(type) {
-	case reducer.ClaimShard, reducer.ReleaseShard, reducer.Append, reducer.SaveSnapshot:
+	case reducer.ClaimShard, reducer.ReleaseShard, reducer.AppendRecords, reducer.SaveSnapshot:
 		return true
 	}
 	return false
--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -159,7 +159,7 @@
 		e := work[0]
 		work = work[1:]
 		switch e := e.(type) {
-		case Append:
+		case AppendRecords:
 			s.now = s.now.Add(100 * time.Millisecond)
 			work = append(work, s.Reduce(Appended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
 		case StartTask:
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -147,7 +147,7 @@
 		Expect(taken[SyncWorker](d)[0].Sync.Renew).To(ContainElement(run))
 		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now})
 		Expect(taken[StartTask](d)).To(BeEmpty())
-		Expect(kinds(taken[Append](d)[0].Records)).NotTo(ContainElement(describer.TaskStarted))
+		Expect(kinds(taken[AppendRecords](d)[0].Records)).NotTo(ContainElement(describer.TaskStarted))
 	})
 })
 
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -18,9 +18,9 @@
 	Epoch int64
 }
 
-// Append makes records durable, in order with other appends of the shard. The
+// AppendRecords makes records durable, in order with other appends of the shard. The
 // answer is Appended or ShardLost; while the store is away it stays pending.
-type Append struct {
+type AppendRecords struct {
 	Shard   string
 	Epoch   int64
 	Batch   int64
@@ -92,7 +92,7 @@
 
 func (ClaimShard) effect()        {}
 func (ReleaseShard) effect()      {}
-func (Append) effect()       {}
+func (AppendRecords) effect()       {}
 func (SaveSnapshot) effect() {}
 func (StartTask) effect()    {}
 func (StopTask) effect()     {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -75,7 +75,7 @@
 		Expect(reply.Err.Code).To(Equal("store-unavailable"))
 		Expect(reply.Err.Verdict).To(Equal(classifier.NotRun))
 		Expect(reply.Err.RetryAfter).To(BeNumerically(">", 0))
-		Expect(taken[Append](d)).To(BeEmpty())
+		Expect(taken[AppendRecords](d)).To(BeEmpty())
 	})
 
 	It("never starts after its cancellation, and says whether it may have run", func() {
@@ -107,7 +107,7 @@
 	It("isn't asked for when it is cancelled before its start is durable", func() {
 		d := newDesk("w1")
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
-		first := taken[Append](d)
+		first := taken[AppendRecords](d)
 		d.do(CancelRequested{Request: 2, Job: "menu"})
 		d.do(Appended{Shard: "bne-1", Epoch: 1, Batch: first[0].Batch})
 		d.durable()
--- a/internal/control/reducer/journal.go
+++ b/internal/control/reducer/journal.go
@@ -92,7 +92,7 @@
 	j.split(n)
 	j.flushed = h.state.now
 	j.sinceSnapshot += n
-	h.state.emit(Append{Shard: h.id, Epoch: h.epoch, Batch: j.sent, Records: batch})
+	h.state.emit(AppendRecords{Shard: h.id, Epoch: h.epoch, Batch: j.sent, Records: batch})
 }
 
 // split leaves the records from n on for the next batch. Consequences stay
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -38,7 +38,7 @@
 	lease    time.Time
 	batch    int64
 	snapshot []byte
-	appends  []Append
+	appends  []AppendRecords
 }
 
 func (l *ledger) tail() []describer.Record {
@@ -102,7 +102,7 @@
 }
 
 // append commits a batch once; it is refused to a former owner.
-func (s *ledgers) append(a Append) bool {
+func (s *ledgers) append(a AppendRecords) bool {
 	l := s.shards[a.Shard]
 	if l.epoch != a.Epoch {
 		return false
@@ -160,7 +160,7 @@
 	if n.paused || !n.reaches() || l.epoch != e.Epoch {
 		return
 	}
-	i := slices.IndexFunc(l.appends, func(a Append) bool { return a.Epoch == e.Epoch && a.Batch > e.Batch })
+	i := slices.IndexFunc(l.appends, func(a AppendRecords) bool { return a.Epoch == e.Epoch && a.Batch > e.Batch })
 	if i < 0 {
 		i = len(l.appends)
 	}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -21,7 +21,7 @@
 	mute     map[string]bool // workers that hear it, and whose answers are lost
 	blind    bool            // sees no peer
 	owns     map[string]int64
-	appends  map[string][]Append
+	appends  map[string][]AppendRecords
 	revision int64
 }
 
@@ -33,7 +33,7 @@
 	n.state.snapshotLeast = 15
 	n.life++
 	n.alive, n.paused, n.inbox = true, false, nil
-	n.owns, n.appends = make(map[string]int64), make(map[string][]Append)
+	n.owns, n.appends = make(map[string]int64), make(map[string][]AppendRecords)
 	n.revision = 0
 	n.reduce(Tick{Now: n.world.now})
 	n.reduce(HostsListed{Hosts: n.world.hosts()})
@@ -138,7 +138,7 @@
 		n.later(w.between(1e6, 5e7), func() { n.claim(e.Shard) })
 	case ReleaseShard:
 		n.later(w.between(1e6, 5e7), func() { n.release(e) })
-	case Append:
+	case AppendRecords:
 		n.appends[e.Shard] = append(n.appends[e.Shard], e)
 		if len(n.appends[e.Shard]) == 1 {
 			n.later(w.between(1e6, 2e8), func() { n.append(e.Shard) })
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -15,7 +15,7 @@
 // # Write-ahead
 //
 // A decision becomes a [describer.Record], is applied to the shard's book at
-// once and sent with the shard's next [Append]. What the decision causes
+// once and sent with the shard's next [AppendRecords]. What the decision causes
 // outside (a start, an answer to a caller) waits for [Appended]. The book is
 // therefore always ahead of the ledger, never beside it, and it is thrown
 // away with the ownership of the shard.
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -45,7 +45,7 @@
 		s.inventory(runner.Synced{Running: []runner.Running{{Run: run}}})
 		Expect(taken[SyncWorker](s)[0].Sync.Renew).To(Equal([]runner.Run{run}))
 		s.wait(time.Second)
-		Expect(taken[Append](s)).To(BeEmpty())
+		Expect(taken[AppendRecords](s)).To(BeEmpty())
 	})
 
 	It("restarts a task of a worker that it can't reach once its predecessor can't have renewed", func() {
@@ -74,7 +74,7 @@
 		for range 93 {
 			fail()
 		}
-		Expect(taken[Append](s)).To(BeEmpty())
+		Expect(taken[AppendRecords](s)).To(BeEmpty())
 		for range 7 {
 			fail()
 		}
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -104,7 +104,7 @@
 func (d *desk) durable() []describer.Record {
 	var out []describer.Record
 	for {
-		appends := taken[Append](d)
+		appends := taken[AppendRecords](d)
 		if len(appends) == 0 {
 			return out
 		}
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -141,7 +141,7 @@
 		h.claim(e.Shard)
 	case reducer.ReleaseShard:
 		h.release(e.Shard, e.Epoch)
-	case reducer.Append:
+	case reducer.AppendRecords:
 		h.append(e)
 	case reducer.SaveSnapshot:
 		h.save(e)
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -97,7 +97,7 @@
 	for _, j := range jobs {
 		records = append(records, describer.Record{Kind: describer.JobCancelled, JobID: j})
 	}
-	d.Do(reducer.Append{Shard: shard, Epoch: epoch, Batch: batch, Records: records})
+	d.Do(reducer.AppendRecords{Shard: shard, Epoch: epoch, Batch: batch, Records: records})
 }
 
 func jobs(e reducer.Event) []string {
--- a/internal/state/holder/seat.go
+++ b/internal/state/holder/seat.go
@@ -132,7 +132,7 @@
 	})
 }
 
-func (h *Holder) append(e reducer.Append) {
+func (h *Holder) append(e reducer.AppendRecords) {
 	h.mu.Lock()
 	s := h.find(e.Shard, e.Epoch)
 	h.mu.Unlock()
