--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -161,7 +161,7 @@
 		switch e := e.(type) {
 		case AppendRecords:
 			s.now = s.now.Add(100 * time.Millisecond)
-			work = append(work, s.Reduce(Appended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
+			work = append(work, s.Reduce(RecordsAppended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
 		case StartTask:
 			s.Reduce(StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token})
 			h := s.shards[e.Shard]
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -63,8 +63,8 @@
 	Epoch int64
 }
 
-// Appended says that the records of Append with this Batch are durable.
-type Appended struct {
+// RecordsAppended says that the records of Append with this Batch are durable.
+type RecordsAppended struct {
 	Shard string
 	Epoch int64
 	Batch int64
@@ -166,7 +166,7 @@
 func (ShardClaimed) event()    {}
 func (ClaimFailed) event()     {}
 func (ShardLost) event()       {}
-func (Appended) event()        {}
+func (RecordsAppended) event()        {}
 func (Submitted) event()       {}
 func (CancelRequested) event()       {}
 func (JobStatusRequested) event()        {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -109,7 +109,7 @@
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		first := taken[AppendRecords](d)
 		d.do(CancelRequested{Request: 2, Job: "menu"})
-		d.do(Appended{Shard: "bne-1", Epoch: 1, Batch: first[0].Batch})
+		d.do(RecordsAppended{Shard: "bne-1", Epoch: 1, Batch: first[0].Batch})
 		d.durable()
 		d.wait(time.Second)
 		d.durable()
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -231,7 +231,7 @@
 		return
 	}
 	n.appends[shard] = queue[1:]
-	n.reduce(Appended{Shard: shard, Epoch: queue[0].Epoch, Batch: queue[0].Batch})
+	n.reduce(RecordsAppended{Shard: shard, Epoch: queue[0].Epoch, Batch: queue[0].Batch})
 	if len(n.appends[shard]) > 0 {
 		n.later(n.world.between(1e6, 2e8), func() { n.append(shard) })
 	}
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -16,7 +16,7 @@
 //
 // A decision becomes a [describer.Record], is applied to the shard's book at
 // once and sent with the shard's next [AppendRecords]. What the decision causes
-// outside (a start, an answer to a caller) waits for [Appended]. The book is
+// outside (a start, an answer to a caller) waits for [RecordsAppended]. The book is
 // therefore always ahead of the ledger, never beside it, and it is thrown
 // away with the ownership of the shard.
 package reducer
@@ -164,7 +164,7 @@
 		if h := s.owned(e.Shard, e.Epoch); h != nil {
 			h.lose()
 		}
-	case Appended:
+	case RecordsAppended:
 		if h := s.owned(e.Shard, e.Epoch); h != nil {
 			s.contact = s.now
 			h.appended(e.Batch)
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -110,7 +110,7 @@
 		}
 		for _, a := range appends {
 			out = append(out, a.Records...)
-			d.do(Appended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
+			d.do(RecordsAppended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
 		}
 		d.wait(250 * time.Millisecond)
 	}
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -32,7 +32,7 @@
 	}
 	lost := func(epoch int64) reducer.Event { return reducer.ShardLost{Shard: shard, Epoch: epoch} }
 	appended := func(epoch, batch int64) reducer.Event {
-		return reducer.Appended{Shard: shard, Epoch: epoch, Batch: batch}
+		return reducer.RecordsAppended{Shard: shard, Epoch: epoch, Batch: batch}
 	}
 
 	It("keeps its shards through an outage and catches up after it", bubble(func() {
@@ -230,7 +230,7 @@
 		name := string(rune('a' + round))
 		d.append(claimed.Epoch, 1, name)
 		time.Sleep(2 * minute)
-		Expect(d.take()).To(Equal([]reducer.Event{reducer.Appended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
+		Expect(d.take()).To(Equal([]reducer.Event{reducer.RecordsAppended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
 		kept = append(kept, name)
 		d.Do(reducer.ReleaseShard{Shard: shard, Epoch: claimed.Epoch})
 		time.Sleep(minute)
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -123,15 +123,15 @@
 		a.append(1, 2, "two", "three")
 		time.Sleep(time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 1},
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 2},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 1},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 2},
 		}))
 		Expect(b.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 		a.append(1, 3, "four")
 		a.Do(reducer.ReleaseShard{Shard: shard, Epoch: 1})
 		time.Sleep(time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 3},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 3},
 			reducer.ShardLost{Shard: shard, Epoch: 1},
 		}))
 		Expect(jobs(b.claim())).To(Equal([]string{"one", "two", "three", "four"}))
--- a/internal/state/holder/seat.go
+++ b/internal/state/holder/seat.go
@@ -169,7 +169,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.seats[s.shard] == s {
-		h.post(reducer.Appended{Shard: s.shard, Epoch: s.ledger.Epoch, Batch: batch})
+		h.post(reducer.RecordsAppended{Shard: s.shard, Epoch: s.ledger.Epoch, Batch: batch})
 	}
 }
 
