--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -190,7 +190,7 @@
 		Expect(taken[StartTask](d)).To(BeEmpty())
 		d.do(StatusRequested{Request: 9})
 		replies := taken[Reply](d)
-		Expect(replies[len(replies)-1].Status.Workers[0].Aside).To(Equal("failed 3 jobs in a row, the last with: exit 1"))
+		Expect(replies[len(replies)-1].Status.Workers[0].ClosedReason).To(Equal("failed 3 jobs in a row, the last with: exit 1"))
 		for range 62 {
 			d.wait(5 * time.Second)
 			d.inventory(runner.Synced{})
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -130,7 +130,7 @@
 	Capacity describer.Resources `json:"capacity"`
 	Granted  describer.Resources `json:"granted"`
 	Tasks    int                 `json:"tasks"`
-	Aside    string              `json:"aside,omitempty"` // why no task is placed here
+	ClosedReason    string              `json:"aside,omitempty"` // why no task is placed here
 	Drain    string              `json:"drain,omitempty"` // id and state of its drain
 	Held     string              `json:"held,omitempty"`  // what still holds its restore back
 	Why      []string            `json:"why,omitempty"`   // interference estimates
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -107,7 +107,7 @@
 		Capacity: w.account.Host.Capacity,
 		Granted:  w.account.Granted,
 		Tasks:    len(w.runs),
-		Aside:    h.closedBy(w),
+		ClosedReason:    h.closedBy(w),
 		Held:     w.held,
 	}
 	if d, ok := h.state.drains[w.name]; ok {
