--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -132,6 +132,6 @@
 	Tasks    int                 `json:"tasks"`
 	ClosedReason    string              `json:"aside,omitempty"` // why no task is placed here
 	Drain    string              `json:"drain,omitempty"` // id and state of its drain
-	Held     string              `json:"held,omitempty"`  // what still holds its restore back
+	RestoreHold     string              `json:"held,omitempty"`  // what still holds its restore back
 	Why      []string            `json:"why,omitempty"`   // interference estimates
 }
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -108,7 +108,7 @@
 		Granted:  w.account.Granted,
 		Tasks:    len(w.runs),
 		ClosedReason:    h.closedBy(w),
-		Held:     w.held,
+		RestoreHold:     w.held,
 	}
 	if d, ok := h.state.drains[w.name]; ok {
 		out.Drain = d.id + " " + string(d.state)
