--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -133,5 +133,5 @@
 	ClosedReason    string              `json:"aside,omitempty"` // why no task is placed here
 	Drain    string              `json:"drain,omitempty"` // id and state of its drain
 	RestoreHold     string              `json:"held,omitempty"`  // what still holds its restore back
-	Why      []string            `json:"why,omitempty"`   // interference estimates
+	Interference      []string            `json:"why,omitempty"`   // interference estimates
 }
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -114,7 +114,7 @@
 		out.Drain = d.id + " " + string(d.state)
 	}
 	if explain {
-		out.Why = h.explain(w)
+		out.Interference = h.explain(w)
 	}
 	return out
 }
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -60,7 +60,7 @@
 		}
 	}
 	fmt.Fprintln(w)
-	if len(s.Why) > 0 {
-		fmt.Fprintf(w, "    %s\n", strings.Join(s.Why, "\n    "))
+	if len(s.Interference) > 0 {
+		fmt.Fprintf(w, "    %s\n", strings.Join(s.Interference, "\n    "))
 	}
 }
