--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -107,7 +107,7 @@
 	Daemon   string         `json:"daemon"`
 	Revision int64          `json:"revision"`
 	Ready    bool           `json:"ready"`
-	Store    bool           `json:"store"` // reached by the last call
+	StoreReachable    bool           `json:"store"` // reached by the last call
 	Shards   []ShardStatus  `json:"shards"`
 	Workers  []WorkerStatus `json:"workers,omitempty"`
 }
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -64,7 +64,7 @@
 		Daemon:   s.options.Daemon,
 		Revision: s.config.Revision,
 		Ready:    s.isReady(),
-		Store:    s.reached,
+		StoreReachable:    s.reached,
 	}
 	for _, h := range s.order {
 		if h.book == nil {
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -40,7 +40,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer func() { _ = t.Flush() }()
 	for _, report := range reports {
-		fmt.Fprintf(t, "%s\trevision %d\tready %t\tstore %t\n", report.Daemon, report.Revision, report.Ready, report.Store)
+		fmt.Fprintf(t, "%s\trevision %d\tready %t\tstore %t\n", report.Daemon, report.Revision, report.Ready, report.StoreReachable)
 		for _, s := range report.Shards {
 			fmt.Fprintf(t, "  shard %s\tepoch %d\t%s\t%d workers\t%d pending\t%d started\t%d done\t%d evicted\n",
 				s.Shard, s.Epoch, s.Phase, s.Workers, s.Pending, s.Started, s.Done, s.Evicted)
