--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -154,7 +154,7 @@
 
 // lifeOfTask carries out all effects of a job.
 func lifeOfTask(s *State, job describer.Job) {
-	work := s.Reduce(Submitted{Request: 1, Job: job})
+	work := s.Reduce(SubmitRequested{Request: 1, Job: job})
 	for len(work) > 0 {
 		e := work[0]
 		work = work[1:]
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -66,7 +66,7 @@
 		c.Revision = 2
 		c.Teams[0].Quota = describer.Resources{CPU: 2000}
 		d.do(Configured{Configuration: c})
-		d.do(Submitted{Request: 1, Job: testJob("menu", 4)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		Expect(d.started()).To(HaveLen(2))
 		Expect(d.status("menu").Reason).To(Equal("the team's quota is used up"))
@@ -76,7 +76,7 @@
 		d := newDesk("w1")
 		job := testJob("huge", 1)
 		job.Declared.CPU = 1_000_000
-		d.do(Submitted{Request: 1, Job: job})
+		d.do(SubmitRequested{Request: 1, Job: job})
 		d.durable()
 		status := d.status("huge")
 		Expect(status.State).To(Equal("failed"))
@@ -85,7 +85,7 @@
 
 	It("makes room for an urgent task by throttling", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 4)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		starts := d.started()
 		var running []runner.Running
@@ -96,7 +96,7 @@
 		d.inventory(runner.Synced{Running: running})
 		urgent := testJob("urgent", 1)
 		urgent.Priority = describer.Urgent
-		d.do(Submitted{Request: 2, Job: urgent})
+		d.do(SubmitRequested{Request: 2, Job: urgent})
 		d.durable()
 		throttles := taken[ThrottleTask](d)
 		Expect(throttles).NotTo(BeEmpty())
@@ -123,7 +123,7 @@
 
 	It("books a growing grant before the worker hears of it", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		s := d.started()[0]
 		busy := runner.Synced{Running: []runner.Running{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
@@ -139,7 +139,7 @@
 
 	It("waits while the store is away, and goes on renewing", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
 		d.durable()
 		run := runOf(d.started()[0])
 		d.do(StoreChecked{Reachable: false})
@@ -154,7 +154,7 @@
 var _ = Describe("failures", func() {
 	It("set a task aside after three workers", func() {
 		d := newDesk("w1", "w2", "w3", "w4")
-		d.do(Submitted{Request: 1, Job: testJob("broken", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("broken", 1)})
 		used := map[string]bool{}
 		for range 3 {
 			d.durable()
@@ -176,7 +176,7 @@
 		for i, id := range []string{"a", "b", "c"} {
 			job := testJob(id, 1)
 			job.Class = id
-			d.do(Submitted{Request: RequestID(i + 1), Job: job})
+			d.do(SubmitRequested{Request: RequestID(i + 1), Job: job})
 			d.durable()
 			for _, s := range d.started() {
 				if s.Start.Task.Job == id {
@@ -206,7 +206,7 @@
 
 	It("of a worker to answer don't lose a result that comes before a new start", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		run := runOf(d.started()[0])
 		var records []describer.Record
@@ -226,7 +226,7 @@
 
 	It("leave a stale result without effect", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		run := runOf(d.started()[0])
 		run.Token.Sequence += 7
@@ -239,10 +239,10 @@
 var _ = Describe("a planned stop", func() {
 	It("starts nothing more and releases the shard after its records are sent", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.do(StopRequested{})
 		Expect(taken[ReleaseShard](d)).To(HaveLen(1))
-		d.do(Submitted{Request: 2, Job: testJob("late", 1)})
+		d.do(SubmitRequested{Request: 2, Job: testJob("late", 1)})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Code).To(Equal("not-owner"))
 		Expect(reply.Err.Verdict).To(Equal(classifier.NotRun))
@@ -256,7 +256,7 @@
 var _ = Describe("a snapshot", func() {
 	It("holds what the records hold", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
 		d.do(KeyRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
 		records := d.durable()
 		d.snapshotLeast = 0
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -70,8 +70,8 @@
 	Batch int64
 }
 
-// Submitted asks to accept a job in Shard, or in its home shard when Shard is empty.
-type Submitted struct {
+// SubmitRequested asks to accept a job in Shard, or in its home shard when Shard is empty.
+type SubmitRequested struct {
 	Request RequestID
 	Job     describer.Job
 }
@@ -167,7 +167,7 @@
 func (ClaimFailed) event()     {}
 func (ShardLost) event()       {}
 func (RecordsAppended) event()        {}
-func (Submitted) event()       {}
+func (SubmitRequested) event()       {}
 func (CancelRequested) event()       {}
 func (JobStatusRequested) event()        {}
 func (KeyRequested) event()    {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -15,7 +15,7 @@
 var _ = Describe("a job", func() {
 	It("is answered, started and acknowledged only after the record is durable", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		Expect(taken[Reply](d)).To(BeEmpty())
 		Expect(kinds(d.durable())).To(Equal([]describer.RecordKind{describer.JobAccepted, describer.TaskStarted}))
 		Expect(taken[Reply](d)).To(HaveLen(1))
@@ -48,9 +48,9 @@
 
 	It("is accepted once, and refused if another one has its id", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
-		d.do(Submitted{Request: 2, Job: testJob("menu", 1)})
-		d.do(Submitted{Request: 3, Job: testJob("menu", 2)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 2, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 3, Job: testJob("menu", 2)})
 		refused := taken[Reply](d)
 		Expect(refused).To(HaveLen(1))
 		Expect(refused[0].Err.Code).To(Equal("conflict"))
@@ -61,7 +61,7 @@
 	It("names the field that is wrong", func() {
 		d := newDesk("w1")
 		wrong := testJob("menu", 0)
-		d.do(Submitted{Request: 1, Job: wrong})
+		d.do(SubmitRequested{Request: 1, Job: wrong})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Field).To(Equal("tasks"))
 		Expect(reply.Err.Verdict).To(Equal(classifier.NotRun))
@@ -70,7 +70,7 @@
 	It("is refused at once while the store is away", func() {
 		d := newDesk("w1")
 		d.do(StoreChecked{Reachable: false})
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Code).To(Equal("store-unavailable"))
 		Expect(reply.Err.Verdict).To(Equal(classifier.NotRun))
@@ -80,7 +80,7 @@
 
 	It("never starts after its cancellation, and says whether it may have run", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
 		d.durable()
 		starts := d.started()
 		Expect(starts).To(HaveLen(4), "the worker has room for four")
@@ -106,7 +106,7 @@
 
 	It("isn't asked for when it is cancelled before its start is durable", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		first := taken[AppendRecords](d)
 		d.do(CancelRequested{Request: 2, Job: "menu"})
 		d.do(RecordsAppended{Shard: "bne-1", Epoch: 1, Batch: first[0].Batch})
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -146,7 +146,7 @@
 		if _, ok := n.owns[home]; ok && n.alive {
 			w.requests++
 			w.asked[w.requests] = id
-			n.reduce(Submitted{Request: w.requests, Job: job})
+			n.reduce(SubmitRequested{Request: w.requests, Job: job})
 			return
 		}
 	}
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -133,7 +133,7 @@
 		}
 	case StopRequested:
 		s.stop()
-	case Submitted:
+	case SubmitRequested:
 		s.submit(e)
 	case CancelRequested:
 		s.cancel(e)
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -24,7 +24,7 @@
 var _ = Describe("a successor", func() {
 	It("keeps a started task until an inventory under its epoch lacks it", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 
 		s := successor(records, "w1")
@@ -37,7 +37,7 @@
 
 	It("adopts a run that its worker still has", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 		run := runOf(d.started()[0])
 
@@ -50,7 +50,7 @@
 
 	It("restarts a task of a worker that it can't reach once its predecessor can't have renewed", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 
 		s := successor(records, "w1", "w2")
@@ -85,7 +85,7 @@
 var _ = Describe("a hand-over", func() {
 	It("tells the successor how long the leases last at a worker that it can't reach", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 		d.do(StopRequested{})
 		last := d.durable()
@@ -117,7 +117,7 @@
 var _ = Describe("a drain", func() {
 	It("moves work off with a checkpoint and ends in a restore", func() {
 		d := newDesk("w1", "w2")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		Expect(d.started()[0].Worker).To(Equal("w1"))
 
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -88,7 +88,7 @@
 }
 
 // submit accepts a job once. The answer waits until that is durable.
-func (s *State) submit(e Submitted) {
+func (s *State) submit(e SubmitRequested) {
 	if r, ok := s.validate(&e.Job); !ok {
 		s.refuse(e.Request, r)
 		return
@@ -110,7 +110,7 @@
 }
 
 // resubmit answers a repeated submission with the job's state.
-func (h *shard) resubmit(e Submitted, j *job) {
+func (h *shard) resubmit(e SubmitRequested, j *job) {
 	if !isSameJob(&e.Job, j.Job) {
 		h.state.refuse(e.Request, refusal{
 			status: http.StatusConflict, code: "conflict", field: "id",
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -94,7 +94,7 @@
 
 func (r *Responder) submitHere(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
-		return reducer.Submitted{Request: id, Job: job}
+		return reducer.SubmitRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
