--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -257,7 +257,7 @@
 	It("holds what the records hold", func() {
 		d := newDesk("w1")
 		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
-		d.do(KeyRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
+		d.do(KeyClaimRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
 		records := d.durable()
 		d.snapshotLeast = 0
 		h := d.shards["bne-1"]
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -88,8 +88,8 @@
 	Job     string
 }
 
-// KeyRequested asks to record that a non-idempotent request is about to be sent.
-type KeyRequested struct {
+// KeyClaimRequested asks to record that a non-idempotent request is about to be sent.
+type KeyClaimRequested struct {
 	Request RequestID
 	Shard   string
 	Key     string
@@ -170,7 +170,7 @@
 func (SubmitRequested) event()       {}
 func (CancelRequested) event()       {}
 func (JobStatusRequested) event()        {}
-func (KeyRequested) event()    {}
+func (KeyClaimRequested) event()    {}
 func (PlanRequested) event()   {}
 func (StatusRequested) event() {}
 func (WorkerSynced) event()    {}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -122,8 +122,8 @@
 var _ = Describe("a key", func() {
 	It("is fresh once, and only when it is durable", func() {
 		d := newDesk("w1")
-		d.do(KeyRequested{Request: 1, Shard: "bne-1", Key: "charge", Owner: "a"})
-		d.do(KeyRequested{Request: 2, Shard: "bne-1", Key: "charge", Owner: "b"})
+		d.do(KeyClaimRequested{Request: 1, Shard: "bne-1", Key: "charge", Owner: "a"})
+		d.do(KeyClaimRequested{Request: 2, Shard: "bne-1", Key: "charge", Owner: "b"})
 		Expect(taken[Reply](d)).To(BeEmpty())
 		d.durable()
 		replies := taken[Reply](d)
--- a/internal/control/reducer/key.go
+++ b/internal/control/reducer/key.go
@@ -6,7 +6,7 @@
 
 // claimKey records that a non-idempotent request is about to be sent. Only
 // the first claim of a key is fresh, and only once it is durable.
-func (s *State) claimKey(e KeyRequested) {
+func (s *State) claimKey(e KeyClaimRequested) {
 	h := s.shards[e.Shard]
 	if h != nil && h.book != nil && h.phase == owning {
 		if first, ok := h.book.keys[e.Key]; ok {
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -139,7 +139,7 @@
 		s.cancel(e)
 	case JobStatusRequested:
 		s.inquire(e)
-	case KeyRequested:
+	case KeyClaimRequested:
 		s.claimKey(e)
 	case PlanRequested:
 		s.plan(e)
--- a/internal/operator/responder/keys.go
+++ b/internal/operator/responder/keys.go
@@ -34,7 +34,7 @@
 		return nil, unavailable("not-ready", "no configuration with shards is known yet")
 	}
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
-		return reducer.KeyRequested{
+		return reducer.KeyClaimRequested{
 			Request: id, Shard: reducer.HomeShard(&configuration, request.Key), Key: request.Key, Owner: request.Owner,
 		}
 	})
