--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -41,7 +41,7 @@
 	}
 	s.Reduce(Tick{Now: start})
 	s.Reduce(HostsListed{Hosts: hosts})
-	s.Reduce(Configured{Configuration: c})
+	s.Reduce(ConfigurationReceived{Configuration: c})
 	records := fullLedger(hosts, tasks)
 	for _, one := range c.Shards {
 		answerAll(s, s.Reduce(ShardClaimed{Shard: one.ID, Epoch: 1, Records: records[one.ID]}))
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -65,7 +65,7 @@
 		c := testConfiguration()
 		c.Revision = 2
 		c.Teams[0].Quota = describer.Resources{CPU: 2000}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		Expect(d.started()).To(HaveLen(2))
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -16,9 +16,9 @@
 // Tick before it.
 type Tick struct{ Now time.Time }
 
-// Configured delivers a configuration; a revision that is not greater than
+// ConfigurationReceived delivers a configuration; a revision that is not greater than
 // the one in force is ignored.
-type Configured struct{ Configuration describer.Configuration }
+type ConfigurationReceived struct{ Configuration describer.Configuration }
 
 // HostsListed delivers the host list.
 type HostsListed struct{ Hosts []describer.Host }
@@ -159,7 +159,7 @@
 type StopRequested struct{}
 
 func (Tick) event()            {}
-func (Configured) event()      {}
+func (ConfigurationReceived) event()      {}
 func (HostsListed) event()     {}
 func (PeersChanged) event()    {}
 func (StoreChecked) event()    {}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -95,7 +95,7 @@
 // watch brings configuration and membership.
 func (n *node) watch() {
 	if n.reaches() {
-		n.reduce(Configured{Configuration: n.world.store.config})
+		n.reduce(ConfigurationReceived{Configuration: n.world.store.config})
 	}
 	var peers []Peer
 	for _, o := range n.world.nodes {
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -87,7 +87,7 @@
 		old := w.store.config
 		old.Revision -= int64(rapid.IntRange(0, 3).Draw(t, "older"))
 		n := w.node(t)
-		w.after(length, func() { n.reduce(Configured{Configuration: old}) })
+		w.after(length, func() { n.reduce(ConfigurationReceived{Configuration: old}) })
 	case 14:
 		n := w.node(t)
 		n.blind = true
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -120,7 +120,7 @@
 	switch e := event.(type) {
 	case Tick:
 		s.tick(e.Now)
-	case Configured:
+	case ConfigurationReceived:
 		s.configure(e.Configuration)
 	case HostsListed:
 		s.listHosts(e.Hosts)
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -16,7 +16,7 @@
 	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
 	d.do(Tick{Now: start.Add(time.Hour)})
 	d.do(HostsListed{Hosts: testHosts(workers...)})
-	d.do(Configured{Configuration: testConfiguration()})
+	d.do(ConfigurationReceived{Configuration: testConfiguration()})
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 2, Records: records})
 	return d
 }
@@ -108,7 +108,7 @@
 		last := d.durable()
 		s := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
 		s.do(Tick{Now: start})
-		s.do(Configured{Configuration: testConfiguration()})
+		s.do(ConfigurationReceived{Configuration: testConfiguration()})
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Records: last})
 		Expect(s.order[0].formerExtent()).To(Equal(start.Add(time.Minute + 30*time.Second)))
 	})
@@ -126,7 +126,7 @@
 		c.Drains = []describer.Drain{{
 			ID: "d1", Workers: []string{"w1"}, State: describer.Draining, Until: d.now.Add(time.Minute),
 		}}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		d.wait(2 * time.Second)
 		tables := taken[PublishRoutingTable](d)
 		Expect(tables[len(tables)-1].Table.Services["menu-desk"][0].Closed).To(BeTrue())
@@ -150,7 +150,7 @@
 
 		c.Revision = 3
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		for range 60 {
 			d.wait(5 * time.Second)
 			d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(again[0])}}})
@@ -161,7 +161,7 @@
 		Expect(len(taken[ProposeDrainUpdate](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
 		c.Revision = 4
 		c.Drains = nil
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		d.wait(12 * time.Second)
 		Expect(taken[ProposeDrainUpdate](d)).To(BeEmpty())
 	})
@@ -173,10 +173,10 @@
 		c := testConfiguration()
 		c.Revision = 2
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		Expect(d.shards["bne-1"].isRestoring()).To(BeTrue())
 		c.Revision, c.Drains = 3, nil
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		Expect(d.shards["bne-1"].isRestoring()).To(BeFalse())
 	})
 })
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -69,7 +69,7 @@
 	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
 	d.do(Tick{Now: start})
 	d.do(HostsListed{Hosts: testHosts(workers...)})
-	d.do(Configured{Configuration: testConfiguration()})
+	d.do(ConfigurationReceived{Configuration: testConfiguration()})
 	Expect(taken[ClaimShard](d)).To(HaveLen(1))
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
 	d.inventory(runner.Synced{})
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -79,7 +79,7 @@
 		Log:     s.log,
 	}, store, s.node, func(c describer.Configuration) {
 		s.holder.SetShards(len(c.Shards))
-		post(reducer.Configured{Configuration: c})
+		post(reducer.ConfigurationReceived{Configuration: c})
 	})
 }
 
