--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -40,7 +40,7 @@
 		hosts = append(hosts, host)
 	}
 	s.Reduce(Tick{Now: start})
-	s.Reduce(HostsListed{Hosts: hosts})
+	s.Reduce(HostsReceived{Hosts: hosts})
 	s.Reduce(ConfigurationReceived{Configuration: c})
 	records := fullLedger(hosts, tasks)
 	for _, one := range c.Shards {
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -20,8 +20,8 @@
 // the one in force is ignored.
 type ConfigurationReceived struct{ Configuration describer.Configuration }
 
-// HostsListed delivers the host list.
-type HostsListed struct{ Hosts []describer.Host }
+// HostsReceived delivers the host list.
+type HostsReceived struct{ Hosts []describer.Host }
 
 // PeersChanged delivers the entry hosts of all failure domains that membership believes to be alive,
 // this one included.
@@ -160,7 +160,7 @@
 
 func (Tick) event()            {}
 func (ConfigurationReceived) event()      {}
-func (HostsListed) event()     {}
+func (HostsReceived) event()     {}
 func (PeersChanged) event()    {}
 func (StoreChecked) event()    {}
 func (ShardClaimed) event()    {}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -36,7 +36,7 @@
 	n.owns, n.appends = make(map[string]int64), make(map[string][]AppendRecords)
 	n.revision = 0
 	n.reduce(Tick{Now: n.world.now})
-	n.reduce(HostsListed{Hosts: n.world.hosts()})
+	n.reduce(HostsReceived{Hosts: n.world.hosts()})
 	life := n.life
 	n.every(life, 250*time.Millisecond, func() { n.reduce(Tick{Now: n.world.now}) })
 	n.every(life, time.Second, n.watch)
@@ -106,7 +106,7 @@
 		}
 	}
 	n.reduce(PeersChanged{Alive: peers})
-	n.reduce(HostsListed{Hosts: n.world.hosts()})
+	n.reduce(HostsReceived{Hosts: n.world.hosts()})
 }
 
 // renew keeps the shards' leases in the store.
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -122,7 +122,7 @@
 		s.tick(e.Now)
 	case ConfigurationReceived:
 		s.configure(e.Configuration)
-	case HostsListed:
+	case HostsReceived:
 		s.listHosts(e.Hosts)
 	case PeersChanged:
 		s.changePeers(e.Alive)
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -15,7 +15,7 @@
 func successor(records []describer.Record, workers ...string) *desk {
 	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
 	d.do(Tick{Now: start.Add(time.Hour)})
-	d.do(HostsListed{Hosts: testHosts(workers...)})
+	d.do(HostsReceived{Hosts: testHosts(workers...)})
 	d.do(ConfigurationReceived{Configuration: testConfiguration()})
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 2, Records: records})
 	return d
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -68,7 +68,7 @@
 func newDesk(workers ...string) *desk {
 	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
 	d.do(Tick{Now: start})
-	d.do(HostsListed{Hosts: testHosts(workers...)})
+	d.do(HostsReceived{Hosts: testHosts(workers...)})
 	d.do(ConfigurationReceived{Configuration: testConfiguration()})
 	Expect(taken[ClaimShard](d)).To(HaveLen(1))
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -181,7 +181,7 @@
 			s.log.Info().Str("part", "server").Err(err).Msg("host list unreadable")
 		} else {
 			s.members.UpdateHosts(list)
-			s.control.Post(reducer.HostsListed{Hosts: list})
+			s.control.Post(reducer.HostsReceived{Hosts: list})
 		}
 		waiter.Pause(ctx, hostsInterval)
 	}
