--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -192,7 +192,7 @@
 	Started int               `json:"started"`
 	Done    int               `json:"done"`
 	Failed  int               `json:"failed"`
-	Ran     bool              `json:"ran"` // some task may have run
+	MayHaveRun     bool              `json:"ran"` // some task may have run
 	Reason  string            `json:"reason,omitempty"`
 	Results []json.RawMessage `json:"results,omitempty"` // by task index, once done
 }
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -90,7 +90,7 @@
 		d.durable()
 		reply := taken[Reply](d)[0]
 		Expect(reply.Job.State).To(Equal("cancelled"))
-		Expect(reply.Job.Ran).To(BeTrue())
+		Expect(reply.Job.MayHaveRun).To(BeTrue())
 		stops := taken[StopTask](d)
 		Expect(stops).To(HaveLen(4))
 		for _, s := range stops {
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -16,7 +16,7 @@
 		Started: j.counts[describer.Started],
 		Done:    j.counts[describer.Done],
 		Failed:  j.counts[describer.Failed],
-		Ran:     j.mayHaveRun(),
+		MayHaveRun:     j.mayHaveRun(),
 		Reason:  j.reasonText(),
 	}
 	if out.State == "done" {
