--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -121,7 +121,7 @@
 	Pending int    `json:"pending"`
 	Started int    `json:"started"`
 	Done    int    `json:"done"`
-	Evicted int64  `json:"evicted"`
+	Evictions int64  `json:"evicted"`
 }
 
 // WorkerStatus is one worker of an owned shard.
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -87,7 +87,7 @@
 		Phase:   h.phase.String(),
 		Workers: len(h.order),
 		Done:    h.book.done,
-		Evicted: h.book.evicted,
+		Evictions: h.book.evicted,
 	}
 	if h.phase == owning && h.isRecovering() {
 		out.Phase = "recovering"
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -43,7 +43,7 @@
 		fmt.Fprintf(t, "%s\trevision %d\tready %t\tstore %t\n", report.Daemon, report.Revision, report.Ready, report.StoreReachable)
 		for _, s := range report.Shards {
 			fmt.Fprintf(t, "  shard %s\tepoch %d\t%s\t%d workers\t%d pending\t%d started\t%d done\t%d evicted\n",
-				s.Shard, s.Epoch, s.Phase, s.Workers, s.Pending, s.Started, s.Done, s.Evicted)
+				s.Shard, s.Epoch, s.Phase, s.Workers, s.Pending, s.Started, s.Done, s.Evictions)
 		}
 		for _, worker := range report.Workers {
 			printWorker(t, worker)
