--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -199,6 +199,6 @@
 
 // KeyClaim is the Reply to KeyRequested.
 type KeyClaim struct {
-	Fresh bool   `json:"fresh"` // false: claimed before, by Owner
+	First bool   `json:"fresh"` // false: claimed before, by Owner
 	Owner string `json:"owner"`
 }
--- a/internal/control/reducer/key.go
+++ b/internal/control/reducer/key.go
@@ -18,5 +18,5 @@
 		return
 	}
 	h.append(describer.Record{Kind: describer.KeyClaimed, Key: e.Key, Owner: e.Owner})
-	h.journal.then(consequence{request: e.Request, key: &KeyClaim{Fresh: true, Owner: e.Owner}})
+	h.journal.then(consequence{request: e.Request, key: &KeyClaim{First: true, Owner: e.Owner}})
 }
--- a/internal/operator/responder/keys.go
+++ b/internal/operator/responder/keys.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return false, "", err
 	}
-	return claim.Fresh, claim.Owner, nil
+	return claim.First, claim.Owner, nil
 }
 
 func (r *Responder) claimHere(ctx context.Context, request keyRequest) (*reducer.KeyClaim, error) {
