--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -24,7 +24,7 @@
 // worker.
 func fullState(workers, tasks int, policy placer.Policy) *State {
 	o := testOptions()
-	s := New(o, Policies{Place: policy})
+	s := New(o, Policies{Placement: policy})
 	c := describer.Configuration{Revision: 1, Services: []describer.Service{{Name: "menu-desk", Target: time.Second}}}
 	for i := range shareTeams {
 		c.Teams = append(c.Teams, describer.Team{Name: fmt.Sprintf("team-%03d", i), Weight: 1})
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -14,7 +14,7 @@
 
 // Policies are the exchangeable decisions. Nil ones have defaults.
 type Policies struct {
-	Place    placer.Policy    // default placer.Default with the learner
+	Placement    placer.Policy    // default placer.Default with the learner
 	Learner  *learner.Learner // of interference
 	Escalate escalator.Options
 	Restore  restorer.Options
@@ -32,7 +32,7 @@
 	for _, one := range s.config.Services {
 		s.services[one.Name] = one
 	}
-	s.placer = s.policies.Place
+	s.placer = s.policies.Placement
 	if s.placer == nil {
 		s.placer = placer.Default{
 			Learner:  s.policies.Learner,
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -13,7 +13,7 @@
 
 // successor replays the records in a new State under the next epoch.
 func successor(records []describer.Record, workers ...string) *desk {
-	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+	d := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 	d.do(Tick{Now: start.Add(time.Hour)})
 	d.do(HostsReceived{Hosts: testHosts(workers...)})
 	d.do(ConfigurationReceived{Configuration: testConfiguration()})
@@ -106,7 +106,7 @@
 		d := newDesk("w1")
 		d.do(StopRequested{})
 		last := d.durable()
-		s := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+		s := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 		s.do(Tick{Now: start})
 		s.do(ConfigurationReceived{Configuration: testConfiguration()})
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Records: last})
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -66,7 +66,7 @@
 // newDesk returns a State that owns its shard, with inventories from all of
 // its workers.
 func newDesk(workers ...string) *desk {
-	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+	d := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 	d.do(Tick{Now: start})
 	d.do(HostsReceived{Hosts: testHosts(workers...)})
 	d.do(ConfigurationReceived{Configuration: testConfiguration()})
