--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -16,7 +16,7 @@
 type Policies struct {
 	Placement    placer.Policy    // default placer.Default with the learner
 	Learner  *learner.Learner // of interference
-	Escalate escalator.Options
+	Escalation escalator.Options
 	Restore  restorer.Options
 }
 
@@ -92,7 +92,7 @@
 		Learner:  h.state.policies.Learner,
 		State:    &w.escalation,
 		Budget:   h.budget,
-		Options:  h.state.policies.Escalate,
+		Options:  h.state.policies.Escalation,
 		Bounds:   h.bounds(w),
 	})
 	for _, a := range actions {
