--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -117,7 +117,7 @@
 		Owed:     owed,
 		Gone:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
 		State:    &w.restore,
-		Options:  h.state.policies.Restore,
+		Options:  h.state.policies.Restoration,
 	})
 	w.held = decision.Held
 	h.limit(w, !decision.Done, decision.Limit)
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -17,7 +17,7 @@
 	Placement    placer.Policy    // default placer.Default with the learner
 	Learner  *learner.Learner // of interference
 	Escalation escalator.Options
-	Restore  restorer.Options
+	Restoration  restorer.Options
 }
 
 // The budget of evictions that one shard spends on latency and on urgent work.
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -103,7 +103,7 @@
 		TaskLease:    time.Duration(s.Settings.Lease.Task),
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
-	}, reducer.Policies{Restore: restorer.Options{
+	}, reducer.Policies{Restoration: restorer.Options{
 		Settle:   time.Duration(s.Settings.Restore.Settle),
 		Patience: time.Duration(s.Settings.Restore.Patience),
 	}})
