--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -98,7 +98,7 @@
 		}
 	}
 	return reducer.WorkerSynced{
-		Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, Sent: sent, Synced: synced,
+		Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, SentAt: sent, Synced: synced,
 	}
 }
 
--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -83,7 +83,7 @@
 
 // inventoryOf answers a call with what the State believes to run there.
 func inventoryOf(s *State, call SyncWorker) WorkerSynced {
-	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, Sent: s.now}
+	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, SentAt: s.now}
 	out.Synced.Clock = s.now
 	for _, t := range s.shards[call.Sync.Shard].workers[call.Worker].runs {
 		out.Synced.Running = append(out.Synced.Running, runner.Running{
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -25,7 +25,7 @@
 func (d *desk) fail(s StartTask) {
 	d.wait(6 * time.Second)
 	for _, c := range taken[SyncWorker](d) {
-		answer := WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now}
+		answer := WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: d.now}
 		if c.Worker == s.Worker {
 			answer.Synced.Finished = []runner.Finished{{Run: runOf(s), Reason: "exit 1"}}
 		}
@@ -145,7 +145,7 @@
 		d.do(StoreChecked{Reachable: false})
 		d.do(Tick{Now: d.now.Add(6 * time.Second)})
 		Expect(taken[SyncWorker](d)[0].Sync.Renew).To(ContainElement(run))
-		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now})
+		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", SentAt: d.now})
 		Expect(taken[StartTask](d)).To(BeEmpty())
 		Expect(kinds(taken[AppendRecords](d)[0].Records)).NotTo(ContainElement(describer.TaskStarted))
 	})
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -113,7 +113,7 @@
 	Shard  string
 	Epoch  int64
 	Worker string
-	Sent   time.Time // when the call began; leases run from here
+	SentAt   time.Time // when the call began; leases run from here
 	Synced runner.Synced
 }
 
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -28,12 +28,12 @@
 		Expect(calls).To(HaveLen(1))
 		Expect(calls[0].Sync.Renew).To(Equal([]runner.Run{run}))
 		done := runner.Synced{Finished: []runner.Finished{{Run: run, OK: true, Result: json.RawMessage(`"ok"`)}}}
-		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now, Synced: done})
+		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", SentAt: d.now, Synced: done})
 
 		d.wait(6 * time.Second)
 		calls = taken[SyncWorker](d)
 		Expect(calls[0].Sync.Ack).To(BeEmpty(), "the end isn't durable yet")
-		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now, Synced: done})
+		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", SentAt: d.now, Synced: done})
 		Expect(kinds(d.durable())).To(Equal([]describer.RecordKind{describer.TaskFinished}))
 		d.wait(6 * time.Second)
 		d.inventory(done)
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -168,7 +168,7 @@
 			if err != "" {
 				return WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
 			}
-			return WorkerSynced{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Sent: sent, Synced: s}
+			return WorkerSynced{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, SentAt: sent, Synced: s}
 		}, WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker})
 	case Reply:
 		if id := w.asked[e.Request]; id != "" && e.Err != nil && e.Err.Verdict == classifier.NotRun {
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -56,7 +56,7 @@
 		s := successor(records, "w1", "w2")
 		for _, c := range taken[SyncWorker](s) {
 			if c.Worker == "w2" {
-				s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: "w2", Sent: s.now})
+				s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: "w2", SentAt: s.now})
 			} else {
 				s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
 			}
@@ -67,7 +67,7 @@
 				if c.Worker == "w1" {
 					s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: c.Worker})
 				} else {
-					s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: c.Worker, Sent: s.now})
+					s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: c.Worker, SentAt: s.now})
 				}
 			}
 		}
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -119,7 +119,7 @@
 // inventory answers all outstanding calls for inventories alike.
 func (d *desk) inventory(s runner.Synced) {
 	for _, c := range taken[SyncWorker](d) {
-		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now, Synced: s})
+		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: d.now, Synced: s})
 	}
 }
 
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -173,7 +173,7 @@
 // synced takes in an inventory.
 func (h *shard) synced(e WorkerSynced) {
 	w := h.workers[e.Worker]
-	if w == nil || !w.calling || e.Sent.Before(w.called) {
+	if w == nil || !w.calling || e.SentAt.Before(w.called) {
 		return
 	}
 	w.calling = false
@@ -186,13 +186,13 @@
 	}
 	if !e.Synced.Clock.IsZero() {
 		w.clock = e.Synced.Clock
-		w.clockAt = e.Sent
-		w.slack = max(0, h.state.now.Sub(e.Sent))
+		w.clockAt = e.SentAt
+		w.slack = max(0, h.state.now.Sub(e.SentAt))
 	}
 	if !e.Synced.Capacity.IsZero() {
 		w.account.Host.Capacity = e.Synced.Capacity
 	}
-	w.account.Heard = e.Sent
+	w.account.Heard = e.SentAt
 	h.takeRunning(w, e.Synced.Running)
 	h.takeFinished(w, e.Synced.Finished)
 	h.takeAbsent(w)
