--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -164,8 +164,8 @@
 			work = append(work, s.Reduce(RecordsAppended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
 		case StartTask:
 			s.Reduce(StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token})
-			h := s.shards[e.Shard]
-			h.finished(h.book.task(e.Start.Task), h.workers[e.Worker], nil)
+			sh := s.shards[e.Shard]
+			sh.recordFinished(sh.view.task(e.Start.Task), sh.workers[e.Worker], nil)
 			work = append(work, s.Reduce(StoreChecked{Reachable: true})...)
 		}
 	}
@@ -174,13 +174,13 @@
 // BenchmarkPlace is the default policy's choice of a worker.
 func BenchmarkPlace(b *testing.B) {
 	s := fullState(shareWorkers, shareTasks, nil)
-	h := s.order[0]
+	sh := s.sortedShards[0]
 	job := testJob("new", 1)
 	job.Team = "team-007"
 	r := placer.Request{Task: describer.TaskID{Job: "new"}, Job: &job, Want: job.Declared}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.placer.Place(h.fleet, r, s.now)
+		s.placer.Place(sh.fleet, r, s.now)
 	}
 }
 
@@ -197,13 +197,13 @@
 // BenchmarkSnapshot is the snapshot of one shard.
 func BenchmarkSnapshot(b *testing.B) {
 	s := fullState(shareWorkers, shareTasks, placer.FirstFit{})
-	h := s.order[0]
+	sh := s.sortedShards[0]
 	b.ReportAllocs()
 	for b.Loop() {
-		h.state.snapshotLeast = 0
-		h.journal.sinceSnapshot = 1 << 20
+		sh.state.minSnapshotRecords = 0
+		sh.journal.recordsSinceSnapshot = 1 << 20
 		s.effects = nil
-		h.maySnapshot()
+		sh.maybeSnapshot()
 		b.ReportMetric(float64(len(s.effects[0].(SaveSnapshot).Data)), "B/snapshot")
 	}
 }
--- a/internal/control/reducer/book.go
+++ b/internal/control/reducer/book.go
@@ -8,34 +8,34 @@
 
 // book is what a shard's ledger says, with the indexes that decisions need.
 // It changes by apply alone, in replay as in operation.
-type book struct {
-	jobs     map[string]*job
-	keys     map[string]key
-	asides   map[string]string // worker to the reason
-	restored map[string]string // worker to the drain that it has its work back from
-	owed     map[string]int    // worker to its drained tasks that are pending
-	order    uint64            // of the last accepted job
-	done     int               // finished tasks since this daemon owns the shard
-	evicted  int64
+type ledgerView struct {
+	jobs           map[string]*job
+	keys           map[string]claimedKey
+	quarantined    map[string]string // worker to the reason
+	restored       map[string]string // worker to the drain that it has its work back from
+	drainedPending map[string]int    // worker to its drained tasks that are pending
+	lastSeq        uint64            // of the last accepted job
+	finished       int               // finished tasks since this daemon owns the shard
+	evictions      int64
 }
 
 // key is a claimed idempotency key.
-type key struct {
+type claimedKey struct {
 	owner string
 	time  time.Time
 }
 
-func newBook() *book {
-	return &book{
-		jobs:     make(map[string]*job),
-		keys:     make(map[string]key),
-		asides:   make(map[string]string),
-		restored: make(map[string]string),
-		owed:     make(map[string]int),
+func newLedgerView() *ledgerView {
+	return &ledgerView{
+		jobs:           make(map[string]*job),
+		keys:           make(map[string]claimedKey),
+		quarantined:    make(map[string]string),
+		restored:       make(map[string]string),
+		drainedPending: make(map[string]int),
 	}
 }
 
-func (b *book) task(id describer.TaskID) *task {
+func (b *ledgerView) task(id describer.TaskID) *task {
 	j := b.jobs[id.Job]
 	if j == nil || id.Index < 0 || id.Index >= len(j.tasks) {
 		return nil
@@ -45,51 +45,51 @@
 
 // apply takes in one durable transition; replay and operation share it. A
 // record that doesn't follow from the book's state changes nothing.
-func (h *shard) apply(r describer.Record) {
+func (sh *shard) apply(r describer.Record) {
 	switch r.Kind {
 	case describer.JobAccepted:
-		h.applyJob(r)
+		sh.applyJobAccepted(r)
 	case describer.JobCancelled:
-		h.applyCancel(r)
+		sh.applyJobCancelled(r)
 	case describer.WorkerSetAside:
-		h.aside(r.Worker, r.Reason)
+		sh.quarantine(r.Worker, r.Reason)
 	case describer.WorkerTrusted:
-		delete(h.book.asides, r.Worker)
-		h.refresh(h.worker(r.Worker))
+		delete(sh.view.quarantined, r.Worker)
+		sh.updateClosed(sh.ensureWorker(r.Worker))
 	case describer.DrainRestored:
-		h.book.restored[r.Worker] = r.Key
+		sh.view.restored[r.Worker] = r.Key
 	case describer.ShardReleased:
-		h.released = r
+		sh.releaseRecord = r
 	case describer.KeyClaimed:
-		if _, ok := h.book.keys[r.Key]; !ok {
-			h.book.keys[r.Key] = key{owner: r.Owner, time: r.Time}
+		if _, ok := sh.view.keys[r.Key]; !ok {
+			sh.view.keys[r.Key] = claimedKey{owner: r.Owner, time: r.Time}
 		}
 	default:
-		if t := h.book.task(r.Task); t != nil {
-			h.applyTask(t, r)
+		if t := sh.view.task(r.Task); t != nil {
+			sh.applyTaskRecord(t, r)
 		}
 	}
 }
 
-func (h *shard) applyJob(r describer.Record) {
-	if r.Job == nil || h.book.jobs[r.Job.ID] != nil {
+func (sh *shard) applyJobAccepted(r describer.Record) {
+	if r.Job == nil || sh.view.jobs[r.Job.ID] != nil {
 		return
 	}
-	h.book.order++
-	j := &job{Job: r.Job, order: h.book.order}
+	sh.view.lastSeq++
+	j := &job{Job: r.Job, seq: sh.view.lastSeq}
 	j.tasks = make([]task, r.Job.Tasks)
-	h.book.jobs[r.Job.ID] = j
+	sh.view.jobs[r.Job.ID] = j
 	for i := range j.tasks {
 		j.tasks[i].job = j
 		j.tasks[i].index = int32(i)
-		h.enter(&j.tasks[i])
+		sh.addToIndexes(&j.tasks[i])
 	}
 }
 
 // applyCancel ends what is pending. A started task stays so until its run is
 // known to be over.
-func (h *shard) applyCancel(r describer.Record) {
-	j := h.book.jobs[r.JobID]
+func (sh *shard) applyJobCancelled(r describer.Record) {
+	j := sh.view.jobs[r.JobID]
 	if j == nil || j.cancelled || j.isOver() {
 		return
 	}
@@ -97,21 +97,21 @@
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		if t.state == describer.Pending {
-			h.move(t, r.Time, func() { t.state = describer.Cancelled })
+			sh.transition(t, r.Time, func() { t.state = describer.Cancelled })
 		}
 	}
 }
 
-func (h *shard) applyTask(t *task, r describer.Record) {
+func (sh *shard) applyTaskRecord(t *task, r describer.Record) {
 	if r.Kind == describer.TaskStarted {
 		if t.state == describer.Pending {
-			h.move(t, r.Time, func() { t.start(r) })
+			sh.transition(t, r.Time, func() { t.applyStart(r) })
 		}
 		return
 	}
 	if r.Kind == describer.TaskSetAside {
 		if t.state == describer.Pending {
-			h.move(t, r.Time, func() { t.state, t.reason = describer.Failed, r.Reason })
+			sh.transition(t, r.Time, func() { t.state, t.reason = describer.Failed, r.Reason })
 		}
 		return
 	}
@@ -119,8 +119,8 @@
 		return
 	}
 	if t.state == describer.Pending && r.Kind == describer.TaskFinished {
-		h.move(t, r.Time, func() { t.finish(r) })
-		h.book.done++
+		sh.transition(t, r.Time, func() { t.applyFinish(r) })
+		sh.view.finished++
 		return
 	}
 	if t.state != describer.Started {
@@ -128,57 +128,57 @@
 	}
 	switch r.Kind {
 	case describer.TaskResized:
-		h.applyResize(t, r.Granted)
+		sh.applyResize(t, r.Granted)
 	case describer.TaskReleased:
 		before := t.evictions
-		h.move(t, r.Time, func() { t.release(r) })
-		h.book.evicted += int64(t.evictions - before)
+		sh.transition(t, r.Time, func() { t.applyRelease(r) })
+		sh.view.evictions += int64(t.evictions - before)
 	case describer.TaskFailed:
-		h.move(t, r.Time, func() { t.fail(r) })
+		sh.transition(t, r.Time, func() { t.applyFailure(r) })
 	case describer.TaskFinished:
-		h.move(t, r.Time, func() { t.finish(r) })
-		h.book.done++
+		sh.transition(t, r.Time, func() { t.applyFinish(r) })
+		sh.view.finished++
 	}
 }
 
 // move changes a task and keeps all indexes in step.
-func (h *shard) move(t *task, at time.Time, change func()) {
-	h.leave(t)
+func (sh *shard) transition(t *task, at time.Time, change func()) {
+	sh.removeFromIndexes(t)
 	change()
-	h.enter(t)
+	sh.addToIndexes(t)
 	if t.job.isOver() {
-		t.job.ended = at
+		t.job.endedAt = at
 	}
 }
 
-func (h *shard) leave(t *task) {
+func (sh *shard) removeFromIndexes(t *task) {
 	t.job.counts[t.state]--
 	switch t.state {
 	case describer.Pending:
-		h.unqueue(t)
-		h.owe(t, -1)
+		sh.dequeue(t)
+		sh.countDrained(t, -1)
 	case describer.Started:
-		h.unhold(t)
+		sh.removeRun(t)
 	}
 }
 
-func (h *shard) enter(t *task) {
+func (sh *shard) addToIndexes(t *task) {
 	t.job.counts[t.state]++
 	switch t.state {
 	case describer.Pending:
-		h.queue(t)
-		h.owe(t, +1)
+		sh.enqueue(t)
+		sh.countDrained(t, +1)
 	case describer.Started:
-		h.hold(t)
+		sh.addRun(t)
 	}
 }
 
-func (h *shard) owe(t *task, by int) {
+func (sh *shard) countDrained(t *task, by int) {
 	if t.drainedOff == "" {
 		return
 	}
-	h.book.owed[t.drainedOff] += by
-	if h.book.owed[t.drainedOff] == 0 {
-		delete(h.book.owed, t.drainedOff)
+	sh.view.drainedPending[t.drainedOff] += by
+	if sh.view.drainedPending[t.drainedOff] == 0 {
+		delete(sh.view.drainedPending, t.drainedOff)
 	}
 }
--- a/internal/control/reducer/bounds_test.go
+++ b/internal/control/reducer/bounds_test.go
@@ -25,15 +25,15 @@
 	if n := testing.AllocsPerRun(100, func() { s.Reduce(Tick{Now: s.now}) }); n > 0 {
 		t.Errorf("a tick at which nothing is due allocates %v times", n)
 	}
-	h := s.order[0]
-	w := h.order[0]
-	h.sync(w)
+	sh := s.sortedShards[0]
+	w := sh.sortedWorkers[0]
+	sh.sendSync(w)
 	var answer Event = inventoryOf(s, s.effects[len(s.effects)-1].(SyncWorker))
 	s.Reduce(answer)
 	n := testing.AllocsPerRun(100, func() {
-		w.due = time.Time{}
+		w.nextSyncAt = time.Time{}
 		s.effects = nil
-		h.sync(w)
+		sh.sendSync(w)
 		s.Reduce(answer)
 	})
 	if n > maxSyncAllocs {
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -38,7 +38,7 @@
 		d := newDesk("w1")
 		d.do(StoreChecked{Reachable: true})
 		d.Reduce(Tick{Now: d.now})
-		d.shards["bne-1"].phase = releasing // nothing is placed until all are queued
+		d.shards["bne-1"].ownership = releasing // nothing is placed until all are queued
 		h := d.shards["bne-1"]
 		queue := func(id, team string, change func(*describer.Job)) {
 			j := testJob(id, 1)
@@ -51,7 +51,7 @@
 		queue("other", "tourism", func(*describer.Job) {})
 		queue("soon", "council", func(j *describer.Job) { j.Deadline = d.now.Add(time.Minute) })
 		queue("urgent", "council", func(j *describer.Job) { j.Priority = describer.Urgent })
-		h.phase = owning
+		h.ownership = owning
 		d.do(Tick{Now: d.now.Add(time.Second)})
 		var order []string
 		for _, r := range d.durable() {
@@ -232,7 +232,7 @@
 		run.Token.Sequence += 7
 		h := d.shards["bne-1"]
 		h.apply(describer.Record{Kind: describer.TaskFinished, Task: run.Task, Token: run.Token})
-		Expect(h.book.task(run.Task).state).To(Equal(describer.Started))
+		Expect(h.view.task(run.Task).state).To(Equal(describer.Started))
 	})
 })
 
@@ -259,10 +259,10 @@
 		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
 		d.do(KeyClaimRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
 		records := d.durable()
-		d.snapshotLeast = 0
+		d.minSnapshotRecords = 0
 		h := d.shards["bne-1"]
-		h.journal.sinceSnapshot = 1000
-		h.maySnapshot()
+		h.journal.recordsSinceSnapshot = 1000
+		h.maybeSnapshot()
 		d.effects = append(d.effects, d.State.effects...)
 		saved := taken[SaveSnapshot](d)[0]
 
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -11,23 +11,23 @@
 
 // Times of drains.
 const (
-	goneAfter    = 10 * time.Minute // missing in the host list, a worker can't be restored
-	proposeAgain = 5 * time.Second  // until the configuration shows a proposal
+	missingLimit     = 10 * time.Minute // missing in the host list, a worker can't be restored
+	proposalInterval = 5 * time.Second  // until the configuration shows a proposal
 )
 
 // drain is the obligation that concerns one worker.
-type drain struct {
+type workerDrain struct {
 	id    string
 	state describer.DrainState
 }
 
 // indexDrains lists the workers that still owe or are owed something.
 func (s *State) indexDrains() {
-	s.drains = make(map[string]drain)
+	s.drains = make(map[string]workerDrain)
 	for _, d := range s.config.Drains {
 		for _, name := range d.Workers {
 			if !slices.Contains(d.Restored, name) {
-				s.drains[name] = drain{id: d.ID, state: d.State}
+				s.drains[name] = workerDrain{id: d.ID, state: d.State}
 			}
 		}
 	}
@@ -36,28 +36,28 @@
 // reviewDrains advances drains and restores. Everything that it does is
 // repeated until the configuration shows that it is fulfilled, so it doesn't
 // matter who began it.
-func (s *State) reviewDrains() {
-	if len(s.drains) == 0 || !s.reached {
+func (s *State) advanceDrains() {
+	if len(s.drains) == 0 || !s.storeReachable {
 		return
 	}
-	s.beginRestores()
+	s.proposeRestores()
 	for _, name := range sortedKeys(s.drains) {
-		for _, h := range s.order {
-			if w := h.workers[name]; w != nil && h.isDeciding() {
-				h.reviewDrain(w, s.drains[name])
+		for _, sh := range s.sortedShards {
+			if w := sh.workers[name]; w != nil && sh.isWritable() {
+				sh.advanceDrain(w, s.drains[name])
 			}
 		}
 	}
 }
 
 // beginRestores proposes the restore of drains whose time is over.
-func (s *State) beginRestores() {
+func (s *State) proposeRestores() {
 	for _, d := range s.config.Drains {
 		if d.State != describer.Draining || d.Until.IsZero() || d.Until.After(s.now) {
 			continue
 		}
-		for _, h := range s.order {
-			if h.isDeciding() && h.book != nil && h.hasAny(d.Workers) && h.mayPropose(d.ID) {
+		for _, sh := range s.sortedShards {
+			if sh.isWritable() && sh.view != nil && sh.hasAnyWorker(d.Workers) && sh.mayPropose(d.ID) {
 				s.emit(ProposeDrainUpdate{Drain: d.ID})
 				break
 			}
@@ -65,79 +65,79 @@
 	}
 }
 
-func (h *shard) hasAny(workers []string) bool {
-	return slices.ContainsFunc(workers, func(name string) bool { return h.workers[name] != nil })
+func (sh *shard) hasAnyWorker(workers []string) bool {
+	return slices.ContainsFunc(workers, func(name string) bool { return sh.workers[name] != nil })
 }
 
 // mayPropose limits how often the same proposal is made.
-func (h *shard) mayPropose(what string) bool {
-	if at, ok := h.proposed[what]; ok && h.state.now.Sub(at) < proposeAgain {
+func (sh *shard) mayPropose(what string) bool {
+	if at, ok := sh.proposedAt[what]; ok && sh.state.now.Sub(at) < proposalInterval {
 		return false
 	}
-	h.proposed[what] = h.state.now
+	sh.proposedAt[what] = sh.state.now
 	return true
 }
 
-func (h *shard) reviewDrain(w *worker, d drain) {
+func (sh *shard) advanceDrain(w *worker, d workerDrain) {
 	if d.state == describer.Draining {
-		h.drainOff(w)
+		sh.stopDrainedRuns(w)
 		return
 	}
-	h.restoreTo(w, d)
+	sh.advanceRestore(w, d)
 }
 
 // drainOff stops the worker's runs with a checkpoint, a few at a time.
-func (h *shard) drainOff(w *worker) {
-	w.restore = restorer.State{}
-	w.held = ""
-	h.refresh(w)
+func (sh *shard) stopDrainedRuns(w *worker) {
+	w.restoreState = restorer.State{}
+	w.restoreHold = ""
+	sh.updateClosed(w)
 	for _, t := range slices.Clone(w.runs) {
-		if w.stops >= maxStops {
+		if w.pendingStops >= maxStops {
 			return
 		}
 		if t.stop == nil {
-			h.end(t, stopping{reason: "drained", checkpoint: true, drainedOff: w.name})
+			sh.stopRun(t, stopRequest{reason: "drained", checkpoint: true, drainedOff: w.name})
 		}
 	}
 }
 
 // restoreTo lets work back on the worker step by step, and records the end of
 // the obligation once no drained task of it waits for a place.
-func (h *shard) restoreTo(w *worker, d drain) {
-	if h.book.restored[w.name] == d.id {
-		h.limit(w, false, 0)
-		h.propose(w.name)
+func (sh *shard) advanceRestore(w *worker, d workerDrain) {
+	if sh.view.restored[w.name] == d.id {
+		sh.setBatchLimit(w, false, 0)
+		sh.proposeRestored(w.name)
 		return
 	}
-	owed := h.book.owed[w.name]
+	owed := sh.view.drainedPending[w.name]
 	decision := restorer.Decide(restorer.Input{
-		Now:      h.state.now,
+		Now:      sh.state.now,
 		Worker:   w.account,
-		Services: h.state.services,
+		Services: sh.state.services,
 		Owed:     owed,
-		Gone:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
-		State:    &w.restore,
-		Options:  h.state.policies.Restoration,
+		Gone:     !w.listed && sh.state.now.Sub(w.missingSince) >= missingLimit,
+		State:    &w.restoreState,
+		Options:  sh.state.policies.Restoration,
 	})
-	w.held = decision.Held
-	h.limit(w, !decision.Done, decision.Limit)
-	h.refresh(w)
+	w.restoreHold = decision.Held
+	sh.setBatchLimit(w, !decision.Done, decision.Limit)
+	sh.updateClosed(w)
 	if !decision.Done {
 		return
 	}
 	if owed > 0 && w.listed {
-		w.held = fmt.Sprintf("%d drained tasks wait for a place", owed)
+		w.restoreHold = fmt.Sprintf("%d drained tasks wait for a place", owed)
 		return
 	}
-	w.batch = h.journal.next()
-	h.append(describer.Record{Kind: describer.DrainRestored, Worker: w.name, Key: d.id})
-	h.journal.then(consequence{trust: w.name})
+	w.restoredBatch = sh.journal.nextBatch()
+	sh.appendRecord(describer.Record{Kind: describer.DrainRestored, Worker: w.name, Key: d.id})
+	sh.journal.whenDurable(followUp{restoredWorker: w.name})
 }
 
 // limit bounds what batch tasks may hold on the worker.
-func (h *shard) limit(w *worker, on bool, cpu int64) {
+func (sh *shard) setBatchLimit(w *worker, on bool, cpu int64) {
 	if w.account.Limited != on || w.account.Limit != cpu {
-		h.idle = false
+		sh.placementIdle = false
 	}
 	w.account.Limited = on
 	w.account.Limit = cpu
@@ -145,12 +145,12 @@
 
 // propose asks for the configuration to show that the worker has its work
 // back.
-func (h *shard) propose(name string) {
-	d, ok := h.state.drains[name]
-	if w := h.workers[name]; w == nil || !h.journal.isDurable(w.batch) {
+func (sh *shard) proposeRestored(name string) {
+	d, ok := sh.state.drains[name]
+	if w := sh.workers[name]; w == nil || !sh.journal.isDurable(w.restoredBatch) {
 		return
 	}
-	if ok && d.state == describer.Restoring && h.book.restored[name] == d.id && h.mayPropose(name) {
-		h.state.emit(ProposeDrainUpdate{Drain: d.id, Worker: name})
+	if ok && d.state == describer.Restoring && sh.view.restored[name] == d.id && sh.mayPropose(name) {
+		sh.state.emit(ProposeDrainUpdate{Drain: d.id, Worker: name})
 	}
 }
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -90,48 +90,48 @@
 	Worker string
 }
 
-func (ClaimShard) effect()        {}
-func (ReleaseShard) effect()      {}
+func (ClaimShard) effect()          {}
+func (ReleaseShard) effect()        {}
 func (AppendRecords) effect()       {}
-func (SaveSnapshot) effect() {}
-func (StartTask) effect()    {}
-func (StopTask) effect()     {}
-func (ThrottleTask) effect() {}
-func (SyncWorker) effect()   {}
-func (Reply) effect()        {}
-func (PublishRoutingTable) effect()      {}
-func (ProposeDrainUpdate) effect()      {}
+func (SaveSnapshot) effect()        {}
+func (StartTask) effect()           {}
+func (StopTask) effect()            {}
+func (ThrottleTask) effect()        {}
+func (SyncWorker) effect()          {}
+func (Reply) effect()               {}
+func (PublishRoutingTable) effect() {}
+func (ProposeDrainUpdate) effect()  {}
 
 // Status reports on the shards that a daemon owns.
 type Status struct {
-	Daemon   string         `json:"daemon"`
-	Revision int64          `json:"revision"`
-	Ready    bool           `json:"ready"`
-	StoreReachable    bool           `json:"store"` // reached by the last call
-	Shards   []ShardStatus  `json:"shards"`
-	Workers  []WorkerStatus `json:"workers,omitempty"`
+	Daemon         string         `json:"daemon"`
+	Revision       int64          `json:"revision"`
+	Ready          bool           `json:"ready"`
+	StoreReachable bool           `json:"store"` // reached by the last call
+	Shards         []ShardStatus  `json:"shards"`
+	Workers        []WorkerStatus `json:"workers,omitempty"`
 }
 
 // ShardStatus is one owned shard in short.
 type ShardStatus struct {
-	Shard   string `json:"shard"`
-	Epoch   int64  `json:"epoch"`
-	Phase   string `json:"phase"`
-	Workers int    `json:"workers"`
-	Pending int    `json:"pending"`
-	Started int    `json:"started"`
-	Done    int    `json:"done"`
+	Shard     string `json:"shard"`
+	Epoch     int64  `json:"epoch"`
+	Phase     string `json:"phase"`
+	Workers   int    `json:"workers"`
+	Pending   int    `json:"pending"`
+	Started   int    `json:"started"`
+	Done      int    `json:"done"`
 	Evictions int64  `json:"evicted"`
 }
 
 // WorkerStatus is one worker of an owned shard.
 type WorkerStatus struct {
-	Worker   string              `json:"worker"`
-	Capacity describer.Resources `json:"capacity"`
-	Granted  describer.Resources `json:"granted"`
-	Tasks    int                 `json:"tasks"`
-	ClosedReason    string              `json:"aside,omitempty"` // why no task is placed here
-	Drain    string              `json:"drain,omitempty"` // id and state of its drain
-	RestoreHold     string              `json:"held,omitempty"`  // what still holds its restore back
-	Interference      []string            `json:"why,omitempty"`   // interference estimates
+	Worker       string              `json:"worker"`
+	Capacity     describer.Resources `json:"capacity"`
+	Granted      describer.Resources `json:"granted"`
+	Tasks        int                 `json:"tasks"`
+	ClosedReason string              `json:"aside,omitempty"` // why no task is placed here
+	Drain        string              `json:"drain,omitempty"` // id and state of its drain
+	RestoreHold  string              `json:"held,omitempty"`  // what still holds its restore back
+	Interference []string            `json:"why,omitempty"`   // interference estimates
 }
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -113,7 +113,7 @@
 	Shard  string
 	Epoch  int64
 	Worker string
-	SentAt   time.Time // when the call began; leases run from here
+	SentAt time.Time // when the call began; leases run from here
 	Synced runner.Synced
 }
 
@@ -158,43 +158,43 @@
 // StopRequested begins a planned stop: no claims, shards are released.
 type StopRequested struct{}
 
-func (Tick) event()            {}
-func (ConfigurationReceived) event()      {}
-func (HostsReceived) event()     {}
-func (PeersChanged) event()    {}
-func (StoreChecked) event()    {}
-func (ShardClaimed) event()    {}
-func (ClaimFailed) event()     {}
-func (ShardLost) event()       {}
-func (RecordsAppended) event()        {}
+func (Tick) event()                  {}
+func (ConfigurationReceived) event() {}
+func (HostsReceived) event()         {}
+func (PeersChanged) event()          {}
+func (StoreChecked) event()          {}
+func (ShardClaimed) event()          {}
+func (ClaimFailed) event()           {}
+func (ShardLost) event()             {}
+func (RecordsAppended) event()       {}
 func (SubmitRequested) event()       {}
 func (CancelRequested) event()       {}
-func (JobStatusRequested) event()        {}
-func (KeyClaimRequested) event()    {}
-func (PlanRequested) event()   {}
-func (StatusRequested) event() {}
-func (WorkerSynced) event()    {}
-func (WorkerSyncFailed) event()    {}
-func (StartAnswered) event()   {}
-func (StopAnswered) event()    {}
-func (DrainUpdateAnswered) event()        {}
-func (StopRequested) event()   {}
+func (JobStatusRequested) event()    {}
+func (KeyClaimRequested) event()     {}
+func (PlanRequested) event()         {}
+func (StatusRequested) event()       {}
+func (WorkerSynced) event()          {}
+func (WorkerSyncFailed) event()      {}
+func (StartAnswered) event()         {}
+func (StopAnswered) event()          {}
+func (DrainUpdateAnswered) event()   {}
+func (StopRequested) event()         {}
 
 // RequestID ties a Reply to the event that asked for it; 0 wants no reply.
 type RequestID uint64
 
 // JobStatus is the Reply to Submitted, Cancelled and Inquired.
 type JobStatus struct {
-	Job     string            `json:"job"`
-	Shard   string            `json:"shard"`
-	State   string            `json:"state"` // accepted, running, done, cancelled, failed
-	Pending int               `json:"pending"`
-	Started int               `json:"started"`
-	Done    int               `json:"done"`
-	Failed  int               `json:"failed"`
-	MayHaveRun     bool              `json:"ran"` // some task may have run
-	Reason  string            `json:"reason,omitempty"`
-	Results []json.RawMessage `json:"results,omitempty"` // by task index, once done
+	Job        string            `json:"job"`
+	Shard      string            `json:"shard"`
+	State      string            `json:"state"` // accepted, running, done, cancelled, failed
+	Pending    int               `json:"pending"`
+	Started    int               `json:"started"`
+	Done       int               `json:"done"`
+	Failed     int               `json:"failed"`
+	MayHaveRun bool              `json:"ran"` // some task may have run
+	Reason     string            `json:"reason,omitempty"`
+	Results    []json.RawMessage `json:"results,omitempty"` // by task index, once done
 }
 
 // KeyClaim is the Reply to KeyRequested.
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -189,7 +189,7 @@
 	for _, f := range m.finished {
 		out.Finished = append(out.Finished, f)
 	}
-	slices.SortFunc(out.Finished, func(a, b runner.Finished) int { return compareText(a.Task.String(), b.Task.String()) })
+	slices.SortFunc(out.Finished, func(a, b runner.Finished) int { return compareStrings(a.Task.String(), b.Task.String()) })
 	return out, ""
 }
 
@@ -198,6 +198,6 @@
 	for id := range m {
 		out = append(out, id)
 	}
-	slices.SortFunc(out, func(a, b describer.TaskID) int { return compareText(a.String(), b.String()) })
+	slices.SortFunc(out, func(a, b describer.TaskID) int { return compareStrings(a.String(), b.String()) })
 	return out
 }
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -10,49 +10,49 @@
 
 // Bounds on changes of grants.
 const (
-	resizeInterval = 15 * time.Second // between changes on one worker
-	maxResizes     = 4                // at once on one worker
-	maxGrowth      = 4                // times the declared processors
+	resizeInterval  = 15 * time.Second // between changes on one worker
+	maxResizes      = 4                // at once on one worker
+	maxGrowthFactor = 4                // times the declared processors
 )
 
 // adaptGrants lets grants follow measured use. A run is resized only when the
 // inventory shows the booked grant in force, so no older change is on its way.
-func (h *shard) adaptGrants(w *worker, running []runner.Running) {
-	if h.state.now.Sub(w.resized) < resizeInterval {
+func (sh *shard) adaptGrants(w *worker, running []runner.Running) {
+	if sh.state.now.Sub(w.resizedAt) < resizeInterval {
 		return
 	}
 	changes := 0
 	for i := range running {
-		t := h.book.task(running[i].Task)
-		if changes == maxResizes || !isRun(t, w, running[i].Run) {
+		t := sh.view.task(running[i].Task)
+		if changes == maxResizes || !isCurrentRun(t, w, running[i].Run) {
 			continue
 		}
-		if t.shrinkTo == 0 && t.stop == nil && running[i].Granted.CPU == t.granted.CPU && h.adapt(t, w, &running[i]) {
+		if t.shrinkTo == 0 && t.stop == nil && running[i].Granted.CPU == t.granted.CPU && sh.adaptGrant(t, w, &running[i]) {
 			changes++
-			w.resized = h.state.now
+			w.resizedAt = sh.state.now
 		}
 	}
 }
 
 // adapt resizes one run by its use. Growth leaves room to tasks that wait.
-func (h *shard) adapt(t *task, w *worker, r *runner.Running) bool {
+func (sh *shard) adaptGrant(t *task, w *worker, r *runner.Running) bool {
 	if t.job.Kind != describer.Batch {
 		return false
 	}
 	to := placer.Resize(w.account.Grants[r.Task], w.account.Room()).CPU
 	switch {
 	case to < t.granted.CPU:
-		h.shrink(t, to)
+		sh.shrink(t, to)
 		return true
-	case to > t.granted.CPU && h.isQueueEmpty():
-		to = min(to, maxGrowth*t.job.Declared.CPU)
-		return h.mayGrow(t, w, to) && h.grow(t, to)
+	case to > t.granted.CPU && sh.isQueueEmpty():
+		to = min(to, maxGrowthFactor*t.job.Declared.CPU)
+		return sh.mayGrow(t, w, to) && sh.grow(t, to)
 	}
 	return false
 }
 
-func (h *shard) isQueueEmpty() bool {
-	for _, t := range h.teams {
+func (sh *shard) isQueueEmpty() bool {
+	for _, t := range sh.teams {
 		if t.pending.Len() > 0 {
 			return false
 		}
@@ -61,32 +61,32 @@
 }
 
 // grow books a greater grant first and tells the worker once that is durable.
-func (h *shard) grow(t *task, cpu int64) bool {
-	w := h.worker(t.worker)
+func (sh *shard) grow(t *task, cpu int64) bool {
+	w := sh.ensureWorker(t.worker)
 	more := cpu - t.granted.CPU
 	if more <= 0 || more > w.account.Free().CPU || t.shrinkTo != 0 {
 		return false
 	}
-	h.resize(t, cpu)
-	h.journal.then(consequence{grown: t, token: t.token})
+	sh.recordResize(t, cpu)
+	sh.journal.whenDurable(followUp{grown: t, token: t.token})
 	return true
 }
 
 // shrink tells the worker first and books the smaller grant once an inventory
 // shows it in force.
-func (h *shard) shrink(t *task, cpu int64) {
+func (sh *shard) shrink(t *task, cpu int64) {
 	if cpu <= 0 || cpu >= t.granted.CPU || t.shrinkTo > 0 && cpu >= t.shrinkTo {
 		return
 	}
 	t.shrinkTo = cpu
-	t.shrinkFrom = h.sequence + 1
-	h.throttle(t, cpu)
+	t.shrinkSequence = sh.lastSequence + 1
+	sh.sendThrottle(t, cpu)
 }
 
-func (h *shard) resize(t *task, cpu int64) {
+func (sh *shard) recordResize(t *task, cpu int64) {
 	granted := t.granted
 	granted.CPU = cpu
-	h.append(describer.Record{
+	sh.appendRecord(describer.Record{
 		Kind: describer.TaskResized, Task: t.id(), Token: t.token, Granted: granted,
 	})
 }
@@ -95,37 +95,37 @@
 // what was not carried out. A smaller grant is booked only when the worker has
 // taken the throttle itself: a low grant may be older than a growth that is
 // still on its way.
-func (h *shard) settleGrant(t *task, r *runner.Running) {
+func (sh *shard) reconcileGrant(t *task, r *runner.Running) {
 	switch {
-	case t.shrinkTo > 0 && r.Order.Epoch == h.epoch && r.Order.Sequence >= t.shrinkFrom:
+	case t.shrinkTo > 0 && r.Order.Epoch == sh.epoch && r.Order.Sequence >= t.shrinkSequence:
 		t.shrinkTo = 0
-		h.resize(t, r.Granted.CPU)
-		h.idle = false
+		sh.recordResize(t, r.Granted.CPU)
+		sh.placementIdle = false
 	case t.shrinkTo > 0:
-		h.throttle(t, t.shrinkTo)
-	case r.Granted.CPU < t.granted.CPU && h.journal.isDurable(t.batch):
-		h.throttle(t, t.granted.CPU)
+		sh.sendThrottle(t, t.shrinkTo)
+	case r.Granted.CPU < t.granted.CPU && sh.journal.isDurable(t.lastBatch):
+		sh.sendThrottle(t, t.granted.CPU)
 	}
 }
 
-func (h *shard) throttle(t *task, cpu int64) {
-	w := h.worker(t.worker)
-	if w.account.Host.Control == "" || h.phase != owning {
+func (sh *shard) sendThrottle(t *task, cpu int64) {
+	w := sh.ensureWorker(t.worker)
+	if w.account.Host.Control == "" || sh.ownership != owning {
 		return
 	}
-	h.sequence++
-	h.state.emit(ThrottleTask{
+	sh.lastSequence++
+	sh.state.emit(ThrottleTask{
 		Worker:  w.name,
 		Address: w.account.Host.Control,
 		Throttle: runner.Throttle{
-			Epoch: h.epoch, Sequence: h.sequence, Task: t.id(), Token: t.token, CPU: cpu,
+			Epoch: sh.epoch, Sequence: sh.lastSequence, Task: t.id(), Token: t.token, CPU: cpu,
 		},
 	})
 }
 
 // applyResize changes the accounts in place; a run keeps its slot.
-func (h *shard) applyResize(t *task, to describer.Resources) {
-	w := h.worker(t.worker)
+func (sh *shard) applyResize(t *task, to describer.Resources) {
+	w := sh.ensureWorker(t.worker)
 	id := t.id()
 	if w.account.Resize(id, t.token, to) != nil {
 		// In replay the worker's capacity may not be known yet.
@@ -134,8 +134,8 @@
 		g.Resources = to
 		w.account.Adopt(id, g)
 	}
-	team := h.team(t.job.Team)
+	team := sh.ensureTeam(t.job.Team)
 	team.used = team.used.Add(to.Sub(t.granted))
 	t.granted = to
-	h.noteShares(w)
+	sh.recordShares(w)
 }
--- a/internal/control/reducer/key.go
+++ b/internal/control/reducer/key.go
@@ -7,16 +7,16 @@
 // claimKey records that a non-idempotent request is about to be sent. Only
 // the first claim of a key is fresh, and only once it is durable.
 func (s *State) claimKey(e KeyClaimRequested) {
-	h := s.shards[e.Shard]
-	if h != nil && h.book != nil && h.phase == owning {
-		if first, ok := h.book.keys[e.Key]; ok {
-			h.journal.then(consequence{request: e.Request, key: &KeyClaim{Owner: first.owner}})
+	sh := s.shards[e.Shard]
+	if sh != nil && sh.view != nil && sh.ownership == owning {
+		if first, ok := sh.view.keys[e.Key]; ok {
+			sh.journal.whenDurable(followUp{request: e.Request, key: &KeyClaim{Owner: first.owner}})
 			return
 		}
 	}
-	if h = s.deciding(e.Request, e.Shard); h == nil {
+	if sh = s.writableShard(e.Request, e.Shard); sh == nil {
 		return
 	}
-	h.append(describer.Record{Kind: describer.KeyClaimed, Key: e.Key, Owner: e.Owner})
-	h.journal.then(consequence{request: e.Request, key: &KeyClaim{First: true, Owner: e.Owner}})
+	sh.appendRecord(describer.Record{Kind: describer.KeyClaimed, Key: e.Key, Owner: e.Owner})
+	sh.journal.whenDurable(followUp{request: e.Request, key: &KeyClaim{First: true, Owner: e.Owner}})
 }
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -259,14 +259,14 @@
 func (w *world) explain(id describer.TaskID) string {
 	out := "no owner knows it"
 	for _, n := range w.nodes {
-		for _, h := range n.state.order {
-			if h.book == nil {
+		for _, sh := range n.state.sortedShards {
+			if sh.view == nil {
 				continue
 			}
-			if t := h.book.task(id); t != nil {
-				out = n.name + " " + h.id + " " + h.phase.String() + ": " + t.state.String() + " " + t.worker + " " + t.policy + " " + t.reason
-				for _, worker := range h.order {
-					out += fmt.Sprintf("; %s has %v, %s", worker.name, worker.account.Free(), h.closedBy(worker))
+			if t := sh.view.task(id); t != nil {
+				out = n.name + " " + sh.id + " " + sh.ownership.String() + ": " + t.state.String() + " " + t.worker + " " + t.pendingReason + " " + t.reason
+				for _, worker := range sh.sortedWorkers {
+					out += fmt.Sprintf("; %s has %v, %s", worker.name, worker.account.Free(), sh.closedReason(worker))
 				}
 			}
 		}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -30,7 +30,7 @@
 	o.Daemon, o.TaskLease, o.LeaseMargin = n.name, 10*time.Second, 3*time.Second
 	o.SyncInterval, o.OutageLimit = 2*time.Second, 40*time.Second
 	n.state = New(o, Policies{Placement: placer.FirstFit{}})
-	n.state.snapshotLeast = 15
+	n.state.minSnapshotRecords = 15
 	n.life++
 	n.alive, n.paused, n.inbox = true, false, nil
 	n.owns, n.appends = make(map[string]int64), make(map[string][]AppendRecords)
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -13,12 +13,12 @@
 // Times of ownership.
 const (
 	reviewInterval = time.Second
-	claimRetry     = 2 * time.Second  // after a failed claim, doubled each time
-	claimRetryMost = 30 * time.Second // upper bound of the same
+	minClaimRetry  = 2 * time.Second  // after a failed claim, doubled each time
+	maxClaimRetry  = 30 * time.Second // upper bound of the same
 	settleTime     = 10 * time.Second // of stable membership before a shard is handed over
 	rankDelay      = 10 * time.Second // the n-th daemon of a shard's ranking claims it after n times this
-	doubtDelay     = 30 * time.Second // between claims of a shard that a live peer says it owns
-	tenureMost     = time.Hour        // of a shard that nobody takes over, before it is offered again
+	heldClaimDelay = 30 * time.Second // between claims of a shard that a live peer says it owns
+	maxTenure      = time.Hour        // of a shard that nobody takes over, before it is offered again
 	handOverPause  = 30 * time.Second // before a shard that was handed over is claimed again
 )
 
@@ -30,7 +30,7 @@
 	seed := xxhash.Sum64String(job)
 	for i := range c.Shards {
 		id := c.Shards[i].ID
-		weight := mix(seed, xxhash.Sum64String(id))
+		weight := mixHashes(seed, xxhash.Sum64String(id))
 		if best == "" || weight > most || weight == most && id < best {
 			best, most = id, weight
 		}
@@ -39,7 +39,7 @@
 }
 
 // mix combines two hashes into one (the finaliser of splitmix64).
-func mix(a, b uint64) uint64 {
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -50,49 +50,49 @@
 
 // arrangeShards follows the configuration's shards of the own failure domain.
 // An owned shard that was removed is handed over.
-func (s *State) arrangeShards() {
+func (s *State) updateShards() {
 	found := make(map[string]bool)
 	for _, c := range s.config.Shards {
 		if c.Domain != s.options.Domain {
 			continue
 		}
 		found[c.ID] = true
-		h := s.shards[c.ID]
-		if h == nil {
-			h = &shard{state: s, id: c.ID, freeAt: s.now, tenure: settleTime}
-			s.shards[c.ID] = h
+		sh := s.shards[c.ID]
+		if sh == nil {
+			sh = &shard{state: s, id: c.ID, freeSince: s.now, minTenure: settleTime}
+			s.shards[c.ID] = sh
 		}
-		h.config = c
+		sh.config = c
 	}
-	for id, h := range s.shards {
+	for id, sh := range s.shards {
 		if found[id] {
 			continue
 		}
-		switch h.phase {
-		case foreign:
+		switch sh.ownership {
+		case notOwned:
 			delete(s.shards, id)
 		case owning:
-			h.phase = releasing
+			sh.ownership = releasing
 		}
 	}
-	s.order = s.order[:0]
-	for _, h := range s.shards {
-		s.order = append(s.order, h)
+	s.sortedShards = s.sortedShards[:0]
+	for _, sh := range s.shards {
+		s.sortedShards = append(s.sortedShards, sh)
 	}
-	slices.SortFunc(s.order, func(a, b *shard) int { return compareText(a.id, b.id) })
+	slices.SortFunc(s.sortedShards, func(a, b *shard) int { return compareStrings(a.id, b.id) })
 	s.reviewOwnership()
 }
 
-func (s *State) changePeers(alive []Peer) {
+func (s *State) updatePeers(alive []Peer) {
 	alive = slices.Clone(alive)
-	slices.SortFunc(alive, func(a, b Peer) int { return compareText(a.Name, b.Name) })
+	slices.SortFunc(alive, func(a, b Peer) int { return compareStrings(a.Name, b.Name) })
 	if !slices.EqualFunc(alive, s.peers, func(a, b Peer) bool {
 		return a.Name == b.Name && a.Domain == b.Domain && a.Leaving == b.Leaving
 	}) {
-		s.settled = s.now
+		s.peersChangedAt = s.now
 	}
 	s.peers = alive
-	s.published = false
+	s.tableUpToDate = false
 	s.reviewOwnership()
 }
 
@@ -100,13 +100,13 @@
 // of them not counted.
 func (s *State) rank(id, without string) int {
 	seed := xxhash.Sum64String(id)
-	mine := mix(seed, xxhash.Sum64String(s.options.Daemon))
+	mine := mixHashes(seed, xxhash.Sum64String(s.options.Daemon))
 	before := 0
 	for _, p := range s.peers {
 		if p.Name == s.options.Daemon || p.Name == without || p.Domain != s.options.Domain || p.Leaving {
 			continue
 		}
-		weight := mix(seed, xxhash.Sum64String(p.Name))
+		weight := mixHashes(seed, xxhash.Sum64String(p.Name))
 		if weight > mine || weight == mine && p.Name < s.options.Daemon {
 			before++
 		}
@@ -115,7 +115,7 @@
 }
 
 // holder returns the live peer that says it owns the shard, or an empty name.
-func (s *State) holder(id string) string {
+func (s *State) peerHolding(id string) string {
 	for _, p := range s.peers {
 		if p.Name != s.options.Daemon && p.Domain == s.options.Domain && slices.Contains(p.Shards, id) {
 			return p.Name
@@ -127,76 +127,76 @@
 // reviewOwnership claims and hands over shards. Views of membership may
 // differ between daemons; the store's lease decides.
 func (s *State) reviewOwnership() {
-	for _, h := range s.order {
-		switch h.phase {
-		case foreign:
-			h.considerClaim()
+	for _, sh := range s.sortedShards {
+		switch sh.ownership {
+		case notOwned:
+			sh.maybeClaim()
 		case owning:
-			h.considerRelease()
+			sh.maybeRelease()
 		}
 	}
 }
 
-func (h *shard) considerClaim() {
-	s := h.state
-	wait := time.Duration(s.rank(h.id, "")) * rankDelay
-	if holder := s.holder(h.id); holder == "" {
-		h.heldAt = time.Time{}
+func (sh *shard) maybeClaim() {
+	s := sh.state
+	wait := time.Duration(s.rank(sh.id, "")) * rankDelay
+	if holder := s.peerHolding(sh.id); holder == "" {
+		sh.heldSince = time.Time{}
 	} else {
 		// It may be cut off from the store and not know that it lost the shard.
-		h.freeAt = time.Time{}
-		if h.heldAt.IsZero() {
-			h.heldAt = s.now
+		sh.freeSince = time.Time{}
+		if sh.heldSince.IsZero() {
+			sh.heldSince = s.now
 		}
-		wait = s.doubt(h, holder)
+		wait = s.heldClaimWait(sh, holder)
 	}
-	if s.stopping || s.now.Before(h.tryAt) || s.now.Sub(h.since()) < wait {
+	if s.stopping || s.now.Before(sh.nextClaimAt) || s.now.Sub(sh.claimWaitSince()) < wait {
 		return
 	}
-	h.phase = claiming
-	s.emit(ClaimShard{Shard: h.id})
+	sh.ownership = claiming
+	s.emit(ClaimShard{Shard: sh.id})
 }
 
 // since returns from when a claim's wait counts.
-func (h *shard) since() time.Time {
-	if !h.heldAt.IsZero() {
-		return h.heldAt
+func (sh *shard) claimWaitSince() time.Time {
+	if !sh.heldSince.IsZero() {
+		return sh.heldSince
 	}
-	if h.freeAt.IsZero() {
-		h.freeAt = h.state.now
+	if sh.freeSince.IsZero() {
+		sh.freeSince = sh.state.now
 	}
-	return h.freeAt
+	return sh.freeSince
 }
 
 // doubt returns how long a daemon waits before it tries to claim a shard that
 // a live peer says it owns.
-func (s *State) doubt(h *shard, holder string) time.Duration {
-	return doubtDelay + time.Duration(s.rank(h.id, holder))*rankDelay
+func (s *State) heldClaimWait(sh *shard, holder string) time.Duration {
+	return heldClaimDelay + time.Duration(s.rank(sh.id, holder))*rankDelay
 }
 
 // considerRelease hands a shard to a better placed daemon once membership
 // has been stable for a while.
-func (h *shard) considerRelease() {
-	s := h.state
+func (sh *shard) maybeRelease() {
+	s := sh.state
 	if s.stopping {
-		h.phase = releasing
+		sh.ownership = releasing
 		return
 	}
-	stable := s.now.Sub(s.settled) >= settleTime && s.now.Sub(h.claimed) >= h.tenure
-	if s.rank(h.id, "") == 0 || !stable || !s.reached || h.isRecovering() || h.isRestoring() {
+	stable := s.now.Sub(s.peersChangedAt) >= settleTime && s.now.Sub(sh.claimedAt) >= sh.minTenure
+	if s.rank(sh.id, "") == 0 || !stable || !s.storeReachable || sh.hasUnsyncedRuns() || sh.hasRestoringWorker() {
 		return
 	}
 	// Whoever is better placed may be cut off from the store. If nobody takes
 	// the shard over and it comes back, it stays longer each time.
-	h.tenure = min(2*max(h.tenure, settleTime), tenureMost)
-	h.phase = releasing
+	sh.minTenure = min(2*max(sh.minTenure, settleTime), maxTenure)
+	sh.ownership = releasing
 }
 
 // isRestoring reports whether a worker is being given its work back. The steps
 // that it has reached are in memory only; a new owner would begin them again.
-func (h *shard) isRestoring() bool {
-	for _, w := range h.order {
-		if h.state.drains[w.name].state == describer.Restoring {
+func (sh *shard) hasRestoringWorker() bool {
+	for _, w := range sh.sortedWorkers {
+		if sh.state.drains[w.name].state == describer.Restoring {
 			return true
 		}
 	}
@@ -205,9 +205,9 @@
 
 // isRecovering reports whether some worker with runs has not been heard yet.
 // A hand-over would begin the wait for it anew.
-func (h *shard) isRecovering() bool {
-	for _, w := range h.order {
-		if !w.heard && len(w.runs) > 0 {
+func (sh *shard) hasUnsyncedRuns() bool {
+	for _, w := range sh.sortedWorkers {
+		if !w.synced && len(w.runs) > 0 {
 			return true
 		}
 	}
@@ -216,84 +216,84 @@
 
 // closeLedger writes the owner's last record. A successor need not wait for
 // this daemon to notice an outage; the leases that it granted are all there is.
-func (h *shard) closeLedger() {
-	if h.closing {
+func (sh *shard) recordRelease() {
+	if sh.releaseRecorded {
 		return
 	}
-	h.closing = true
+	sh.releaseRecorded = true
 	wait := time.Duration(0)
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		if len(w.runs) > 0 {
-			wait = max(wait, w.extent.Sub(h.state.now))
+			wait = max(wait, w.leasesEnd.Sub(sh.state.now))
 		}
 	}
-	h.append(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: h.epoch}, Wait: wait})
+	sh.appendRecord(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: sh.epoch}, Wait: wait})
 }
 
 // handOver emits Release once every decision has been sent to the ledger.
-func (h *shard) handOver() {
-	if h.handing || !h.journal.isSent() {
+func (sh *shard) sendRelease() {
+	if sh.releaseSent || !sh.journal.allSent() {
 		return
 	}
-	h.handing = true
-	h.state.emit(ReleaseShard{Shard: h.id, Epoch: h.epoch})
+	sh.releaseSent = true
+	sh.state.emit(ReleaseShard{Shard: sh.id, Epoch: sh.epoch})
 }
 
-func (s *State) claimFailed(e ClaimFailed) {
-	h := s.shards[e.Shard]
-	if h == nil || h.phase != claiming {
+func (s *State) handleClaimFailed(e ClaimFailed) {
+	sh := s.shards[e.Shard]
+	if sh == nil || sh.ownership != claiming {
 		return
 	}
-	h.phase = foreign
-	wait := min(claimRetry<<min(h.tries, 8), claimRetryMost)
-	h.heldAt = time.Time{}
-	h.tries++
-	h.tryAt = s.now.Add(wait)
+	sh.ownership = notOwned
+	wait := min(minClaimRetry<<min(sh.failedClaims, 8), maxClaimRetry)
+	sh.heldSince = time.Time{}
+	sh.failedClaims++
+	sh.nextClaimAt = s.now.Add(wait)
 }
 
 // claimed replays the ledger. Started tasks keep their grants until an
 // inventory under the new epoch or the lapse of their leases says more.
-func (s *State) claimed(e ShardClaimed) {
-	h := s.shards[e.Shard]
-	if h == nil {
+func (s *State) handleClaimed(e ShardClaimed) {
+	sh := s.shards[e.Shard]
+	if sh == nil {
 		s.emit(ReleaseShard{Shard: e.Shard, Epoch: e.Epoch})
 		return
 	}
-	if h.book != nil {
-		h.lose()
+	if sh.view != nil {
+		sh.dropOwnership()
 	}
-	h.phase = owning
-	h.epoch = e.Epoch
-	h.book = newBook()
-	h.claimed = s.now
-	s.contact = s.now
-	h.sequence = 0
-	h.workers = make(map[string]*worker)
-	h.fleet = &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
-	h.teams = make(map[string]*team)
-	h.journal = journal{shard: h}
-	h.proposed = make(map[string]time.Time)
-	h.idle = false
-	h.passed = s.now
-	h.tries = 0
-	h.arrangeWorkers()
-	h.budget = h.newBudget(s.now)
-	h.released = describer.Record{}
-	if h.restore(e.Snapshot) != nil {
+	sh.ownership = owning
+	sh.epoch = e.Epoch
+	sh.view = newLedgerView()
+	sh.claimedAt = s.now
+	s.storeContactAt = s.now
+	sh.lastSequence = 0
+	sh.workers = make(map[string]*worker)
+	sh.fleet = &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
+	sh.teams = make(map[string]*team)
+	sh.journal = journal{shard: sh}
+	sh.proposedAt = make(map[string]time.Time)
+	sh.placementIdle = false
+	sh.lastPassAt = s.now
+	sh.failedClaims = 0
+	sh.arrangeWorkers()
+	sh.evictionBudget = sh.newEvictionBudget(s.now)
+	sh.releaseRecord = describer.Record{}
+	if sh.restore(e.Snapshot) != nil {
 		// A shard whose past can't be read must not decide anything.
-		h.phase = releasing
+		sh.ownership = releasing
 		return
 	}
 	for _, r := range e.Records {
-		h.apply(r)
+		sh.apply(r)
 	}
-	h.journal.sinceSnapshot = len(e.Records)
-	for _, w := range h.order {
-		w.extent = h.formerExtent()
+	sh.journal.recordsSinceSnapshot = len(e.Records)
+	for _, w := range sh.sortedWorkers {
+		w.leasesEnd = sh.formerLeasesEnd()
 	}
-	for _, w := range slices.Clone(h.order) { // sync may forget one
-		h.refresh(w)
-		h.sync(w)
+	for _, w := range slices.Clone(sh.sortedWorkers) { // sync may forget one
+		sh.updateClosed(w)
+		sh.sendSync(w)
 	}
-	s.published = false
+	s.tableUpToDate = false
 }
--- a/internal/control/reducer/plan.go
+++ b/internal/control/reducer/plan.go
@@ -15,19 +15,19 @@
 
 // plan answers with the steps that an intent takes on the shards owned here.
 // A job is planned by the owner of its shard alone.
-func (s *State) plan(e PlanRequested) {
+func (s *State) replyPlan(e PlanRequested) {
 	fleets := make(map[string]*accountant.Fleet)
 	var pending []placer.Request
-	for _, h := range s.order {
-		if h.book == nil || h.phase != owning || !s.isConcerned(h, e.Intent) {
+	for _, sh := range s.sortedShards {
+		if sh.view == nil || sh.ownership != owning || !s.isAffected(sh, e.Intent) {
 			continue
 		}
-		fleets[h.id] = h.fleet
-		pending = h.waiting(pending)
+		fleets[sh.id] = sh.fleet
+		pending = sh.appendPending(pending)
 	}
 	steps, expected, err := planner.Steps(s.config, e.Intent, fleets, pending, s.now)
 	if err != nil {
-		s.reply(Reply{Request: e.Request, Err: asError(err)})
+		s.reply(Reply{Request: e.Request, Err: toError(err)})
 		return
 	}
 	s.reply(Reply{Request: e.Request, Plan: &describer.Plan{
@@ -40,26 +40,26 @@
 	}})
 }
 
-func (s *State) isConcerned(h *shard, intent describer.Intent) bool {
+func (s *State) isAffected(sh *shard, intent describer.Intent) bool {
 	if intent.Job == nil {
 		return true
 	}
-	_, known := h.book.jobs[intent.Job.ID]
-	return known || HomeShard(&s.config, intent.Job.ID) == h.id
+	_, known := sh.view.jobs[intent.Job.ID]
+	return known || HomeShard(&s.config, intent.Job.ID) == sh.id
 }
 
 // waiting adds the shard's pending tasks, in the order of their teams' names.
-func (h *shard) waiting(out []placer.Request) []placer.Request {
-	for _, name := range sortedKeys(h.teams) {
-		h.teams[name].pending.Ascend(func(t *task) bool {
-			out = append(out, h.request(t))
+func (sh *shard) appendPending(out []placer.Request) []placer.Request {
+	for _, name := range sortedKeys(sh.teams) {
+		sh.teams[name].pending.Ascend(func(t *task) bool {
+			out = append(out, sh.placementRequest(t))
 			return len(out) < maxPlanned
 		})
 	}
 	return out
 }
 
-func asError(err error) *classifier.Error {
+func toError(err error) *classifier.Error {
 	var e *classifier.Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -14,10 +14,10 @@
 
 // Policies are the exchangeable decisions. Nil ones have defaults.
 type Policies struct {
-	Placement    placer.Policy    // default placer.Default with the learner
-	Learner  *learner.Learner // of interference
-	Escalation escalator.Options
-	Restoration  restorer.Options
+	Placement   placer.Policy    // default placer.Default with the learner
+	Learner     *learner.Learner // of interference
+	Escalation  escalator.Options
+	Restoration restorer.Options
 }
 
 // The budget of evictions that one shard spends on latency and on urgent work.
@@ -27,7 +27,7 @@
 )
 
 // adaptPolicies follows the targets and weights of the configuration.
-func (s *State) adaptPolicies() {
+func (s *State) updatePolicies() {
 	s.services = make(map[string]describer.Service, len(s.config.Services))
 	for _, one := range s.config.Services {
 		s.services[one.Name] = one
@@ -43,22 +43,22 @@
 }
 
 // observe takes in what an inventory reports on use and latency.
-func (h *shard) observe(w *worker, in *runner.Synced) {
+func (sh *shard) observeInventory(w *worker, in *runner.Synced) {
 	fresh := false
 	for i := range in.Latency {
-		fresh = h.observeLatency(w, &in.Latency[i]) || fresh
+		fresh = sh.observeLatency(w, &in.Latency[i]) || fresh
 	}
-	if !h.isDeciding() || !h.state.reached {
+	if !sh.isWritable() || !sh.state.storeReachable {
 		return
 	}
 	if fresh {
-		h.escalate(w)
+		sh.escalate(w)
 	}
-	h.adaptGrants(w, in.Running)
+	sh.adaptGrants(w, in.Running)
 }
 
 // observeLatency teaches the learner what the interval's colocation cost.
-func (h *shard) observeLatency(w *worker, l *runner.Latency) bool {
+func (sh *shard) observeLatency(w *worker, l *runner.Latency) bool {
 	if last, ok := w.account.Reports[l.Service]; ok && !l.To.After(last.To) {
 		return false
 	}
@@ -66,13 +66,13 @@
 		w.account.Reports = make(map[string]runner.Latency)
 	}
 	w.account.Reports[l.Service] = *l
-	if shares, ok := h.state.timeline.Between(w.name, l.From, l.To); ok {
-		h.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
+	if shares, ok := sh.state.timeline.Between(w.name, l.From, l.To); ok {
+		sh.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
 	}
 	return true
 }
 
-func (h *shard) observeRun(w *worker, r *runner.Running) {
+func (sh *shard) observeRun(w *worker, r *runner.Running) {
 	g, ok := w.account.Grants[r.Task]
 	if !ok {
 		return
@@ -80,77 +80,77 @@
 	g.Used = r.Used
 	g.Progress = r.Progress
 	w.account.Grants[r.Task] = g
-	h.state.usage.Observe(g)
+	sh.state.usage.Observe(g)
 }
 
 // escalate relieves the worker's services, in order of cost.
-func (h *shard) escalate(w *worker) {
+func (sh *shard) escalate(w *worker) {
 	actions := escalator.Decide(escalator.Input{
-		Now:      h.state.now,
+		Now:      sh.state.now,
 		Worker:   w.account,
-		Services: h.state.services,
-		Learner:  h.state.policies.Learner,
-		State:    &w.escalation,
-		Budget:   h.budget,
-		Options:  h.state.policies.Escalation,
-		Bounds:   h.bounds(w),
+		Services: sh.state.services,
+		Learner:  sh.state.policies.Learner,
+		State:    &w.escalationState,
+		Budget:   sh.evictionBudget,
+		Options:  sh.state.policies.Escalation,
+		Bounds:   sh.latencyBounds(w),
 	})
 	for _, a := range actions {
-		h.act(w, a)
+		sh.applyAction(w, a)
 	}
 }
 
 // limiter is a placement policy that also limits what runs already.
-type limiter interface {
+type runLimiter interface {
 	// Bounds returns the latency that batch tasks may bring each service to.
 	Bounds(w *accountant.Worker) map[string]time.Duration
 	// MayGrow weighs a greater grant like a placement.
 	MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool
 }
 
-func (h *shard) bounds(w *worker) map[string]time.Duration {
-	if l, ok := h.state.placer.(limiter); ok {
+func (sh *shard) latencyBounds(w *worker) map[string]time.Duration {
+	if l, ok := sh.state.placer.(runLimiter); ok {
 		return l.Bounds(w.account)
 	}
 	return nil
 }
 
-func (h *shard) mayGrow(t *task, w *worker, cpu int64) bool {
-	l, ok := h.state.placer.(limiter)
+func (sh *shard) mayGrow(t *task, w *worker, cpu int64) bool {
+	l, ok := sh.state.placer.(runLimiter)
 	if !ok {
 		return true
 	}
 	to := t.granted
 	to.CPU = cpu
-	return l.MayGrow(w.account, w.account.Grants[t.id()], to, h.state.now)
+	return l.MayGrow(w.account, w.account.Grants[t.id()], to, sh.state.now)
 }
 
-func (h *shard) act(w *worker, a escalator.Action) {
+func (sh *shard) applyAction(w *worker, a escalator.Action) {
 	if a.Kind == escalator.KeepOff {
 		w.account.KeepOff = a.Until
 		return
 	}
-	t := h.book.task(a.Task)
-	if t == nil || t.state != describer.Started || t.token != a.Token || t.phase != confirmed {
+	t := sh.view.task(a.Task)
+	if t == nil || t.state != describer.Started || t.token != a.Token || t.startPhase != startConfirmed {
 		return
 	}
 	switch a.Kind {
 	case escalator.Raise:
-		h.setCeiling(t, 0)
-		h.grow(t, a.CPU)
+		sh.setCeiling(t, 0)
+		sh.grow(t, a.CPU)
 	case escalator.Throttle:
-		h.setCeiling(t, a.CPU)
-		h.shrink(t, a.CPU)
+		sh.setCeiling(t, a.CPU)
+		sh.shrink(t, a.CPU)
 	case escalator.Move:
-		h.end(t, stopping{reason: reasonEvicted, checkpoint: true})
+		sh.stopRun(t, stopRequest{reason: reasonEvicted, checkpoint: true})
 	case escalator.Stop:
-		h.end(t, stopping{reason: reasonEvicted})
+		sh.stopRun(t, stopRequest{reason: reasonEvicted})
 	}
 }
 
 // setCeiling keeps a run that is throttled for a service from growing.
-func (h *shard) setCeiling(t *task, cpu int64) {
-	w := h.worker(t.worker)
+func (sh *shard) setCeiling(t *task, cpu int64) {
+	w := sh.ensureWorker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
 		g.Ceiling = cpu
 		w.account.Grants[t.id()] = g
@@ -159,18 +159,18 @@
 
 // want is what a run of the task is granted: what its class was measured to
 // use rather than what was declared.
-func (h *shard) want(t *task) describer.Resources {
+func (sh *shard) wantedGrant(t *task) describer.Resources {
 	if t.job.Kind == describer.LatencyCritical {
 		return t.job.Declared
 	}
-	return placer.Size(&h.state.usage, t.job.Job, unlimited)
+	return placer.Size(&sh.state.usage, t.job.Job, unlimited)
 }
 
 // unlimited is larger than any worker.
 var unlimited = describer.Resources{CPU: 1 << 40, Memory: 1 << 40, Accelerators: 1 << 20}
 
 // room returns what a new grant for the task may take on the worker.
-func room(t *task, w *accountant.Worker) describer.Resources {
+func roomFor(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
 		return w.Room()
 	}
@@ -179,7 +179,7 @@
 
 // interference returns the slow-down of the worker's services by the batch
 // tasks that run there, 0 is none.
-func (h *shard) interference(w *worker) float64 {
+func (sh *shard) interference(w *worker) float64 {
 	shares := w.account.Shares()
 	if len(shares) == 0 {
 		return 0
@@ -187,16 +187,16 @@
 	worst := 0.0
 	for _, service := range w.account.Host.Services {
 		load := w.account.Reports[service].Load
-		if _, seen := h.state.policies.Learner.Baseline(service, load); !seen {
+		if _, seen := sh.state.policies.Learner.Baseline(service, load); !seen {
 			continue
 		}
-		mean, _ := h.state.policies.Learner.Slowdown(service, shares, load)
+		mean, _ := sh.state.policies.Learner.Slowdown(service, shares, load)
 		worst = max(worst, mean)
 	}
 	return worst
 }
 
 // newBudget returns the shard's budget of evictions.
-func (h *shard) newBudget(now time.Time) *escalator.Budget {
-	return escalator.NewBudget(evictionBurst, evictionShare*float64(max(len(h.order), 4)), now)
+func (sh *shard) newEvictionBudget(now time.Time) *escalator.Budget {
+	return escalator.NewBudget(evictionBurst, evictionShare*float64(max(len(sh.sortedWorkers), 4)), now)
 }
--- a/internal/control/reducer/queue.go
+++ b/internal/control/reducer/queue.go
@@ -15,69 +15,69 @@
 
 // queueOrder sorts a team's pending tasks: urgent ones first, then by
 // deadline, then by acceptance.
-func queueOrder(a, b *task) bool {
+func lessTask(a, b *task) bool {
 	if a.job != b.job {
-		return jobOrder(a.job, b.job)
+		return lessJob(a.job, b.job)
 	}
 	return a.index < b.index
 }
 
-func jobOrder(a, b *job) bool {
+func lessJob(a, b *job) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
 	}
 	if !a.Deadline.Equal(b.Deadline) {
 		return !a.Deadline.IsZero() && (b.Deadline.IsZero() || a.Deadline.Before(b.Deadline))
 	}
-	return a.order < b.order
+	return a.seq < b.seq
 }
 
-func (h *shard) team(name string) *team {
-	t := h.teams[name]
+func (sh *shard) ensureTeam(name string) *team {
+	t := sh.teams[name]
 	if t == nil {
-		t = &team{name: name, pending: btree.NewG(8, queueOrder)}
-		h.teams[name] = t
+		t = &team{name: name, pending: btree.NewG(8, lessTask)}
+		sh.teams[name] = t
 	}
 	return t
 }
 
-func (h *shard) queue(t *task) {
+func (sh *shard) enqueue(t *task) {
 	t.queued = true
-	h.team(t.job.Team).pending.ReplaceOrInsert(t)
-	h.idle = false
+	sh.ensureTeam(t.job.Team).pending.ReplaceOrInsert(t)
+	sh.placementIdle = false
 }
 
-func (h *shard) unqueue(t *task) {
+func (sh *shard) dequeue(t *task) {
 	if !t.queued {
 		return
 	}
 	t.queued = false
-	h.team(t.job.Team).pending.Delete(t)
+	sh.ensureTeam(t.job.Team).pending.Delete(t)
 }
 
 // next returns the first pending task after the given one, or the first of
 // all if it is nil.
 func (t *team) next(after *task) *task {
 	var found *task
-	take := func(one *task) bool {
-		if one == after {
+	visit := func(tk *task) bool {
+		if tk == after {
 			return true
 		}
-		found = one
+		found = tk
 		return false
 	}
 	if after == nil {
-		t.pending.Ascend(take)
+		t.pending.Ascend(visit)
 	} else {
-		t.pending.AscendGreaterOrEqual(after, take)
+		t.pending.AscendGreaterOrEqual(after, visit)
 	}
 	return found
 }
 
 // quota is a team's limit in one shard: its quota over the shards of the
 // configuration, and unlimited if it is zero.
-func (h *shard) quota(c *describer.Team) describer.Resources {
-	n := int64(max(len(h.state.config.Shards), 1))
+func (sh *shard) shardQuota(c *describer.Team) describer.Resources {
+	n := int64(max(len(sh.state.config.Shards), 1))
 	share := func(whole int64) int64 { return (whole + n - 1) / n }
 	return describer.Resources{
 		CPU:          share(c.Quota.CPU),
@@ -87,7 +87,7 @@
 }
 
 // isWithin reports whether used keeps to the parts of the quota that are set.
-func isWithin(used, quota describer.Resources) bool {
+func isWithinQuota(used, quota describer.Resources) bool {
 	keeps := func(used, quota int64) bool { return quota == 0 || used <= quota }
 	return keeps(used.CPU, quota.CPU) && keeps(used.Memory, quota.Memory) &&
 		keeps(used.Accelerators, quota.Accelerators)
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -51,31 +51,31 @@
 
 // State is the control state of one daemon. Only one goroutine may use it.
 type State struct {
-	options  Options
-	policies Policies
-	placer   placer.Policy
-	services map[string]describer.Service // by name
-	timeline learner.Timeline
-	usage    placer.Usage
-	now      time.Time
-	config   describer.Configuration
-	hosts    []describer.Host
-	peers    []Peer
-	settled  time.Time // when membership last changed
-	reached  bool      // the store answered the last call
-	contact  time.Time // when it last did
-	stopping bool
-
-	shards    map[string]*shard // of the own failure domain
-	order     []*shard          // the same, sorted by id
-	drains    map[string]drain  // by worker
-	timers    timers
-	effects   []Effect
-	published bool      // the routing table is up to date
-	tabled    time.Time // when it was made
-	reviewed  time.Time
-
-	snapshotLeast int // records between snapshots, at least
+	options        Options
+	policies       Policies
+	placer         placer.Policy
+	services       map[string]describer.Service // by name
+	timeline       learner.Timeline
+	usage          placer.Usage
+	now            time.Time
+	config         describer.Configuration
+	hosts          []describer.Host
+	peers          []Peer
+	peersChangedAt time.Time // when membership last changed
+	storeReachable bool      // the store answered the last call
+	storeContactAt time.Time // when it last did
+	stopping       bool
+
+	shards        map[string]*shard      // of the own failure domain
+	sortedShards  []*shard               // the same, sorted by id
+	drains        map[string]workerDrain // by worker
+	timers        timers
+	effects       []Effect
+	tableUpToDate bool      // the routing table is up to date
+	publishedAt   time.Time // when it was made
+	reviewedAt    time.Time
+
+	minSnapshotRecords int // records between snapshots, at least
 }
 
 // New returns the state of a daemon that knows nothing yet.
@@ -87,15 +87,15 @@
 		o.OutageLimit = defaultOutageLimit
 	}
 	s := &State{
-		options:  o,
-		policies: p,
-		reached:  true,
-		shards:   make(map[string]*shard),
-		drains:   make(map[string]drain),
+		options:        o,
+		policies:       p,
+		storeReachable: true,
+		shards:         make(map[string]*shard),
+		drains:         make(map[string]workerDrain),
 
-		snapshotLeast: defaultSnapshotLeast,
+		minSnapshotRecords: defaultMinSnapshotRecords,
 	}
-	s.adaptPolicies()
+	s.updatePolicies()
 	return s
 }
 
@@ -103,11 +103,11 @@
 // slice is the caller's.
 func (s *State) Reduce(event Event) []Effect {
 	s.effects = nil
-	s.take(event)
-	for _, h := range s.order {
-		h.settle()
+	s.dispatch(event)
+	for _, sh := range s.sortedShards {
+		sh.decideAndFlush()
 	}
-	if !s.published && s.now.Sub(s.tabled) >= publishInterval {
+	if !s.tableUpToDate && s.now.Sub(s.publishedAt) >= publishInterval {
 		s.publish()
 	}
 	return s.effects
@@ -116,84 +116,84 @@
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
 // take hands the event to the part that it concerns.
-func (s *State) take(event Event) {
+func (s *State) dispatch(event Event) {
 	switch e := event.(type) {
 	case Tick:
 		s.tick(e.Now)
 	case ConfigurationReceived:
-		s.configure(e.Configuration)
+		s.applyConfiguration(e.Configuration)
 	case HostsReceived:
-		s.listHosts(e.Hosts)
+		s.updateHosts(e.Hosts)
 	case PeersChanged:
-		s.changePeers(e.Alive)
+		s.updatePeers(e.Alive)
 	case StoreChecked:
-		s.reached = e.Reachable
+		s.storeReachable = e.Reachable
 		if e.Reachable {
-			s.contact = s.now
+			s.storeContactAt = s.now
 		}
 	case StopRequested:
-		s.stop()
+		s.beginStop()
 	case SubmitRequested:
 		s.submit(e)
 	case CancelRequested:
 		s.cancel(e)
 	case JobStatusRequested:
-		s.inquire(e)
+		s.replyJobStatus(e)
 	case KeyClaimRequested:
 		s.claimKey(e)
 	case PlanRequested:
-		s.plan(e)
+		s.replyPlan(e)
 	case StatusRequested:
-		s.status(e)
+		s.replyStatus(e)
 	case DrainUpdateAnswered:
 		// The configuration that follows says whether it took effect.
 	default:
-		s.takeShard(event)
+		s.dispatchToShard(event)
 	}
 }
 
 // takeShard handles events about one shard. Those of an earlier ownership are
 // dropped.
-func (s *State) takeShard(event Event) {
+func (s *State) dispatchToShard(event Event) {
 	switch e := event.(type) {
 	case ShardClaimed:
-		s.claimed(e)
+		s.handleClaimed(e)
 	case ClaimFailed:
-		s.claimFailed(e)
+		s.handleClaimFailed(e)
 	case ShardLost:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			h.lose()
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			sh.dropOwnership()
 		}
 	case RecordsAppended:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			s.contact = s.now
-			h.appended(e.Batch)
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			s.storeContactAt = s.now
+			sh.handleAppended(e.Batch)
 		}
 	case WorkerSynced:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			h.synced(e)
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			sh.handleSynced(e)
 		}
 	case WorkerSyncFailed:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			h.unanswered(e)
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			sh.handleSyncFailed(e)
 		}
 	case StartAnswered:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			h.startAnswered(e)
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			sh.handleStartAnswered(e)
 		}
 	case StopAnswered:
-		if h := s.owned(e.Shard, e.Epoch); h != nil {
-			h.stopAnswered(e)
+		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
+			sh.handleStopAnswered(e)
 		}
 	}
 }
 
-func (s *State) owned(id string, epoch int64) *shard {
-	h := s.shards[id]
-	if h == nil || h.book == nil || h.epoch != epoch {
+func (s *State) ownedShard(id string, epoch int64) *shard {
+	sh := s.shards[id]
+	if sh == nil || sh.view == nil || sh.epoch != epoch {
 		return nil
 	}
-	return h
+	return sh
 }
 
 func (s *State) tick(now time.Time) {
@@ -201,36 +201,36 @@
 		return
 	}
 	s.now = now
-	s.timers.run(now)
-	if now.Sub(s.reviewed) < reviewInterval {
+	s.timers.fireDue(now)
+	if now.Sub(s.reviewedAt) < reviewInterval {
 		return
 	}
-	s.reviewed = now
+	s.reviewedAt = now
 	s.reviewOwnership()
-	s.reviewDrains()
+	s.advanceDrains()
 }
 
 // configure applies a greater revision only, so no stale copy reverts it.
-func (s *State) configure(c describer.Configuration) {
+func (s *State) applyConfiguration(c describer.Configuration) {
 	if c.Revision <= s.config.Revision {
 		return
 	}
 	s.config = c
-	s.adaptPolicies()
+	s.updatePolicies()
 	s.indexDrains()
-	s.arrangeShards()
-	s.arrangeWorkers()
-	s.published = false
+	s.updateShards()
+	s.updateWorkers()
+	s.tableUpToDate = false
 }
 
-func (s *State) listHosts(hosts []describer.Host) {
+func (s *State) updateHosts(hosts []describer.Host) {
 	s.hosts = slices.Clone(hosts)
-	slices.SortFunc(s.hosts, func(a, b describer.Host) int { return compareText(a.Name, b.Name) })
-	s.arrangeWorkers()
-	s.published = false
+	slices.SortFunc(s.hosts, func(a, b describer.Host) int { return compareStrings(a.Name, b.Name) })
+	s.updateWorkers()
+	s.tableUpToDate = false
 }
 
-func (s *State) stop() {
+func (s *State) beginStop() {
 	if s.stopping {
 		return
 	}
--- a/internal/control/reducer/routing.go
+++ b/internal/control/reducer/routing.go
@@ -16,11 +16,11 @@
 // publish hands a new routing table to the traffic side. Hosts are sorted by
 // name, so each service's backends are too.
 func (s *State) publish() {
-	s.published = true
+	s.tableUpToDate = true
 	if s.config.Revision == 0 {
 		return
 	}
-	s.tabled = s.now
+	s.publishedAt = s.now
 	table := &describer.RoutingTable{
 		Revision: s.config.Revision,
 		Services: s.backends(),
@@ -34,10 +34,10 @@
 			table.Owners[id] = p.Address
 		}
 	}
-	for _, h := range s.order {
-		if h.book != nil && h.phase == owning {
-			table.Owned[h.id] = h.epoch
-			table.Owners[h.id] = s.address()
+	for _, sh := range s.sortedShards {
+		if sh.view != nil && sh.ownership == owning {
+			table.Owned[sh.id] = sh.epoch
+			table.Owners[sh.id] = s.ownAddress()
 		}
 	}
 	s.emit(PublishRoutingTable{Table: table})
@@ -50,7 +50,7 @@
 }
 
 // address is this daemon's own for peers, as membership knows it.
-func (s *State) address() string {
+func (s *State) ownAddress() string {
 	for _, p := range s.peers {
 		if p.Name == s.options.Daemon {
 			return p.Address
@@ -70,7 +70,7 @@
 		if host.Role != describer.Worker {
 			continue
 		}
-		b := s.backend(host, shards[rack{host.Domain, host.Rack}])
+		b := s.backend(host, shards[rackKey{host.Domain, host.Rack}])
 		for _, service := range host.Services {
 			if _, ok := out[service]; ok {
 				out[service] = append(out[service], b)
@@ -81,13 +81,13 @@
 }
 
 // rack names a rack within its failure domain.
-type rack struct{ domain, name string }
+type rackKey struct{ domain, name string }
 
-func (s *State) shardsByRack() map[rack]string {
-	out := make(map[rack]string)
+func (s *State) shardsByRack() map[rackKey]string {
+	out := make(map[rackKey]string)
 	for _, c := range s.config.Shards {
 		for _, name := range c.Racks {
-			out[rack{c.Domain, name}] = c.ID
+			out[rackKey{c.Domain, name}] = c.ID
 		}
 	}
 	return out
@@ -98,8 +98,8 @@
 func (s *State) backend(host *describer.Host, shard string) describer.Backend {
 	d, drained := s.drains[host.Name]
 	slower := 0.0
-	if h := s.shards[shard]; h != nil && h.workers[host.Name] != nil {
-		slower = h.workers[host.Name].slower
+	if sh := s.shards[shard]; sh != nil && sh.workers[host.Name] != nil {
+		slower = sh.workers[host.Name].interference
 	}
 	return describer.Backend{
 		Worker:       host.Name,
@@ -114,7 +114,7 @@
 	}
 }
 
-func compareText(a, b string) int {
+func compareStrings(a, b string) int {
 	if a < b {
 		return -1
 	}
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -10,27 +10,27 @@
 )
 
 // repeatAfter is the wait before a call whose answer was lost is repeated.
-const repeatAfter = time.Second
+const repeatDelay = time.Second
 
 // ask sends a durable start to its worker, unless it was overtaken.
-func (h *shard) ask(t *task, token describer.Token) {
-	if t.state != describer.Started || t.token != token || t.phase != decided {
+func (sh *shard) sendStart(t *task, token describer.Token) {
+	if t.state != describer.Started || t.token != token || t.startPhase != startRecorded {
 		return
 	}
-	w := h.worker(t.worker)
-	if t.job.cancelled || t.stop != nil || h.phase != owning || !w.heard {
-		h.release(t, released{reason: reasonNotBegun})
+	w := sh.ensureWorker(t.worker)
+	if t.job.cancelled || t.stop != nil || sh.ownership != owning || !w.synced {
+		sh.recordReleased(t, runEnd{reason: reasonNotStarted})
 		return
 	}
-	h.emitStart(t, w)
+	sh.emitStart(t, w)
 }
 
-func (h *shard) emitStart(t *task, w *worker) {
-	t.phase = asked
-	until := h.extend(w)
-	h.state.emit(StartTask{
-		Shard:   h.id,
-		Epoch:   h.epoch,
+func (sh *shard) emitStart(t *task, w *worker) {
+	t.startPhase = startSent
+	until := sh.extendLeases(w)
+	sh.state.emit(StartTask{
+		Shard:   sh.id,
+		Epoch:   sh.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
 		Start: runner.Start{
@@ -39,7 +39,7 @@
 			Class:      t.job.Class,
 			Kind:       t.job.Kind,
 			Granted:    t.granted,
-			Lease:      h.state.options.TaskLease,
+			Lease:      sh.state.options.TaskLease,
 			Until:      until,
 			RunTime:    t.job.RunTime,
 			Checkpoint: t.checkpoint,
@@ -48,56 +48,56 @@
 	})
 }
 
-func (h *shard) startAnswered(e StartAnswered) {
-	t := h.book.task(e.Task)
-	if t == nil || t.state != describer.Started || t.token != e.Token || t.phase != asked {
+func (sh *shard) handleStartAnswered(e StartAnswered) {
+	t := sh.view.task(e.Task)
+	if t == nil || t.state != describer.Started || t.token != e.Token || t.startPhase != startSent {
 		return
 	}
-	w := h.worker(t.worker)
+	w := sh.ensureWorker(t.worker)
 	switch {
 	case e.Err == "":
-		h.confirm(t, w)
+		sh.confirmStart(t, w)
 	case e.Verdict == classifier.NotRun:
-		h.refused(t, w)
+		sh.handleStartRefused(t, w)
 	default:
-		t.phase = uncertain
-		h.after(repeatAfter, timer{kind: timerStart, task: t, worker: w})
+		t.startPhase = startUnanswered
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStart, task: t, worker: w})
 	}
 }
 
 // refused gives the task back to the queue and leaves the worker alone for a
 // while.
-func (h *shard) refused(t *task, w *worker) {
-	h.release(t, released{reason: reasonNotBegun})
-	w.pause = h.state.now.Add(refusalPause)
-	h.refresh(w)
-	h.after(refusalPause, timer{kind: timerOpen, worker: w})
+func (sh *shard) handleStartRefused(t *task, w *worker) {
+	sh.recordReleased(t, runEnd{reason: reasonNotStarted})
+	w.pausedUntil = sh.state.now.Add(refusalPause)
+	sh.updateClosed(w)
+	sh.addTimer(refusalPause, timer{kind: timerReopen, worker: w})
 }
 
 // repeatStart asks again with the same token, which is idempotent.
-func (h *shard) repeatStart(t *task) {
-	if t.state != describer.Started || t.phase != uncertain || h.phase != owning || t.stop != nil {
+func (sh *shard) repeatStart(t *task) {
+	if t.state != describer.Started || t.startPhase != startUnanswered || sh.ownership != owning || t.stop != nil {
 		return
 	}
-	w := h.worker(t.worker)
-	if w.failures >= silentAfter || !h.mayRenew() {
+	w := sh.ensureWorker(t.worker)
+	if w.missedSyncs >= maxMissedSyncs || !sh.mayRenew() {
 		// The lapse of its lease decides, and another call would put it off.
-		h.after(repeatAfter, timer{kind: timerStart, task: t, worker: w})
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStart, task: t, worker: w})
 		return
 	}
-	h.emitStart(t, w)
+	sh.emitStart(t, w)
 }
 
 // released says how a run ended without a result.
-type released struct {
+type runEnd struct {
 	reason     string
 	checkpoint string
 	drainedOff string
 }
 
 // release records that the task's run is known to be over.
-func (h *shard) release(t *task, r released) {
-	h.append(describer.Record{
+func (sh *shard) recordReleased(t *task, r runEnd) {
+	sh.appendRecord(describer.Record{
 		Kind:       describer.TaskReleased,
 		Task:       t.id(),
 		Token:      t.token,
@@ -107,13 +107,13 @@
 	})
 }
 
-func (h *shard) finished(t *task, w *worker, result json.RawMessage) {
-	h.append(describer.Record{
+func (sh *shard) recordFinished(t *task, w *worker, result json.RawMessage) {
+	sh.appendRecord(describer.Record{
 		Kind:   describer.TaskFinished,
 		Task:   t.id(),
 		Token:  t.token,
 		Result: result,
 	})
-	t.job.batch = h.journal.next()
-	h.trust(w)
+	t.job.lastBatch = sh.journal.nextBatch()
+	sh.clearFailures(w)
 }
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -13,7 +13,7 @@
 type ownership uint8
 
 const (
-	foreign   ownership = iota // not owned here
+	notOwned  ownership = iota // not owned here
 	claiming                   // Claim without an answer yet
 	owning                     // owned, book present
 	releasing                  // giving up, nothing is decided any more
@@ -21,7 +21,7 @@
 
 func (o ownership) String() string {
 	switch o {
-	case foreign:
+	case notOwned:
 		return "foreign"
 	case claiming:
 		return "claiming"
@@ -36,82 +36,82 @@
 // shard is one shard of the own failure domain. The fields below the line
 // exist only while it is owned.
 type shard struct {
-	state   *State
-	id      string
-	config  describer.Shard
-	phase   ownership
-	tryAt   time.Time // of the next claim
-	tries   int
-	heldAt  time.Time     // since when a live peer says that it owns the shard, or the latest claim
-	freeAt  time.Time     // since when no live peer says that it owns the shard
-	tenure  time.Duration // before it may be handed over to a better placed daemon
-	closing bool          // the last record is written; no lease is granted or renewed any more
-	handing bool          // Release was emitted
+	state           *State
+	id              string
+	config          describer.Shard
+	ownership       ownership
+	nextClaimAt     time.Time // of the next claim
+	failedClaims    int
+	heldSince       time.Time     // since when a live peer says that it owns the shard, or the latest claim
+	freeSince       time.Time     // since when no live peer says that it owns the shard
+	minTenure       time.Duration // before it may be handed over to a better placed daemon
+	releaseRecorded bool          // the last record is written; no lease is granted or renewed any more
+	releaseSent     bool          // Release was emitted
 
-	epoch    int64
-	book     *book
-	claimed  time.Time
-	released describer.Record // the former owner's last one, if it gave the shard up
-	sequence int64            // of tokens
-	workers  map[string]*worker
-	order    []*worker // sorted by name
-	fleet    *accountant.Fleet
-	teams    map[string]*team
-	journal  journal
-	passed   time.Time // when tasks were last placed
-	idle     bool      // nothing changed since the last placement found nothing to do
-	budget   *escalator.Budget
-	rooms    []reservation        // for urgent tasks
-	proposed map[string]time.Time // proposals that the configuration doesn't show yet
+	epoch          int64
+	view           *ledgerView
+	claimedAt      time.Time
+	releaseRecord  describer.Record // the former owner's last one, if it gave the shard up
+	lastSequence   int64            // of tokens
+	workers        map[string]*worker
+	sortedWorkers  []*worker // sorted by name
+	fleet          *accountant.Fleet
+	teams          map[string]*team
+	journal        journal
+	lastPassAt     time.Time // when tasks were last placed
+	placementIdle  bool      // nothing changed since the last placement found nothing to do
+	evictionBudget *escalator.Budget
+	reservations   []reservation        // for urgent tasks
+	proposedAt     map[string]time.Time // proposals that the configuration doesn't show yet
 }
 
 // settle decides and flushes after each event.
-func (h *shard) settle() {
-	if h.book == nil {
+func (sh *shard) decideAndFlush() {
+	if sh.view == nil {
 		return
 	}
-	h.place()
-	if h.phase == releasing {
-		h.closeLedger()
+	sh.placePending()
+	if sh.ownership == releasing {
+		sh.recordRelease()
 	}
-	h.flush()
-	if h.phase == releasing {
-		h.handOver()
+	sh.flush()
+	if sh.ownership == releasing {
+		sh.sendRelease()
 	}
 }
 
 // append applies a record at once and makes it part of the next Append.
-func (h *shard) append(r describer.Record) {
-	r.Time = h.state.now
-	h.journal.add(r)
-	if t := h.book.task(r.Task); t != nil {
-		t.batch = h.journal.next()
+func (sh *shard) appendRecord(r describer.Record) {
+	r.Time = sh.state.now
+	sh.journal.add(r)
+	if t := sh.view.task(r.Task); t != nil {
+		t.lastBatch = sh.journal.nextBatch()
 	}
-	h.apply(r)
+	sh.apply(r)
 }
 
 // isDeciding reports whether new decisions may be recorded.
-func (h *shard) isDeciding() bool { return h.phase == owning && !h.state.stopping }
+func (sh *shard) isWritable() bool { return sh.ownership == owning && !sh.state.stopping }
 
 // lose forgets everything about the shard. Callers whose records are not
 // known to be durable are told so.
-func (h *shard) lose() {
-	h.journal.abandon(h.state)
-	wasHandingOver := h.phase == releasing
-	h.phase = foreign
-	h.book = nil
-	h.workers = nil
-	h.order = nil
-	h.fleet = nil
-	h.teams = nil
-	h.rooms = nil
-	h.journal = journal{}
-	h.closing = false
-	h.handing = false
-	h.tries = 0
-	h.tryAt = h.state.now.Add(claimRetry)
+func (sh *shard) dropOwnership() {
+	sh.journal.refuseWaiting(sh.state)
+	wasHandingOver := sh.ownership == releasing
+	sh.ownership = notOwned
+	sh.view = nil
+	sh.workers = nil
+	sh.sortedWorkers = nil
+	sh.fleet = nil
+	sh.teams = nil
+	sh.reservations = nil
+	sh.journal = journal{}
+	sh.releaseRecorded = false
+	sh.releaseSent = false
+	sh.failedClaims = 0
+	sh.nextClaimAt = sh.state.now.Add(minClaimRetry)
 	if wasHandingOver {
-		h.tryAt = h.state.now.Add(handOverPause)
+		sh.nextClaimAt = sh.state.now.Add(handOverPause)
 	}
-	h.state.published = false
+	sh.state.tableUpToDate = false
 }
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -110,7 +110,7 @@
 		s.do(Tick{Now: start})
 		s.do(ConfigurationReceived{Configuration: testConfiguration()})
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Records: last})
-		Expect(s.order[0].formerExtent()).To(Equal(start.Add(time.Minute + 30*time.Second)))
+		Expect(s.sortedShards[0].formerLeasesEnd()).To(Equal(start.Add(time.Minute + 30*time.Second)))
 	})
 })
 
@@ -174,9 +174,9 @@
 		c.Revision = 2
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
 		d.do(ConfigurationReceived{Configuration: c})
-		Expect(d.shards["bne-1"].isRestoring()).To(BeTrue())
+		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeTrue())
 		c.Revision, c.Drains = 3, nil
 		d.do(ConfigurationReceived{Configuration: c})
-		Expect(d.shards["bne-1"].isRestoring()).To(BeFalse())
+		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeFalse())
 	})
 })
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -17,20 +17,20 @@
 
 // snapshot is the book in its encoded form.
 type snapshot struct {
-	Order    uint64            `json:"order"`
-	Jobs     []savedJob        `json:"jobs"`
-	Keys     []savedKey        `json:"keys,omitempty"`
-	Asides   map[string]string `json:"asides,omitempty"`
-	Restored map[string]string `json:"restored,omitempty"`
+	LastSeq     uint64            `json:"order"`
+	Jobs        []savedJob        `json:"jobs"`
+	Keys        []savedKey        `json:"keys,omitempty"`
+	Quarantined map[string]string `json:"asides,omitempty"`
+	Restored    map[string]string `json:"restored,omitempty"`
 }
 
 type savedJob struct {
 	Job       *describer.Job   `json:"job"`
-	Order     uint64           `json:"order"`
+	Seq       uint64           `json:"order"`
 	Cancelled bool             `json:"cancelled,omitempty"`
 	Ended     time.Time        `json:"ended,omitzero"`
 	Tasks     []describer.Task `json:"tasks"`
-	Failed    [][]string       `json:"failed,omitempty"` // workers, by task
+	FailedOn  [][]string       `json:"failed,omitempty"` // workers, by task
 }
 
 type savedKey struct {
@@ -41,74 +41,74 @@
 
 // maySnapshot saves the book when the ledger has grown by as much as the book
 // holds, and nothing is in flight that the snapshot would have to leave out.
-func (h *shard) maySnapshot() {
-	j := &h.journal
-	if j.sinceSnapshot < max(h.state.snapshotLeast, 2*h.size()) || !j.isSent() || j.durable != j.sent || h.phase != owning {
+func (sh *shard) maybeSnapshot() {
+	j := &sh.journal
+	if j.recordsSinceSnapshot < max(sh.state.minSnapshotRecords, 2*sh.countLiveTasks()) || !j.allSent() || j.lastDurable != j.lastSent || sh.ownership != owning {
 		return
 	}
-	h.expire()
-	data, err := json.Marshal(h.save())
+	sh.expire()
+	data, err := json.Marshal(sh.save())
 	if err != nil {
 		return
 	}
-	j.sinceSnapshot = 0
-	h.state.emit(SaveSnapshot{Shard: h.id, Epoch: h.epoch, Batch: j.durable, Data: data})
+	j.recordsSinceSnapshot = 0
+	sh.state.emit(SaveSnapshot{Shard: sh.id, Epoch: sh.epoch, Batch: j.lastDurable, Data: data})
 }
 
-func (h *shard) size() int {
+func (sh *shard) countLiveTasks() int {
 	n := 0
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		n += len(w.runs)
 	}
-	for _, t := range h.teams {
+	for _, t := range sh.teams {
 		n += t.pending.Len()
 	}
 	return n
 }
 
 // expire forgets jobs and keys that are past their retention.
-func (h *shard) expire() {
-	for id, j := range h.book.jobs {
-		if j.isOver() && h.state.now.Sub(j.ended) >= jobRetention {
-			delete(h.book.jobs, id)
+func (sh *shard) expire() {
+	for id, j := range sh.view.jobs {
+		if j.isOver() && sh.state.now.Sub(j.endedAt) >= jobRetention {
+			delete(sh.view.jobs, id)
 		}
 	}
-	for id, k := range h.book.keys {
-		if h.state.now.Sub(k.time) >= keyRetention {
-			delete(h.book.keys, id)
+	for id, k := range sh.view.keys {
+		if sh.state.now.Sub(k.time) >= keyRetention {
+			delete(sh.view.keys, id)
 		}
 	}
-	for name, id := range h.book.restored {
-		if h.state.drains[name].id != id {
-			delete(h.book.restored, name)
+	for name, id := range sh.view.restored {
+		if sh.state.drains[name].id != id {
+			delete(sh.view.restored, name)
 		}
 	}
 }
 
-func (h *shard) save() snapshot {
-	out := snapshot{Order: h.book.order, Asides: h.book.asides, Restored: h.book.restored}
-	for _, j := range h.book.jobs {
+func (sh *shard) save() snapshot {
+	out := snapshot{LastSeq: sh.view.lastSeq, Quarantined: sh.view.quarantined, Restored: sh.view.restored}
+	for _, j := range sh.view.jobs {
 		out.Jobs = append(out.Jobs, j.save())
 	}
-	slices.SortFunc(out.Jobs, func(a, b savedJob) int { return compareText(a.Job.ID, b.Job.ID) })
-	for _, id := range sortedKeys(h.book.keys) {
-		k := h.book.keys[id]
+	slices.SortFunc(out.Jobs, func(a, b savedJob) int { return compareStrings(a.Job.ID, b.Job.ID) })
+	for _, id := range sortedKeys(sh.view.keys) {
+		k := sh.view.keys[id]
 		out.Keys = append(out.Keys, savedKey{id, k.owner, k.time})
 	}
 	return out
 }
 
 func (j *job) save() savedJob {
-	out := savedJob{Job: j.Job, Order: j.order, Cancelled: j.cancelled, Ended: j.ended}
+	out := savedJob{Job: j.Job, Seq: j.seq, Cancelled: j.cancelled, Ended: j.endedAt}
 	out.Tasks = make([]describer.Task, len(j.tasks))
 	for i := range j.tasks {
 		t := &j.tasks[i]
 		out.Tasks[i] = t.save()
 		if len(t.failedOn) > 0 {
-			if out.Failed == nil {
-				out.Failed = make([][]string, len(j.tasks))
+			if out.FailedOn == nil {
+				out.FailedOn = make([][]string, len(j.tasks))
 			}
-			out.Failed[i] = t.failedOn
+			out.FailedOn[i] = t.failedOn
 		}
 	}
 	return out
@@ -132,41 +132,41 @@
 }
 
 // restore fills an empty book from a snapshot.
-func (h *shard) restore(data []byte) error {
+func (sh *shard) restore(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	var in snapshot
 	if err := json.Unmarshal(data, &in); err != nil {
-		return fmt.Errorf("reducer: snapshot of %s: %w", h.id, err)
+		return fmt.Errorf("reducer: snapshot of %s: %w", sh.id, err)
 	}
-	h.book.order = in.Order
+	sh.view.lastSeq = in.LastSeq
 	for i := range in.Jobs {
-		h.restoreJob(&in.Jobs[i])
+		sh.restoreJob(&in.Jobs[i])
 	}
 	for _, k := range in.Keys {
-		h.book.keys[k.Key] = key{owner: k.Owner, time: k.Time}
+		sh.view.keys[k.Key] = claimedKey{owner: k.Owner, time: k.Time}
 	}
-	for _, name := range sortedKeys(in.Asides) {
-		h.aside(name, in.Asides[name])
+	for _, name := range sortedKeys(in.Quarantined) {
+		sh.quarantine(name, in.Quarantined[name])
 	}
 	for name, id := range in.Restored {
-		h.book.restored[name] = id
+		sh.view.restored[name] = id
 	}
 	return nil
 }
 
-func (h *shard) restoreJob(in *savedJob) {
-	j := &job{Job: in.Job, order: in.Order, cancelled: in.Cancelled, ended: in.Ended}
+func (sh *shard) restoreJob(in *savedJob) {
+	j := &job{Job: in.Job, seq: in.Seq, cancelled: in.Cancelled, endedAt: in.Ended}
 	j.tasks = make([]task, len(in.Tasks))
-	h.book.jobs[in.Job.ID] = j
+	sh.view.jobs[in.Job.ID] = j
 	for i := range in.Tasks {
 		t := &j.tasks[i]
 		t.restore(j, &in.Tasks[i])
-		if i < len(in.Failed) {
-			t.failedOn = in.Failed[i]
+		if i < len(in.FailedOn) {
+			t.failedOn = in.FailedOn[i]
 		}
-		h.enter(t)
+		sh.addToIndexes(t)
 	}
 }
 
@@ -185,6 +185,6 @@
 		evictions:  int32(in.Evictions),
 		state:      in.State,
 		ran:        in.Ran,
-		phase:      adopted,
+		startPhase: startAdopted,
 	}
 }
--- a/internal/control/reducer/split_test.go
+++ b/internal/control/reducer/split_test.go
@@ -36,9 +36,9 @@
 // startedOn returns the worker that the task's owner believes to run it.
 func (w *world) startedOn(id describer.TaskID) string {
 	for _, n := range w.nodes {
-		for _, h := range n.state.order {
-			if h.book != nil && h.book.task(id) != nil {
-				return h.book.task(id).worker
+		for _, sh := range n.state.sortedShards {
+			if sh.view != nil && sh.view.task(id) != nil {
+				return sh.view.task(id).worker
 			}
 		}
 	}
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -7,17 +7,17 @@
 )
 
 // jobStatus describes a job as its book has it.
-func (h *shard) jobStatus(j *job) *JobStatus {
+func (sh *shard) jobStatus(j *job) *JobStatus {
 	out := &JobStatus{
-		Job:     j.ID,
-		Shard:   h.id,
-		State:   j.stateName(),
-		Pending: j.counts[describer.Pending],
-		Started: j.counts[describer.Started],
-		Done:    j.counts[describer.Done],
-		Failed:  j.counts[describer.Failed],
-		MayHaveRun:     j.mayHaveRun(),
-		Reason:  j.reasonText(),
+		Job:        j.ID,
+		Shard:      sh.id,
+		State:      j.stateName(),
+		Pending:    j.counts[describer.Pending],
+		Started:    j.counts[describer.Started],
+		Done:       j.counts[describer.Done],
+		Failed:     j.counts[describer.Failed],
+		MayHaveRun: j.mayHaveRun(),
+		Reason:     j.reasonText(),
 	}
 	if out.State == "done" {
 		out.Results = make([]json.RawMessage, len(j.tasks))
@@ -49,82 +49,82 @@
 		if t.state == describer.Done || t.state == describer.Started {
 			continue
 		}
-		if t.policy != "" {
-			return t.policy
+		if t.pendingReason != "" {
+			return t.pendingReason
 		}
-		if t.reason != "" && t.reason != reasonNotBegun {
+		if t.reason != "" && t.reason != reasonNotStarted {
 			return t.reason
 		}
 	}
 	return ""
 }
 
-func (s *State) status(e StatusRequested) {
+func (s *State) replyStatus(e StatusRequested) {
 	out := &Status{
-		Daemon:   s.options.Daemon,
-		Revision: s.config.Revision,
-		Ready:    s.isReady(),
-		StoreReachable:    s.reached,
+		Daemon:         s.options.Daemon,
+		Revision:       s.config.Revision,
+		Ready:          s.isReady(),
+		StoreReachable: s.storeReachable,
 	}
-	for _, h := range s.order {
-		if h.book == nil {
+	for _, sh := range s.sortedShards {
+		if sh.view == nil {
 			continue
 		}
-		out.Shards = append(out.Shards, h.status())
-		for _, w := range h.order {
+		out.Shards = append(out.Shards, sh.status())
+		for _, w := range sh.sortedWorkers {
 			if e.Worker == "" || e.Worker == w.name {
-				out.Workers = append(out.Workers, h.workerStatus(w, e.Worker != ""))
+				out.Workers = append(out.Workers, sh.workerStatus(w, e.Worker != ""))
 			}
 		}
 	}
 	s.reply(Reply{Request: e.Request, Status: out})
 }
 
-func (h *shard) status() ShardStatus {
+func (sh *shard) status() ShardStatus {
 	out := ShardStatus{
-		Shard:   h.id,
-		Epoch:   h.epoch,
-		Phase:   h.phase.String(),
-		Workers: len(h.order),
-		Done:    h.book.done,
-		Evictions: h.book.evicted,
+		Shard:     sh.id,
+		Epoch:     sh.epoch,
+		Phase:     sh.ownership.String(),
+		Workers:   len(sh.sortedWorkers),
+		Done:      sh.view.finished,
+		Evictions: sh.view.evictions,
 	}
-	if h.phase == owning && h.isRecovering() {
+	if sh.ownership == owning && sh.hasUnsyncedRuns() {
 		out.Phase = "recovering"
 	}
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		out.Started += len(w.runs)
 	}
-	for _, t := range h.teams {
+	for _, t := range sh.teams {
 		out.Pending += t.pending.Len()
 	}
 	return out
 }
 
-func (h *shard) workerStatus(w *worker, explain bool) WorkerStatus {
+func (sh *shard) workerStatus(w *worker, explain bool) WorkerStatus {
 	out := WorkerStatus{
-		Worker:   w.name,
-		Capacity: w.account.Host.Capacity,
-		Granted:  w.account.Granted,
-		Tasks:    len(w.runs),
-		ClosedReason:    h.closedBy(w),
-		RestoreHold:     w.held,
+		Worker:       w.name,
+		Capacity:     w.account.Host.Capacity,
+		Granted:      w.account.Granted,
+		Tasks:        len(w.runs),
+		ClosedReason: sh.closedReason(w),
+		RestoreHold:  w.restoreHold,
 	}
-	if d, ok := h.state.drains[w.name]; ok {
+	if d, ok := sh.state.drains[w.name]; ok {
 		out.Drain = d.id + " " + string(d.state)
 	}
 	if explain {
-		out.Interference = h.explain(w)
+		out.Interference = sh.explain(w)
 	}
 	return out
 }
 
 // explain returns the interference estimates that concern the worker.
-func (h *shard) explain(w *worker) []string {
+func (sh *shard) explain(w *worker) []string {
 	var out []string
 	for _, service := range w.account.Host.Services {
-		for _, class := range h.state.policies.Learner.Classes(service) {
-			out = append(out, h.state.policies.Learner.Explain(service, class)...)
+		for _, class := range sh.state.policies.Learner.Classes(service) {
+			out = append(out, sh.state.policies.Learner.Explain(service, class)...)
 		}
 	}
 	return out
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -9,72 +9,72 @@
 const maxStops = 4
 
 // stopping is the wish to end a run.
-type stopping struct {
+type stopRequest struct {
 	reason     string
 	checkpoint bool
 	drainedOff string
-	asked      bool // StopTask has no answer yet
+	sent       bool // StopTask has no answer yet
 }
 
 // end asks the worker to end the task's run. A run that is only decided isn't
 // asked for any more once its record is durable.
-func (h *shard) end(t *task, why stopping) {
-	if t.state != describer.Started || t.stop != nil && t.stop.asked {
+func (sh *shard) stopRun(t *task, why stopRequest) {
+	if t.state != describer.Started || t.stop != nil && t.stop.sent {
 		return
 	}
-	w := h.worker(t.worker)
+	w := sh.ensureWorker(t.worker)
 	if w.account.Host.Control == "" {
 		return // known from the ledger only; whoever wants the end tries again
 	}
 	t.stop = &why
-	if t.phase == decided {
+	if t.startPhase == startRecorded {
 		return
 	}
-	t.stop.asked = true
-	w.stops++
-	h.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, why.checkpoint)
+	t.stop.sent = true
+	w.pendingStops++
+	sh.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, why.checkpoint)
 }
 
-func (h *shard) emitStop(w *worker, r runner.Run, checkpoint bool) {
-	h.state.emit(StopTask{
-		Shard:   h.id,
-		Epoch:   h.epoch,
+func (sh *shard) emitStop(w *worker, r runner.Run, checkpoint bool) {
+	sh.state.emit(StopTask{
+		Shard:   sh.id,
+		Epoch:   sh.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Stop:    runner.Stop{Epoch: h.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
+		Stop:    runner.Stop{Epoch: sh.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
 	})
 }
 
-func (h *shard) stopAnswered(e StopAnswered) {
-	t := h.book.task(e.Task)
+func (sh *shard) handleStopAnswered(e StopAnswered) {
+	t := sh.view.task(e.Task)
 	if t == nil || t.state != describer.Started || t.token != e.Token || t.stop == nil {
 		return
 	}
-	w := h.worker(t.worker)
+	w := sh.ensureWorker(t.worker)
 	if e.Err != "" {
-		h.after(repeatAfter, timer{kind: timerStop, task: t, worker: w})
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStop, task: t, worker: w})
 		return
 	}
 	if e.Stopped.Finished {
-		h.finished(t, w, e.Stopped.Result)
+		sh.recordFinished(t, w, e.Stopped.Result)
 		return
 	}
 	reason := t.stop.reason
 	if !e.Stopped.Ran {
-		reason = reasonNotBegun
+		reason = reasonNotStarted
 	}
-	h.release(t, released{reason, e.Stopped.Checkpoint, t.stop.drainedOff})
+	sh.recordReleased(t, runEnd{reason, e.Stopped.Checkpoint, t.stop.drainedOff})
 }
 
 // repeatStop asks again; the worker's answer is the same each time.
-func (h *shard) repeatStop(t *task) {
-	if t.state != describer.Started || t.stop == nil || !t.stop.asked || h.phase != owning {
+func (sh *shard) repeatStop(t *task) {
+	if t.state != describer.Started || t.stop == nil || !t.stop.sent || sh.ownership != owning {
 		return
 	}
-	w := h.worker(t.worker)
-	if w.failures >= silentAfter {
-		h.after(repeatAfter, timer{kind: timerStop, task: t, worker: w})
+	w := sh.ensureWorker(t.worker)
+	if w.missedSyncs >= maxMissedSyncs {
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStop, task: t, worker: w})
 		return
 	}
-	h.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, t.stop.checkpoint)
+	sh.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, t.stop.checkpoint)
 }
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -18,10 +18,10 @@
 
 // Times to come back that refusals state.
 const (
-	storeRetry = 5 * time.Second
-	ownerRetry = 2 * time.Second
-	lostRetry  = 2 * time.Second
-	fullRetry  = 10 * time.Second
+	storeRetry     = 5 * time.Second
+	ownerRetry     = 2 * time.Second
+	ownerLostRetry = 2 * time.Second
+	overloadRetry  = 10 * time.Second
 )
 
 // refusal is a failure to be told to a caller.
@@ -61,7 +61,7 @@
 	}
 }
 
-func storeAway() refusal {
+func storeUnavailable() refusal {
 	return refusal{
 		code: "store-unavailable", verdict: classifier.NotRun, retry: storeRetry,
 		message: "the store doesn't answer and nothing was recorded",
@@ -69,20 +69,20 @@
 }
 
 // deciding returns the shard if it may record new decisions, or refuses.
-func (s *State) deciding(request RequestID, id string) *shard {
-	h := s.shards[id]
+func (s *State) writableShard(request RequestID, id string) *shard {
+	sh := s.shards[id]
 	switch {
-	case h == nil || h.book == nil || !h.isDeciding():
+	case sh == nil || sh.view == nil || !sh.isWritable():
 		s.refuse(request, notOwner())
-	case !s.reached:
-		s.refuse(request, storeAway())
-	case h.journal.isFull():
+	case !s.storeReachable:
+		s.refuse(request, storeUnavailable())
+	case sh.journal.isFull():
 		s.refuse(request, refusal{
-			code: "overloaded", verdict: classifier.NotRun, retry: fullRetry,
+			code: "overloaded", verdict: classifier.NotRun, retry: overloadRetry,
 			message: "too many records wait for the store",
 		})
 	default:
-		return h
+		return sh
 	}
 	return nil
 }
@@ -93,32 +93,32 @@
 		s.refuse(e.Request, r)
 		return
 	}
-	if h, j := s.find(e.Job.ID); j != nil {
-		h.resubmit(e, j)
+	if sh, j := s.findJob(e.Job.ID); j != nil {
+		sh.resubmit(e, j)
 		return
 	}
-	h := s.deciding(e.Request, HomeShard(&s.config, e.Job.ID))
-	if h == nil {
+	sh := s.writableShard(e.Request, HomeShard(&s.config, e.Job.ID))
+	if sh == nil {
 		return
 	}
 	accepted := e.Job
 	accepted.Accepted = s.now
-	h.append(describer.Record{Kind: describer.JobAccepted, Job: &accepted})
-	j := h.book.jobs[accepted.ID]
-	j.batch = h.journal.next()
-	h.journal.then(consequence{request: e.Request, job: j})
+	sh.appendRecord(describer.Record{Kind: describer.JobAccepted, Job: &accepted})
+	j := sh.view.jobs[accepted.ID]
+	j.lastBatch = sh.journal.nextBatch()
+	sh.journal.whenDurable(followUp{request: e.Request, job: j})
 }
 
 // resubmit answers a repeated submission with the job's state.
-func (h *shard) resubmit(e SubmitRequested, j *job) {
+func (sh *shard) resubmit(e SubmitRequested, j *job) {
 	if !isSameJob(&e.Job, j.Job) {
-		h.state.refuse(e.Request, refusal{
+		sh.state.refuse(e.Request, refusal{
 			status: http.StatusConflict, code: "conflict", field: "id",
 			verdict: classifier.NotRun, message: "another job has this id",
 		})
 		return
 	}
-	h.answer(e.Request, j)
+	sh.replyWhenDurable(e.Request, j)
 }
 
 func isSameJob(a, b *describer.Job) bool {
@@ -128,37 +128,37 @@
 }
 
 // find returns the job and its shard if it is in a book here.
-func (s *State) find(id string) (*shard, *job) {
-	for _, h := range s.order {
-		if h.book == nil {
+func (s *State) findJob(id string) (*shard, *job) {
+	for _, sh := range s.sortedShards {
+		if sh.view == nil {
 			continue
 		}
-		if j := h.book.jobs[id]; j != nil {
-			return h, j
+		if j := sh.view.jobs[id]; j != nil {
+			return sh, j
 		}
 	}
 	return nil, nil
 }
 
 // answer replies with the job's state once what it says is durable.
-func (h *shard) answer(request RequestID, j *job) {
+func (sh *shard) replyWhenDurable(request RequestID, j *job) {
 	switch {
-	case h.journal.isDurable(j.batch):
-		h.state.reply(Reply{Request: request, Job: h.jobStatus(j)})
-	case !h.state.reached:
-		h.state.refuse(request, storeAway())
+	case sh.journal.isDurable(j.lastBatch):
+		sh.state.reply(Reply{Request: request, Job: sh.jobStatus(j)})
+	case !sh.state.storeReachable:
+		sh.state.refuse(request, storeUnavailable())
 	default:
-		h.journal.then(consequence{request: request, job: j})
+		sh.journal.whenDurable(followUp{request: request, job: j})
 	}
 }
 
 // locate finds a job for a caller, or refuses.
-func (s *State) locate(request RequestID, id string) (*shard, *job) {
-	if h, j := s.find(id); j != nil {
-		return h, j
+func (s *State) findJobOrRefuse(request RequestID, id string) (*shard, *job) {
+	if sh, j := s.findJob(id); j != nil {
+		return sh, j
 	}
 	home := s.shards[HomeShard(&s.config, id)]
-	if home == nil || home.book == nil || home.phase != owning {
+	if home == nil || home.view == nil || home.ownership != owning {
 		s.refuse(request, notOwner())
 		return nil, nil
 	}
@@ -169,34 +169,34 @@
 	return nil, nil
 }
 
-func (s *State) inquire(e JobStatusRequested) {
-	if h, j := s.locate(e.Request, e.Job); j != nil {
-		h.answer(e.Request, j)
+func (s *State) replyJobStatus(e JobStatusRequested) {
+	if sh, j := s.findJobOrRefuse(e.Request, e.Job); j != nil {
+		sh.replyWhenDurable(e.Request, j)
 	}
 }
 
 // cancel ends a job: what is pending never starts, what may run is stopped.
 func (s *State) cancel(e CancelRequested) {
-	h, j := s.locate(e.Request, e.Job)
+	sh, j := s.findJobOrRefuse(e.Request, e.Job)
 	if j == nil {
 		return
 	}
 	if j.cancelled || j.isOver() {
-		h.answer(e.Request, j)
+		sh.replyWhenDurable(e.Request, j)
 		return
 	}
-	if s.deciding(e.Request, h.id) == nil {
+	if s.writableShard(e.Request, sh.id) == nil {
 		return
 	}
-	h.append(describer.Record{Kind: describer.JobCancelled, JobID: j.ID})
-	j.batch = h.journal.next()
-	h.journal.then(consequence{request: e.Request, job: j, halt: true})
+	sh.appendRecord(describer.Record{Kind: describer.JobCancelled, JobID: j.ID})
+	j.lastBatch = sh.journal.nextBatch()
+	sh.journal.whenDurable(followUp{request: e.Request, job: j, stopRuns: true})
 }
 
 // halt stops what a cancelled job has running.
-func (h *shard) halt(j *job) {
+func (sh *shard) stopRuns(j *job) {
 	for i := range j.tasks {
-		h.end(&j.tasks[i], stopping{reason: "cancelled"})
+		sh.stopRun(&j.tasks[i], stopRequest{reason: "cancelled"})
 	}
 }
 
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -12,67 +12,67 @@
 
 // schedule sets the worker's next inventory to its own place within the
 // interval, so that the calls of a shard are spread evenly.
-func (h *shard) schedule(w *worker) {
-	interval := h.state.options.SyncInterval
+func (sh *shard) scheduleSync(w *worker) {
+	interval := sh.state.options.SyncInterval
 	if interval <= 0 {
 		return
 	}
-	place := time.Duration(xxhash.Sum64String(w.name) % uint64(interval))
-	passed := time.Duration(h.state.now.UnixNano()) % interval
-	wait := (place - passed + interval) % interval
+	offset := time.Duration(xxhash.Sum64String(w.name) % uint64(interval))
+	elapsed := time.Duration(sh.state.now.UnixNano()) % interval
+	wait := (offset - elapsed + interval) % interval
 	if wait < interval/8 {
 		wait += interval
 	}
-	due := h.state.now.Add(wait)
-	if due.Equal(w.due) {
+	due := sh.state.now.Add(wait)
+	if due.Equal(w.nextSyncAt) {
 		return
 	}
-	w.due = due
-	h.after(wait, timer{kind: timerSync, worker: w})
+	w.nextSyncAt = due
+	sh.addTimer(wait, timer{kind: timerSync, worker: w})
 }
 
 // sync renews the leases on a worker and asks for its inventory.
-func (h *shard) sync(w *worker) {
-	if h.workers[w.name] != w || h.phase != owning {
+func (sh *shard) sendSync(w *worker) {
+	if sh.workers[w.name] != w || sh.ownership != owning {
 		return
 	}
-	if w.calling {
-		h.schedule(w)
+	if w.syncPending {
+		sh.scheduleSync(w)
 		return
 	}
 	if !w.listed && len(w.runs) == 0 {
-		h.forget(w)
+		sh.removeWorker(w)
 		return
 	}
 	if w.account.Host.Control == "" {
-		h.silent(w)
+		sh.countMissedSync(w)
 		return
 	}
-	w.calls++
-	w.calling = true
-	w.called = h.state.now
+	w.syncs++
+	w.syncPending = true
+	w.syncSentAt = sh.state.now
 	call := runner.Sync{
-		Shard: h.id,
-		Epoch: h.epoch,
-		Lease: h.state.options.TaskLease,
-		Renew: h.renewals(w),
-		Ack:   w.acknowledge(),
+		Shard: sh.id,
+		Epoch: sh.epoch,
+		Lease: sh.state.options.TaskLease,
+		Renew: sh.renewableRuns(w),
+		Ack:   w.acknowledgements(),
 	}
 	if len(call.Renew) > 0 {
-		call.Until = h.extend(w)
+		call.Until = sh.extendLeases(w)
 	}
-	h.state.emit(SyncWorker{Worker: w.name, Address: w.account.Host.Control, Sync: call})
+	sh.state.emit(SyncWorker{Worker: w.name, Address: w.account.Host.Control, Sync: call})
 }
 
 // renewals lists the runs to keep. A worker that doesn't answer gets none, so
 // that its leases are sure to lapse; nor does a run that is to end for good.
-func (h *shard) renewals(w *worker) []runner.Run {
-	if w.failures >= silentAfter || len(w.runs) == 0 || !w.heard || h.closing || !h.mayRenew() {
+func (sh *shard) renewableRuns(w *worker) []runner.Run {
+	if w.missedSyncs >= maxMissedSyncs || len(w.runs) == 0 || !w.synced || sh.releaseRecorded || !sh.mayRenew() {
 		return nil
 	}
 	runs := make([]runner.Run, 0, len(w.runs))
 	for _, t := range w.runs {
-		if t.phase == decided || t.job.cancelled {
+		if t.startPhase == startRecorded || t.job.cancelled {
 			continue
 		}
 		runs = append(runs, runner.Run{Task: t.id(), Token: t.token})
@@ -84,222 +84,222 @@
 // the store it can't tell an outage from a partition with a successor on the
 // other side, so it gives up when it hears of one, and at the latest after
 // the time that every successor waits.
-func (h *shard) mayRenew() bool {
-	s := h.state
-	if s.now.Sub(s.contact) >= s.options.OutageLimit {
+func (sh *shard) mayRenew() bool {
+	s := sh.state
+	if s.now.Sub(s.storeContactAt) >= s.options.OutageLimit {
 		return false
 	}
-	return s.reached || s.holder(h.id) == ""
+	return s.storeReachable || s.peerHolding(sh.id) == ""
 }
 
 // extend moves the time by which all leases on the worker have lapsed, and
 // returns it by the worker's clock. The worker's clock was read between the
 // beginning and the end of its latest call, so the lease is longer than asked
 // for by no more than that call took.
-func (h *shard) extend(w *worker) time.Time {
-	lease := h.state.options.TaskLease
-	end := h.state.now.Add(lease + w.slack)
-	if end.After(w.extent) {
-		w.extent = end
+func (sh *shard) extendLeases(w *worker) time.Time {
+	lease := sh.state.options.TaskLease
+	end := sh.state.now.Add(lease + w.clockError)
+	if end.After(w.leasesEnd) {
+		w.leasesEnd = end
 	}
 	if w.clock.IsZero() {
 		return time.Time{}
 	}
-	return w.clock.Add(h.state.now.Sub(w.clockAt) + lease)
+	return w.clock.Add(sh.state.now.Sub(w.clockReadAt) + lease)
 }
 
-func (w *worker) acknowledge() []runner.Run {
-	if len(w.acks) == 0 {
+func (w *worker) acknowledgements() []runner.Run {
+	if len(w.ackTasks) == 0 {
 		return nil
 	}
-	runs := make([]runner.Run, len(w.acks))
-	for i := range w.acks {
-		runs[i] = runner.Run{Task: w.acks[i], Token: w.ackRuns[i]}
+	runs := make([]runner.Run, len(w.ackTasks))
+	for i := range w.ackTasks {
+		runs[i] = runner.Run{Task: w.ackTasks[i], Token: w.ackTokens[i]}
 	}
 	return runs
 }
 
 // unanswered leaves a silent worker's leases to lapse after some failures.
-func (h *shard) unanswered(e WorkerSyncFailed) {
-	w := h.workers[e.Worker]
-	if w == nil || !w.calling {
+func (sh *shard) handleSyncFailed(e WorkerSyncFailed) {
+	w := sh.workers[e.Worker]
+	if w == nil || !w.syncPending {
 		return
 	}
-	w.calling = false
+	w.syncPending = false
 	if e.Fenced {
 		// A greater epoch exists; the leaser will say that the shard is lost.
-		h.schedule(w)
+		sh.scheduleSync(w)
 		return
 	}
-	h.silent(w)
+	sh.countMissedSync(w)
 }
 
 // silent counts a call that brought nothing.
-func (h *shard) silent(w *worker) {
-	w.failures++
-	h.refresh(w)
-	if w.failures >= silentAfter && len(w.runs) > 0 {
-		h.awaitLapse(w)
+func (sh *shard) countMissedSync(w *worker) {
+	w.missedSyncs++
+	sh.updateClosed(w)
+	if w.missedSyncs >= maxMissedSyncs && len(w.runs) > 0 {
+		sh.scheduleLapse(w)
 	}
-	h.schedule(w)
+	sh.scheduleSync(w)
 }
 
-func (h *shard) awaitLapse(w *worker) {
-	if w.lapsing {
+func (sh *shard) scheduleLapse(w *worker) {
+	if w.lapseScheduled {
 		return
 	}
-	w.lapsing = true
-	over := w.extent.Add(h.state.options.LeaseMargin)
-	h.after(max(over.Sub(h.state.now), 0), timer{kind: timerLapse, worker: w})
+	w.lapseScheduled = true
+	end := w.leasesEnd.Add(sh.state.options.LeaseMargin)
+	sh.addTimer(max(end.Sub(sh.state.now), 0), timer{kind: timerLapse, worker: w})
 }
 
 // lapse releases the runs of a worker that has been silent for so long that
 // every lease has ended by the worker's own clock.
-func (h *shard) lapse(w *worker) {
-	w.lapsing = false
-	over := w.extent.Add(h.state.options.LeaseMargin)
-	if w.failures < silentAfter || h.phase != owning || h.workers[w.name] != w {
+func (sh *shard) releaseLapsed(w *worker) {
+	w.lapseScheduled = false
+	end := w.leasesEnd.Add(sh.state.options.LeaseMargin)
+	if w.missedSyncs < maxMissedSyncs || sh.ownership != owning || sh.workers[w.name] != w {
 		return
 	}
-	if h.state.now.Before(over) {
-		h.awaitLapse(w)
+	if sh.state.now.Before(end) {
+		sh.scheduleLapse(w)
 		return
 	}
 	for len(w.runs) > 0 {
-		h.release(w.runs[len(w.runs)-1], released{reason: "lease lapsed"})
+		sh.recordReleased(w.runs[len(w.runs)-1], runEnd{reason: "lease lapsed"})
 	}
 }
 
 // synced takes in an inventory.
-func (h *shard) synced(e WorkerSynced) {
-	w := h.workers[e.Worker]
-	if w == nil || !w.calling || e.SentAt.Before(w.called) {
+func (sh *shard) handleSynced(e WorkerSynced) {
+	w := sh.workers[e.Worker]
+	if w == nil || !w.syncPending || e.SentAt.Before(w.syncSentAt) {
 		return
 	}
-	w.calling = false
-	w.failures = 0
-	first := !w.heard
-	w.heard = true
+	w.syncPending = false
+	w.missedSyncs = 0
+	first := !w.synced
+	w.synced = true
 	if first {
 		// From now on the worker refuses a former owner's renewals.
-		w.extent = h.state.now.Add(h.state.options.TaskLease)
+		w.leasesEnd = sh.state.now.Add(sh.state.options.TaskLease)
 	}
 	if !e.Synced.Clock.IsZero() {
 		w.clock = e.Synced.Clock
-		w.clockAt = e.SentAt
-		w.slack = max(0, h.state.now.Sub(e.SentAt))
+		w.clockReadAt = e.SentAt
+		w.clockError = max(0, sh.state.now.Sub(e.SentAt))
 	}
 	if !e.Synced.Capacity.IsZero() {
 		w.account.Host.Capacity = e.Synced.Capacity
 	}
 	w.account.Heard = e.SentAt
-	h.takeRunning(w, e.Synced.Running)
-	h.takeFinished(w, e.Synced.Finished)
-	h.takeAbsent(w)
-	h.observe(w, &e.Synced)
-	h.noteInterference(w)
-	h.refresh(w)
+	sh.reconcileRunning(w, e.Synced.Running)
+	sh.reconcileFinished(w, e.Synced.Finished)
+	sh.reconcileMissing(w)
+	sh.observeInventory(w, &e.Synced)
+	sh.updateInterference(w)
+	sh.updateClosed(w)
 	if first && len(w.runs) > 0 {
-		h.sync(w)
+		sh.sendSync(w)
 	}
-	h.schedule(w)
+	sh.scheduleSync(w)
 }
 
-func (h *shard) noteInterference(w *worker) {
+func (sh *shard) updateInterference(w *worker) {
 	if len(w.account.Host.Services) == 0 {
 		return
 	}
-	slower := h.interference(w)
-	if math.Abs(slower-w.slower) >= interferenceDelta {
-		w.slower = slower
-		h.state.published = false
+	slower := sh.interference(w)
+	if math.Abs(slower-w.interference) >= interferenceDelta {
+		w.interference = slower
+		sh.state.tableUpToDate = false
 	}
 }
 
 // takeRunning confirms runs and stops those that nobody wants any more.
-func (h *shard) takeRunning(w *worker, running []runner.Running) {
+func (sh *shard) reconcileRunning(w *worker, running []runner.Running) {
 	var used describer.Resources
 	for i := range running {
 		r := &running[i]
 		used = used.Add(r.Used)
-		t := h.book.task(r.Task)
-		if !isRun(t, w, r.Run) {
-			h.emitStop(w, r.Run, false)
+		t := sh.view.task(r.Task)
+		if !isCurrentRun(t, w, r.Run) {
+			sh.emitStop(w, r.Run, false)
 			continue
 		}
-		t.seen = w.calls
-		if t.phase != confirmed {
-			h.confirm(t, w)
+		t.seenAt = w.syncs
+		if t.startPhase != startConfirmed {
+			sh.confirmStart(t, w)
 		}
-		h.settleGrant(t, r)
-		h.observeRun(w, r)
+		sh.reconcileGrant(t, r)
+		sh.observeRun(w, r)
 		if t.job.cancelled && t.stop == nil {
-			h.end(t, stopping{reason: "cancelled"})
+			sh.stopRun(t, stopRequest{reason: "cancelled"})
 		}
 	}
 	w.account.Used = used
 }
 
 // isRun reports whether the run is the task's present one.
-func isRun(t *task, w *worker, r runner.Run) bool {
+func isCurrentRun(t *task, w *worker, r runner.Run) bool {
 	return t != nil && t.state == describer.Started && t.token == r.Token && t.worker == w.name
 }
 
-func (h *shard) confirm(t *task, w *worker) {
-	t.phase = confirmed
-	t.call = w.calls
+func (sh *shard) confirmStart(t *task, w *worker) {
+	t.startPhase = startConfirmed
+	t.confirmedAt = w.syncs
 }
 
 // takeFinished records ends. A run is acknowledged once that is durable.
-func (h *shard) takeFinished(w *worker, finished []runner.Finished) {
-	w.acks = w.acks[:0]
-	w.ackRuns = w.ackRuns[:0]
+func (sh *shard) reconcileFinished(w *worker, finished []runner.Finished) {
+	w.ackTasks = w.ackTasks[:0]
+	w.ackTokens = w.ackTokens[:0]
 	for i := range finished {
 		f := &finished[i]
-		t := h.book.task(f.Task)
-		if isRun(t, w, f.Run) {
-			t.seen = w.calls
-			h.conclude(t, w, f)
+		t := sh.view.task(f.Task)
+		if isCurrentRun(t, w, f.Run) {
+			t.seenAt = w.syncs
+			sh.recordEnd(t, w, f)
 			continue
 		}
 		if f.OK && t != nil && t.state == describer.Pending && t.token == f.Token {
 			// Its worker was out of reach until its lease lapsed, and it had
 			// completed before. No newer run has begun, so the result counts.
-			h.finished(t, w, f.Result)
+			sh.recordFinished(t, w, f.Result)
 			continue
 		}
-		if t == nil || h.journal.isDurable(t.batch) {
-			w.acks = append(w.acks, f.Task)
-			w.ackRuns = append(w.ackRuns, f.Token)
+		if t == nil || sh.journal.isDurable(t.lastBatch) {
+			w.ackTasks = append(w.ackTasks, f.Task)
+			w.ackTokens = append(w.ackTokens, f.Token)
 		}
 	}
 }
 
-func (h *shard) conclude(t *task, w *worker, f *runner.Finished) {
+func (sh *shard) recordEnd(t *task, w *worker, f *runner.Finished) {
 	switch {
 	case f.OK:
-		h.finished(t, w, f.Result)
+		sh.recordFinished(t, w, f.Result)
 	case f.Lapsed:
-		h.release(t, released{reason: "lease lapsed", checkpoint: f.Checkpoint})
+		sh.recordReleased(t, runEnd{reason: "lease lapsed", checkpoint: f.Checkpoint})
 	default:
-		h.failed(t, w, f.Reason)
+		sh.recordFailure(t, w, f.Reason)
 	}
 }
 
 // takeAbsent looks at the runs that the inventory doesn't name. One of a
 // former epoch can't begin any more, since the call raised the worker's epoch;
 // one that was confirmed before the call is over. A start in flight is left.
-func (h *shard) takeAbsent(w *worker) {
+func (sh *shard) reconcileMissing(w *worker) {
 	for i := len(w.runs) - 1; i >= 0; i-- {
 		t := w.runs[i]
-		if t.seen == w.calls || t.stop != nil && t.stop.asked {
+		if t.seenAt == w.syncs || t.stop != nil && t.stop.sent {
 			continue
 		}
 		switch {
-		case t.phase == adopted:
-			h.release(t, released{reason: "unknown to its worker"})
-		case t.phase == confirmed && t.call < w.calls:
-			h.release(t, released{reason: "lost by its worker"})
+		case t.startPhase == startAdopted:
+			sh.recordReleased(t, runEnd{reason: "unknown to its worker"})
+		case t.startPhase == startConfirmed && t.confirmedAt < w.syncs:
+			sh.recordReleased(t, runEnd{reason: "lost by its worker"})
 		}
 	}
 }
--- a/internal/control/reducer/task.go
+++ b/internal/control/reducer/task.go
@@ -9,19 +9,19 @@
 
 // Reasons of releases that count differently.
 const (
-	reasonNotBegun = "not begun" // the run never began
-	reasonEvicted  = "evicted"   // for services or for urgent work
+	reasonNotStarted = "not begun" // the run never began
+	reasonEvicted    = "evicted"   // for services or for urgent work
 )
 
 // job is an accepted job with its tasks.
 type job struct {
 	*describer.Job
-	order     uint64 // of acceptance
+	seq       uint64 // of acceptance
 	tasks     []task
 	counts    [describer.Failed + 1]int
 	cancelled bool
-	ended     time.Time
-	batch     int64 // of the latest record that a caller may hear of
+	endedAt   time.Time
+	lastBatch int64 // of the latest record that a caller may hear of
 }
 
 func (j *job) isOver() bool {
@@ -39,14 +39,14 @@
 }
 
 // phase is what the owner knows about the start of a task's run.
-type phase uint8
+type startPhase uint8
 
 const (
-	decided   phase = iota // recorded, the worker was not asked
-	asked                  // StartTask without an answer yet
-	uncertain              // the answer was lost
-	confirmed              // the worker said that it runs
-	adopted                // recorded by a former owner
+	startRecorded   startPhase = iota // recorded, the worker was not asked
+	startSent                         // StartTask without an answer yet
+	startUnanswered                   // the answer was lost
+	startConfirmed                    // the worker said that it runs
+	startAdopted                      // recorded by a former owner
 )
 
 // task is the state of one task. The fields above the line are durable.
@@ -66,33 +66,33 @@
 	state      describer.TaskState
 	ran        bool
 
-	phase      phase
-	queued     bool
-	slot       int32     // in worker.runs
-	call       uint64    // worker.calls when the start was confirmed
-	seen       uint64    // worker.calls of the latest inventory that named it
-	batch      int64     // of the latest record
-	stop       *stopping // a stop is wanted
-	shrinkTo   int64     // processors of a throttle that no inventory shows yet; 0 is none
-	shrinkFrom int64     // sequence of the first such throttle
-	policy     string    // why it isn't placed
+	startPhase     startPhase
+	queued         bool
+	slot           int32        // in worker.runs
+	confirmedAt    uint64       // worker.calls when the start was confirmed
+	seenAt         uint64       // worker.calls of the latest inventory that named it
+	lastBatch      int64        // of the latest record
+	stop           *stopRequest // a stop is wanted
+	shrinkTo       int64        // processors of a throttle that no inventory shows yet; 0 is none
+	shrinkSequence int64        // sequence of the first such throttle
+	pendingReason  string       // why it isn't placed
 }
 
 func (t *task) id() describer.TaskID {
 	return describer.TaskID{Job: t.job.ID, Index: int(t.index)}
 }
 
-func (t *task) start(r describer.Record) {
+func (t *task) applyStart(r describer.Record) {
 	t.state = describer.Started
 	t.worker = r.Worker
 	t.token = r.Token
 	t.granted = r.Granted
-	t.phase = adopted
+	t.startPhase = startAdopted
 }
 
 // release ends a run without a result. The task waits to resume.
-func (t *task) release(r describer.Record) {
-	t.ran = t.ran || r.Reason != reasonNotBegun
+func (t *task) applyRelease(r describer.Record) {
+	t.ran = t.ran || r.Reason != reasonNotStarted
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
@@ -103,28 +103,28 @@
 		t.evictions++
 	}
 	t.reason = r.Reason
-	t.end(describer.Pending)
+	t.endRun(describer.Pending)
 }
 
-func (t *task) fail(r describer.Record) {
+func (t *task) applyFailure(r describer.Record) {
 	t.ran = true
 	t.attempts++
-	t.failedOn = addText(t.failedOn, t.worker)
+	t.failedOn = appendUnique(t.failedOn, t.worker)
 	t.reason = r.Reason
-	t.end(describer.Pending)
+	t.endRun(describer.Pending)
 }
 
-func (t *task) finish(r describer.Record) {
+func (t *task) applyFinish(r describer.Record) {
 	t.ran = true
 	t.result = r.Result
 	t.reason = ""
 	t.drainedOff = ""
 	t.failedOn = nil
-	t.end(describer.Done)
+	t.endRun(describer.Done)
 }
 
 // end leaves the run behind. A task of a cancelled job never starts again.
-func (t *task) end(state describer.TaskState) {
+func (t *task) endRun(state describer.TaskState) {
 	if t.job.cancelled {
 		state = describer.Cancelled
 	}
--- a/internal/control/reducer/timer.go
+++ b/internal/control/reducer/timer.go
@@ -6,13 +6,13 @@
 type timerKind uint8
 
 const (
-	timerSync  timerKind = iota // next inventory of a worker
-	timerLapse                  // a silent worker's leases may have lapsed
-	timerProbe                  // a worker that was set aside gets one task
-	timerOpen                   // a worker that refused a start may be asked again
-	timerRetry                  // a failed task may start again
-	timerStart                  // repeat a start without an answer
-	timerStop                   // repeat a stop without an answer
+	timerSync        timerKind = iota // next inventory of a worker
+	timerLapse                        // a silent worker's leases may have lapsed
+	timerProbe                        // a worker that was set aside gets one task
+	timerReopen                       // a worker that refused a start may be asked again
+	timerRetry                        // a failed task may start again
+	timerRepeatStart                  // repeat a start without an answer
+	timerRepeatStop                   // repeat a stop without an answer
 )
 
 // timer is data, so that a State has no callbacks to lose. It is void once
@@ -40,10 +40,10 @@
 	sequence uint64
 }
 
-func (t *timers) add(one timer) {
+func (t *timers) add(added timer) {
 	t.sequence++
-	one.sequence = t.sequence
-	t.heap = append(t.heap, one)
+	added.sequence = t.sequence
+	t.heap = append(t.heap, added)
 	i := len(t.heap) - 1
 	for i > 0 {
 		up := (i - 1) / 2
@@ -61,11 +61,11 @@
 	t.heap[0] = t.heap[last]
 	t.heap[last] = timer{}
 	t.heap = t.heap[:last]
-	t.sink()
+	t.siftDown()
 	return first
 }
 
-func (t *timers) sink() {
+func (t *timers) siftDown() {
 	i := 0
 	for {
 		least := i
@@ -84,44 +84,44 @@
 
 // run fires all timers that are due. One that is added meanwhile fires in the
 // next run at the earliest.
-func (t *timers) run(now time.Time) {
+func (t *timers) fireDue(now time.Time) {
 	var due []timer
 	for len(t.heap) > 0 && !t.heap[0].at.After(now) {
 		due = append(due, t.pop())
 	}
-	for _, one := range due {
-		if one.shard.book != nil && one.shard.epoch == one.epoch {
-			one.shard.fire(one)
+	for _, expired := range due {
+		if expired.shard.view != nil && expired.shard.epoch == expired.epoch {
+			expired.shard.fireTimer(expired)
 		}
 	}
 }
 
 // after adds a timer of the shard.
-func (h *shard) after(wait time.Duration, one timer) {
-	one.at = h.state.now.Add(wait)
-	one.shard = h
-	one.epoch = h.epoch
-	h.state.timers.add(one)
+func (sh *shard) addTimer(wait time.Duration, t timer) {
+	t.at = sh.state.now.Add(wait)
+	t.shard = sh
+	t.epoch = sh.epoch
+	sh.state.timers.add(t)
 }
 
-func (h *shard) fire(one timer) {
-	switch one.kind {
+func (sh *shard) fireTimer(t timer) {
+	switch t.kind {
 	case timerSync:
-		if one.at.Equal(one.worker.due) {
-			one.worker.due = time.Time{}
-			h.sync(one.worker)
+		if t.at.Equal(t.worker.nextSyncAt) {
+			t.worker.nextSyncAt = time.Time{}
+			sh.sendSync(t.worker)
 		}
 	case timerLapse:
-		h.lapse(one.worker)
+		sh.releaseLapsed(t.worker)
 	case timerProbe:
-		h.probe(one.worker)
-	case timerOpen:
-		h.refresh(one.worker)
+		sh.allowProbe(t.worker)
+	case timerReopen:
+		sh.updateClosed(t.worker)
 	case timerRetry:
-		h.retry(one.task)
-	case timerStart:
-		h.repeatStart(one.task)
-	case timerStop:
-		h.repeatStop(one.task)
+		sh.requeue(t.task)
+	case timerRepeatStart:
+		sh.repeatStart(t.task)
+	case timerRepeatStop:
+		sh.repeatStop(t.task)
 	}
 }
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -12,118 +12,118 @@
 
 // Bounds on workers.
 const (
-	silentAfter  = 3               // unanswered inventories in a row before leases are left to lapse
-	refusalPause = 5 * time.Second // without placements after a refused start
+	maxMissedSyncs = 3               // unanswered inventories in a row before leases are left to lapse
+	refusalPause   = 5 * time.Second // without placements after a refused start
 )
 
 // worker is the owner's view of one worker.
 type worker struct {
-	name    string
-	account *accountant.Worker
-	listed  bool // in the host list
-	runs    []*task
-	stops   int // stops without an answer
-
-	calls    uint64        // inventories asked for
-	calling  bool          // one is without an answer
-	called   time.Time     // when it was asked for
-	heard    bool          // an inventory under this epoch has come
-	failures int           // unanswered in a row
-	clock    time.Time     // of the worker, by its latest inventory
-	clockAt  time.Time     // when that call began
-	slack    time.Duration // how long that call took at most
-	due      time.Time     // of the next inventory
-	lapsing  bool          // a timer for the lapse of its leases is set
-	extent   time.Time     // no lease given so far lasts longer, margin not counted
-	acks     []describer.TaskID
-	ackRuns  []describer.Token
-	pause    time.Time // no placements before
-
-	evidence   evidence
-	probing    bool // one task may be placed in spite of being set aside
-	restore    restorer.State
-	held       string    // what holds its restore back
-	batch      int64     // of the record that it is restored
-	resized    time.Time // when grants were last adapted to use
-	slower     float64   // published interference
-	escalation escalator.State
-	gone       time.Time // since when it is missing in the host list
+	name         string
+	account      *accountant.Worker
+	listed       bool // in the host list
+	runs         []*task
+	pendingStops int // stops without an answer
+
+	syncs          uint64        // inventories asked for
+	syncPending    bool          // one is without an answer
+	syncSentAt     time.Time     // when it was asked for
+	synced         bool          // an inventory under this epoch has come
+	missedSyncs    int           // unanswered in a row
+	clock          time.Time     // of the worker, by its latest inventory
+	clockReadAt    time.Time     // when that call began
+	clockError     time.Duration // how long that call took at most
+	nextSyncAt     time.Time     // of the next inventory
+	lapseScheduled bool          // a timer for the lapse of its leases is set
+	leasesEnd      time.Time     // no lease given so far lasts longer, margin not counted
+	ackTasks       []describer.TaskID
+	ackTokens      []describer.Token
+	pausedUntil    time.Time // no placements before
+
+	failureStreak   failureStreak
+	probeAllowed    bool // one task may be placed in spite of being set aside
+	restoreState    restorer.State
+	restoreHold     string    // what holds its restore back
+	restoredBatch   int64     // of the record that it is restored
+	resizedAt       time.Time // when grants were last adapted to use
+	interference    float64   // published interference
+	escalationState escalator.State
+	missingSince    time.Time // since when it is missing in the host list
 }
 
-func (s *State) arrangeWorkers() {
-	for _, h := range s.order {
-		if h.book != nil {
-			h.arrangeWorkers()
+func (s *State) updateWorkers() {
+	for _, sh := range s.sortedShards {
+		if sh.view != nil {
+			sh.arrangeWorkers()
 		}
 	}
 }
 
 // arrangeWorkers follows the host list and the shard's racks. A worker that
 // vanished from the lagging list stays as long as it has grants.
-func (h *shard) arrangeWorkers() {
-	racks := make(map[string]bool, len(h.config.Racks))
-	for _, rack := range h.config.Racks {
+func (sh *shard) arrangeWorkers() {
+	racks := make(map[string]bool, len(sh.config.Racks))
+	for _, rack := range sh.config.Racks {
 		racks[rack] = true
 	}
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		w.listed = false
 	}
-	for i := range h.state.hosts {
-		host := &h.state.hosts[i]
-		if host.Role == describer.Worker && host.Domain == h.config.Domain && racks[host.Rack] {
-			h.list(host)
+	for i := range sh.state.hosts {
+		host := &sh.state.hosts[i]
+		if host.Role == describer.Worker && host.Domain == sh.config.Domain && racks[host.Rack] {
+			sh.updateListed(host)
 		}
 	}
-	for _, w := range slices.Clone(h.order) {
-		h.review(w)
+	for _, w := range slices.Clone(sh.sortedWorkers) {
+		sh.reviewWorker(w)
 	}
 }
 
 // list takes in a line of the host list. The capacity that the worker itself
 // has stated goes before the listed one.
-func (h *shard) list(host *describer.Host) {
-	w := h.worker(host.Name)
+func (sh *shard) updateListed(host *describer.Host) {
+	w := sh.ensureWorker(host.Name)
 	capacity := w.account.Host.Capacity
 	w.account.Host = *host
-	if w.heard {
+	if w.synced {
 		w.account.Host.Capacity = capacity
 	}
 	w.listed = true
-	w.gone = time.Time{}
+	w.missingSince = time.Time{}
 }
 
-func (h *shard) review(w *worker) {
-	if !w.listed && w.gone.IsZero() {
-		w.gone = h.state.now
+func (sh *shard) reviewWorker(w *worker) {
+	if !w.listed && w.missingSince.IsZero() {
+		w.missingSince = sh.state.now
 	}
-	if !w.listed && len(w.runs) == 0 && !w.calling {
-		h.forget(w)
+	if !w.listed && len(w.runs) == 0 && !w.syncPending {
+		sh.removeWorker(w)
 		return
 	}
-	h.refresh(w)
+	sh.updateClosed(w)
 }
 
-func (h *shard) forget(w *worker) {
-	delete(h.workers, w.name)
-	delete(h.fleet.Workers, w.name)
-	h.state.timeline.Forget(w.name)
-	h.order = slices.DeleteFunc(h.order, func(o *worker) bool { return o == w })
+func (sh *shard) removeWorker(w *worker) {
+	delete(sh.workers, w.name)
+	delete(sh.fleet.Workers, w.name)
+	sh.state.timeline.Forget(w.name)
+	sh.sortedWorkers = slices.DeleteFunc(sh.sortedWorkers, func(o *worker) bool { return o == w })
 }
 
 // formerExtent is when the leases that former owners granted have lapsed. One
 // that was cut off may have gone on renewing for the outage limit; one that
 // gave the shard up to this owner said how long its leases last.
-func (h *shard) formerExtent() time.Time {
-	if h.released.Token.Epoch == h.epoch-1 && h.released.Kind == describer.ShardReleased {
-		return h.claimed.Add(h.released.Wait)
+func (sh *shard) formerLeasesEnd() time.Time {
+	if sh.releaseRecord.Token.Epoch == sh.epoch-1 && sh.releaseRecord.Kind == describer.ShardReleased {
+		return sh.claimedAt.Add(sh.releaseRecord.Wait)
 	}
-	return h.claimed.Add(h.state.options.OutageLimit + h.state.options.TaskLease)
+	return sh.claimedAt.Add(sh.state.options.OutageLimit + sh.state.options.TaskLease)
 }
 
 // worker returns the worker of that name. One that is known from the ledger
 // only is closed and has no capacity.
-func (h *shard) worker(name string) *worker {
-	if w := h.workers[name]; w != nil {
+func (sh *shard) ensureWorker(name string) *worker {
+	if w := sh.workers[name]; w != nil {
 		return w
 	}
 	account := &accountant.Worker{
@@ -132,38 +132,38 @@
 		Closed: true,
 	}
 	w := &worker{name: name, account: account}
-	w.extent = h.formerExtent()
-	h.workers[name] = w
-	h.fleet.Workers[name] = account
-	at, _ := slices.BinarySearchFunc(h.order, name, func(o *worker, n string) int { return compareText(o.name, n) })
-	h.order = slices.Insert(h.order, at, w)
-	h.schedule(w)
-	if h.book.asides[name] != "" {
-		h.after(probeInterval, timer{kind: timerProbe, worker: w})
+	w.leasesEnd = sh.formerLeasesEnd()
+	sh.workers[name] = w
+	sh.fleet.Workers[name] = account
+	at, _ := slices.BinarySearchFunc(sh.sortedWorkers, name, func(o *worker, n string) int { return compareStrings(o.name, n) })
+	sh.sortedWorkers = slices.Insert(sh.sortedWorkers, at, w)
+	sh.scheduleSync(w)
+	if sh.view.quarantined[name] != "" {
+		sh.addTimer(probeInterval, timer{kind: timerProbe, worker: w})
 	}
 	return w
 }
 
 // refresh recomputes whether tasks may be placed on the worker.
-func (h *shard) refresh(w *worker) {
-	if _, drained := h.state.drains[w.name]; !drained {
-		h.limit(w, false, 0)
-		w.held = ""
+func (sh *shard) updateClosed(w *worker) {
+	if _, drained := sh.state.drains[w.name]; !drained {
+		sh.setBatchLimit(w, false, 0)
+		w.restoreHold = ""
 	}
-	closed := h.closedBy(w) != ""
+	closed := sh.closedReason(w) != ""
 	if w.account.Closed && !closed {
-		w.account.Opened = h.state.now
-		h.idle = false
+		w.account.Opened = sh.state.now
+		sh.placementIdle = false
 	}
 	if w.account.Closed != closed {
-		h.state.published = false
+		sh.state.tableUpToDate = false
 	}
 	w.account.Closed = closed
 }
 
 // closedBy says why no task is placed on the worker, or nothing.
-func (h *shard) closedBy(w *worker) string {
-	d, drained := h.state.drains[w.name]
+func (sh *shard) closedReason(w *worker) string {
+	d, drained := sh.state.drains[w.name]
 	switch {
 	case !w.listed:
 		return "not in the host list"
@@ -171,13 +171,13 @@
 		return "leaving"
 	case drained && d.state == describer.Draining:
 		return "draining for " + d.id
-	case !w.heard:
+	case !w.synced:
 		return "no inventory yet"
-	case w.failures >= silentAfter:
+	case w.missedSyncs >= maxMissedSyncs:
 		return "no answer"
-	case h.book.asides[w.name] != "" && !w.probing:
-		return h.book.asides[w.name]
-	case h.state.now.Before(w.pause):
+	case sh.view.quarantined[w.name] != "" && !w.probeAllowed:
+		return sh.view.quarantined[w.name]
+	case sh.state.now.Before(w.pausedUntil):
 		return "refused a start"
 	}
 	return ""
@@ -185,8 +185,8 @@
 
 // hold accounts a started task's grant. In replay it may exceed what the
 // worker has; it is still there.
-func (h *shard) hold(t *task) {
-	w := h.worker(t.worker)
+func (sh *shard) addRun(t *task) {
+	w := sh.ensureWorker(t.worker)
 	g := accountant.Grant{
 		Token:     t.token,
 		Class:     t.job.Class,
@@ -195,41 +195,41 @@
 		Priority:  t.job.Priority,
 		Resources: t.granted,
 		HomeTo:    t.drainedOff,
-		Since:     h.state.now,
+		Since:     sh.state.now,
 	}
 	if w.account.Hold(t.id(), g) != nil {
 		w.account.Adopt(t.id(), g)
 	}
 	t.slot = int32(len(w.runs))
 	w.runs = append(w.runs, t)
-	team := h.team(t.job.Team)
+	team := sh.ensureTeam(t.job.Team)
 	team.used = team.used.Add(t.granted)
-	h.noteShares(w)
+	sh.recordShares(w)
 }
 
 // noteShares keeps what runs on the worker for late reports.
-func (h *shard) noteShares(w *worker) {
+func (sh *shard) recordShares(w *worker) {
 	if len(w.account.Host.Services) > 0 {
-		h.state.timeline.Set(w.name, h.state.now, w.account.Shares())
+		sh.state.timeline.Set(w.name, sh.state.now, w.account.Shares())
 	}
 }
 
-func (h *shard) unhold(t *task) {
-	w := h.worker(t.worker)
+func (sh *shard) removeRun(t *task) {
+	w := sh.ensureWorker(t.worker)
 	w.account.Drop(t.id(), t.token)
 	last := len(w.runs) - 1
 	w.runs[t.slot] = w.runs[last]
 	w.runs[t.slot].slot = t.slot
 	w.runs[last] = nil
 	w.runs = w.runs[:last]
-	if t.stop != nil && t.stop.asked {
-		w.stops--
+	if t.stop != nil && t.stop.sent {
+		w.pendingStops--
 	}
-	team := h.team(t.job.Team)
+	team := sh.ensureTeam(t.job.Team)
 	team.used = team.used.Sub(t.granted)
-	h.idle = false
-	h.noteShares(w)
+	sh.placementIdle = false
+	sh.recordShares(w)
 	if !w.listed && last == 0 {
-		h.schedule(w)
+		sh.scheduleSync(w)
 	}
 }
