--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -16,7 +16,7 @@
 	switch f := effect.(type) {
 	case reducer.Reply:
 		e.answer(f)
-	case reducer.Publish:
+	case reducer.PublishRoutingTable:
 		e.options.Publish(f.Table)
 	case reducer.StartTask:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.start(ctx, f) })
@@ -26,7 +26,7 @@
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.throttle(ctx, f) })
 	case reducer.SyncWorker:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.sync(ctx, f) })
-	case reducer.Propose:
+	case reducer.ProposeDrainUpdate:
 		e.call(ctx, running, func(ctx context.Context) reducer.Event { return e.propose(ctx, f) })
 	default:
 		if !e.options.Ledger.Do(effect) {
@@ -93,19 +93,19 @@
 	sent := time.Now()
 	synced, err := e.options.Worker.Sync(ctx, f.Address, f.Sync)
 	if err != nil {
-		return reducer.WorkerFailed{
+		return reducer.WorkerSyncFailed{
 			Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, Fenced: errors.Is(err, runner.ErrFenced),
 		}
 	}
 	return reducer.WorkerSynced{
-		Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, Sent: sent, Synced: synced,
+		Shard: f.Sync.Shard, Epoch: f.Sync.Epoch, Worker: f.Worker, SentAt: sent, Synced: synced,
 	}
 }
 
-func (e *Executor) propose(ctx context.Context, f reducer.Propose) reducer.Event {
+func (e *Executor) propose(ctx context.Context, f reducer.ProposeDrainUpdate) reducer.Event {
 	err := e.options.Propose(ctx, f)
 	if err != nil {
 		e.options.Log.Info().Err(err).Str("drain", f.Drain).Msg("proposal failed")
 	}
-	return reducer.Proposed{Drain: f.Drain, Worker: f.Worker, OK: err == nil}
+	return reducer.DrainUpdateAnswered{Drain: f.Drain, Worker: f.Worker, OK: err == nil}
 }
--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -24,7 +24,7 @@
 // worker.
 func fullState(workers, tasks int, policy placer.Policy) *State {
 	o := testOptions()
-	s := New(o, Policies{Place: policy})
+	s := New(o, Policies{Placement: policy})
 	c := describer.Configuration{Revision: 1, Services: []describer.Service{{Name: "menu-desk", Target: time.Second}}}
 	for i := range shareTeams {
 		c.Teams = append(c.Teams, describer.Team{Name: fmt.Sprintf("team-%03d", i), Weight: 1})
@@ -40,8 +40,8 @@
 		hosts = append(hosts, host)
 	}
 	s.Reduce(Tick{Now: start})
-	s.Reduce(HostsListed{Hosts: hosts})
-	s.Reduce(Configured{Configuration: c})
+	s.Reduce(HostsReceived{Hosts: hosts})
+	s.Reduce(ConfigurationReceived{Configuration: c})
 	records := fullLedger(hosts, tasks)
 	for _, one := range c.Shards {
 		answerAll(s, s.Reduce(ShardClaimed{Shard: one.ID, Epoch: 1, Records: records[one.ID]}))
@@ -83,7 +83,7 @@
 
 // inventoryOf answers a call with what the State believes to run there.
 func inventoryOf(s *State, call SyncWorker) WorkerSynced {
-	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, Sent: s.now}
+	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, SentAt: s.now}
 	out.Synced.Clock = s.now
 	for _, t := range s.shards[call.Sync.Shard].workers[call.Worker].runs {
 		out.Synced.Running = append(out.Synced.Running, runner.Running{
@@ -111,7 +111,7 @@
 	eachSize(b, func(b *testing.B, s *State) {
 		for n := 0; n < b.N; {
 			effects := s.Reduce(Tick{Now: s.now.Add(10 * time.Millisecond)})
-			s.Reduce(StoreReached{OK: true})
+			s.Reduce(StoreChecked{Reachable: true})
 			for _, e := range effects {
 				call, ok := e.(SyncWorker)
 				if !ok {
@@ -154,19 +154,19 @@
 
 // lifeOfTask carries out all effects of a job.
 func lifeOfTask(s *State, job describer.Job) {
-	work := s.Reduce(Submitted{Request: 1, Job: job})
+	work := s.Reduce(SubmitRequested{Request: 1, Job: job})
 	for len(work) > 0 {
 		e := work[0]
 		work = work[1:]
 		switch e := e.(type) {
-		case Append:
+		case AppendRecords:
 			s.now = s.now.Add(100 * time.Millisecond)
-			work = append(work, s.Reduce(Appended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
+			work = append(work, s.Reduce(RecordsAppended{Shard: e.Shard, Epoch: e.Epoch, Batch: e.Batch})...)
 		case StartTask:
 			s.Reduce(StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token})
-			h := s.shards[e.Shard]
-			h.finished(h.book.task(e.Start.Task), h.workers[e.Worker], nil)
-			work = append(work, s.Reduce(StoreReached{OK: true})...)
+			sh := s.shards[e.Shard]
+			sh.recordFinished(sh.view.task(e.Start.Task), sh.workers[e.Worker], nil)
+			work = append(work, s.Reduce(StoreChecked{Reachable: true})...)
 		}
 	}
 }
@@ -174,13 +174,13 @@
 // BenchmarkPlace is the default policy's choice of a worker.
 func BenchmarkPlace(b *testing.B) {
 	s := fullState(shareWorkers, shareTasks, nil)
-	h := s.order[0]
+	sh := s.sortedShards[0]
 	job := testJob("new", 1)
 	job.Team = "team-007"
 	r := placer.Request{Task: describer.TaskID{Job: "new"}, Job: &job, Want: job.Declared}
 	b.ReportAllocs()
 	for b.Loop() {
-		s.placer.Place(h.fleet, r, s.now)
+		s.placer.Place(sh.fleet, r, s.now)
 	}
 }
 
@@ -197,13 +197,13 @@
 // BenchmarkSnapshot is the snapshot of one shard.
 func BenchmarkSnapshot(b *testing.B) {
 	s := fullState(shareWorkers, shareTasks, placer.FirstFit{})
-	h := s.order[0]
+	sh := s.sortedShards[0]
 	b.ReportAllocs()
 	for b.Loop() {
-		h.state.snapshotLeast = 0
-		h.journal.sinceSnapshot = 1 << 20
+		sh.state.minSnapshotRecords = 0
+		sh.journal.recordsSinceSnapshot = 1 << 20
 		s.effects = nil
-		h.maySnapshot()
+		sh.maybeSnapshot()
 		b.ReportMetric(float64(len(s.effects[0].(SaveSnapshot).Data)), "B/snapshot")
 	}
 }
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -14,7 +14,7 @@
 // status asks for a job's state.
 func (d *desk) status(job string) *JobStatus {
 	taken[Reply](d)
-	d.do(Inquired{Request: 99, Job: job})
+	d.do(JobStatusRequested{Request: 99, Job: job})
 	replies := taken[Reply](d)
 	Expect(replies).To(HaveLen(1))
 	Expect(replies[0].Err).To(BeNil())
@@ -25,7 +25,7 @@
 func (d *desk) fail(s StartTask) {
 	d.wait(6 * time.Second)
 	for _, c := range taken[SyncWorker](d) {
-		answer := WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now}
+		answer := WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: d.now}
 		if c.Worker == s.Worker {
 			answer.Synced.Finished = []runner.Finished{{Run: runOf(s), Reason: "exit 1"}}
 		}
@@ -36,9 +36,9 @@
 var _ = Describe("placement", func() {
 	It("takes urgent tasks first, then those close to their deadline, then by share", func() {
 		d := newDesk("w1")
-		d.do(StoreReached{OK: true})
+		d.do(StoreChecked{Reachable: true})
 		d.Reduce(Tick{Now: d.now})
-		d.shards["bne-1"].phase = releasing // nothing is placed until all are queued
+		d.shards["bne-1"].ownership = releasing // nothing is placed until all are queued
 		h := d.shards["bne-1"]
 		queue := func(id, team string, change func(*describer.Job)) {
 			j := testJob(id, 1)
@@ -51,7 +51,7 @@
 		queue("other", "tourism", func(*describer.Job) {})
 		queue("soon", "council", func(j *describer.Job) { j.Deadline = d.now.Add(time.Minute) })
 		queue("urgent", "council", func(j *describer.Job) { j.Priority = describer.Urgent })
-		h.phase = owning
+		h.ownership = owning
 		d.do(Tick{Now: d.now.Add(time.Second)})
 		var order []string
 		for _, r := range d.durable() {
@@ -65,8 +65,8 @@
 		c := testConfiguration()
 		c.Revision = 2
 		c.Teams[0].Quota = describer.Resources{CPU: 2000}
-		d.do(Configured{Configuration: c})
-		d.do(Submitted{Request: 1, Job: testJob("menu", 4)})
+		d.do(ConfigurationReceived{Configuration: c})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		Expect(d.started()).To(HaveLen(2))
 		Expect(d.status("menu").Reason).To(Equal("the team's quota is used up"))
@@ -76,7 +76,7 @@
 		d := newDesk("w1")
 		job := testJob("huge", 1)
 		job.Declared.CPU = 1_000_000
-		d.do(Submitted{Request: 1, Job: job})
+		d.do(SubmitRequested{Request: 1, Job: job})
 		d.durable()
 		status := d.status("huge")
 		Expect(status.State).To(Equal("failed"))
@@ -85,7 +85,7 @@
 
 	It("makes room for an urgent task by throttling", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 4)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		starts := d.started()
 		var running []runner.Running
@@ -96,7 +96,7 @@
 		d.inventory(runner.Synced{Running: running})
 		urgent := testJob("urgent", 1)
 		urgent.Priority = describer.Urgent
-		d.do(Submitted{Request: 2, Job: urgent})
+		d.do(SubmitRequested{Request: 2, Job: urgent})
 		d.durable()
 		throttles := taken[ThrottleTask](d)
 		Expect(throttles).NotTo(BeEmpty())
@@ -123,7 +123,7 @@
 
 	It("books a growing grant before the worker hears of it", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		s := d.started()[0]
 		busy := runner.Synced{Running: []runner.Running{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
@@ -139,22 +139,22 @@
 
 	It("waits while the store is away, and goes on renewing", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
 		d.durable()
 		run := runOf(d.started()[0])
-		d.do(StoreReached{OK: false})
+		d.do(StoreChecked{Reachable: false})
 		d.do(Tick{Now: d.now.Add(6 * time.Second)})
 		Expect(taken[SyncWorker](d)[0].Sync.Renew).To(ContainElement(run))
-		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now})
+		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", SentAt: d.now})
 		Expect(taken[StartTask](d)).To(BeEmpty())
-		Expect(kinds(taken[Append](d)[0].Records)).NotTo(ContainElement(describer.TaskStarted))
+		Expect(kinds(taken[AppendRecords](d)[0].Records)).NotTo(ContainElement(describer.TaskStarted))
 	})
 })
 
 var _ = Describe("failures", func() {
 	It("set a task aside after three workers", func() {
 		d := newDesk("w1", "w2", "w3", "w4")
-		d.do(Submitted{Request: 1, Job: testJob("broken", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("broken", 1)})
 		used := map[string]bool{}
 		for range 3 {
 			d.durable()
@@ -176,7 +176,7 @@
 		for i, id := range []string{"a", "b", "c"} {
 			job := testJob(id, 1)
 			job.Class = id
-			d.do(Submitted{Request: RequestID(i + 1), Job: job})
+			d.do(SubmitRequested{Request: RequestID(i + 1), Job: job})
 			d.durable()
 			for _, s := range d.started() {
 				if s.Start.Task.Job == id {
@@ -190,7 +190,7 @@
 		Expect(taken[StartTask](d)).To(BeEmpty())
 		d.do(StatusRequested{Request: 9})
 		replies := taken[Reply](d)
-		Expect(replies[len(replies)-1].Status.Workers[0].Aside).To(Equal("failed 3 jobs in a row, the last with: exit 1"))
+		Expect(replies[len(replies)-1].Status.Workers[0].ClosedReason).To(Equal("failed 3 jobs in a row, the last with: exit 1"))
 		for range 62 {
 			d.wait(5 * time.Second)
 			d.inventory(runner.Synced{})
@@ -206,14 +206,14 @@
 
 	It("of a worker to answer don't lose a result that comes before a new start", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		run := runOf(d.started()[0])
 		var records []describer.Record
 		for range 50 {
 			d.wait(time.Second)
 			for _, c := range taken[SyncWorker](d) {
-				d.do(WorkerFailed{Shard: "bne-1", Epoch: 1, Worker: c.Worker})
+				d.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 1, Worker: c.Worker})
 			}
 			records = append(records, d.durable()...)
 		}
@@ -226,43 +226,43 @@
 
 	It("leave a stale result without effect", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		run := runOf(d.started()[0])
 		run.Token.Sequence += 7
 		h := d.shards["bne-1"]
 		h.apply(describer.Record{Kind: describer.TaskFinished, Task: run.Task, Token: run.Token})
-		Expect(h.book.task(run.Task).state).To(Equal(describer.Started))
+		Expect(h.view.task(run.Task).state).To(Equal(describer.Started))
 	})
 })
 
 var _ = Describe("a planned stop", func() {
 	It("starts nothing more and releases the shard after its records are sent", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.do(StopRequested{})
-		Expect(taken[Release](d)).To(HaveLen(1))
-		d.do(Submitted{Request: 2, Job: testJob("late", 1)})
+		Expect(taken[ReleaseShard](d)).To(HaveLen(1))
+		d.do(SubmitRequested{Request: 2, Job: testJob("late", 1)})
 		reply := taken[Reply](d)[0]
 		Expect(reply.Err.Code).To(Equal("not-owner"))
 		Expect(reply.Err.Verdict).To(Equal(classifier.NotRun))
 		d.do(ShardLost{Shard: "bne-1", Epoch: 1})
 		Expect(taken[Reply](d)[0].Err.Verdict).To(Equal(classifier.MayHaveRun))
 		d.wait(2 * time.Minute)
-		Expect(taken[Claim](d)).To(BeEmpty())
+		Expect(taken[ClaimShard](d)).To(BeEmpty())
 	})
 })
 
 var _ = Describe("a snapshot", func() {
 	It("holds what the records hold", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 6)})
-		d.do(KeyRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 6)})
+		d.do(KeyClaimRequested{Request: 2, Shard: "bne-1", Key: "k", Owner: "o"})
 		records := d.durable()
-		d.snapshotLeast = 0
+		d.minSnapshotRecords = 0
 		h := d.shards["bne-1"]
-		h.journal.sinceSnapshot = 1000
-		h.maySnapshot()
+		h.journal.recordsSinceSnapshot = 1000
+		h.maybeSnapshot()
 		d.effects = append(d.effects, d.State.effects...)
 		saved := taken[SaveSnapshot](d)[0]
 
@@ -274,6 +274,6 @@
 	It("that can't be read makes the daemon give the shard up", func() {
 		s := successor(nil, "w1")
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Snapshot: []byte("{")})
-		Expect(taken[Release](s)).To(ContainElement(Release{Shard: "bne-1", Epoch: 3}))
+		Expect(taken[ReleaseShard](s)).To(ContainElement(ReleaseShard{Shard: "bne-1", Epoch: 3}))
 	})
 })
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -9,18 +9,18 @@
 // Effect is something to be done outside the control state.
 type Effect interface{ effect() }
 
-// Claim asks for ownership of a shard. The answer is ShardClaimed or ClaimFailed.
-type Claim struct{ Shard string }
+// ClaimShard asks for ownership of a shard. The answer is ShardClaimed or ClaimFailed.
+type ClaimShard struct{ Shard string }
 
-// Release gives a shard up once its pending appends are done. The answer is ShardLost.
-type Release struct {
+// ReleaseShard gives a shard up once its pending appends are done. The answer is ShardLost.
+type ReleaseShard struct {
 	Shard string
 	Epoch int64
 }
 
-// Append makes records durable, in order with other appends of the shard. The
+// AppendRecords makes records durable, in order with other appends of the shard. The
 // answer is Appended or ShardLost; while the store is away it stays pending.
-type Append struct {
+type AppendRecords struct {
 	Shard   string
 	Epoch   int64
 	Batch   int64
@@ -79,59 +79,59 @@
 	Err     *classifier.Error
 }
 
-// Publish replaces the traffic side's routing table.
-type Publish struct{ Table *describer.RoutingTable }
+// PublishRoutingTable replaces the traffic side's routing table.
+type PublishRoutingTable struct{ Table *describer.RoutingTable }
 
-// Propose changes the configuration: the worker has its work back from the
+// ProposeDrainUpdate changes the configuration: the worker has its work back from the
 // drain, which is removed when all of its workers have, or (Worker empty) the
 // drain's time is over and its restore begins. The answer is Proposed.
-type Propose struct {
+type ProposeDrainUpdate struct {
 	Drain  string
 	Worker string
 }
 
-func (Claim) effect()        {}
-func (Release) effect()      {}
-func (Append) effect()       {}
-func (SaveSnapshot) effect() {}
-func (StartTask) effect()    {}
-func (StopTask) effect()     {}
-func (ThrottleTask) effect() {}
-func (SyncWorker) effect()   {}
-func (Reply) effect()        {}
-func (Publish) effect()      {}
-func (Propose) effect()      {}
+func (ClaimShard) effect()          {}
+func (ReleaseShard) effect()        {}
+func (AppendRecords) effect()       {}
+func (SaveSnapshot) effect()        {}
+func (StartTask) effect()           {}
+func (StopTask) effect()            {}
+func (ThrottleTask) effect()        {}
+func (SyncWorker) effect()          {}
+func (Reply) effect()               {}
+func (PublishRoutingTable) effect() {}
+func (ProposeDrainUpdate) effect()  {}
 
 // Status reports on the shards that a daemon owns.
 type Status struct {
-	Daemon   string         `json:"daemon"`
-	Revision int64          `json:"revision"`
-	Ready    bool           `json:"ready"`
-	Store    bool           `json:"store"` // reached by the last call
-	Shards   []ShardStatus  `json:"shards"`
-	Workers  []WorkerStatus `json:"workers,omitempty"`
+	Daemon         string         `json:"daemon"`
+	Revision       int64          `json:"revision"`
+	Ready          bool           `json:"ready"`
+	StoreReachable bool           `json:"store"` // reached by the last call
+	Shards         []ShardStatus  `json:"shards"`
+	Workers        []WorkerStatus `json:"workers,omitempty"`
 }
 
 // ShardStatus is one owned shard in short.
 type ShardStatus struct {
-	Shard   string `json:"shard"`
-	Epoch   int64  `json:"epoch"`
-	Phase   string `json:"phase"`
-	Workers int    `json:"workers"`
-	Pending int    `json:"pending"`
-	Started int    `json:"started"`
-	Done    int    `json:"done"`
-	Evicted int64  `json:"evicted"`
+	Shard     string `json:"shard"`
+	Epoch     int64  `json:"epoch"`
+	Phase     string `json:"phase"`
+	Workers   int    `json:"workers"`
+	Pending   int    `json:"pending"`
+	Started   int    `json:"started"`
+	Done      int    `json:"done"`
+	Evictions int64  `json:"evicted"`
 }
 
 // WorkerStatus is one worker of an owned shard.
 type WorkerStatus struct {
-	Worker   string              `json:"worker"`
-	Capacity describer.Resources `json:"capacity"`
-	Granted  describer.Resources `json:"granted"`
-	Tasks    int                 `json:"tasks"`
-	Aside    string              `json:"aside,omitempty"` // why no task is placed here
-	Drain    string              `json:"drain,omitempty"` // id and state of its drain
-	Held     string              `json:"held,omitempty"`  // what still holds its restore back
-	Why      []string            `json:"why,omitempty"`   // interference estimates
+	Worker       string              `json:"worker"`
+	Capacity     describer.Resources `json:"capacity"`
+	Granted      describer.Resources `json:"granted"`
+	Tasks        int                 `json:"tasks"`
+	ClosedReason string              `json:"aside,omitempty"` // why no task is placed here
+	Drain        string              `json:"drain,omitempty"` // id and state of its drain
+	RestoreHold  string              `json:"held,omitempty"`  // what still holds its restore back
+	Interference []string            `json:"why,omitempty"`   // interference estimates
 }
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -16,12 +16,12 @@
 // Tick before it.
 type Tick struct{ Now time.Time }
 
-// Configured delivers a configuration; a revision that is not greater than
+// ConfigurationReceived delivers a configuration; a revision that is not greater than
 // the one in force is ignored.
-type Configured struct{ Configuration describer.Configuration }
+type ConfigurationReceived struct{ Configuration describer.Configuration }
 
-// HostsListed delivers the host list.
-type HostsListed struct{ Hosts []describer.Host }
+// HostsReceived delivers the host list.
+type HostsReceived struct{ Hosts []describer.Host }
 
 // PeersChanged delivers the entry hosts of all failure domains that membership believes to be alive,
 // this one included.
@@ -37,10 +37,10 @@
 	Leaving bool
 }
 
-// StoreReached says whether the last store call had an answer. It comes after
+// StoreChecked says whether the last store call had an answer. It comes after
 // each renewal of the shards' leases, not only on a change. When a call
 // shows that a shard's lease is over, ShardLost comes first.
-type StoreReached struct{ OK bool }
+type StoreChecked struct{ Reachable bool }
 
 // ShardClaimed says that this daemon owns a shard from now on. Snapshot and
 // Records are the ledger's content; Snapshot may be nil.
@@ -63,33 +63,33 @@
 	Epoch int64
 }
 
-// Appended says that the records of Append with this Batch are durable.
-type Appended struct {
+// RecordsAppended says that the records of Append with this Batch are durable.
+type RecordsAppended struct {
 	Shard string
 	Epoch int64
 	Batch int64
 }
 
-// Submitted asks to accept a job in Shard, or in its home shard when Shard is empty.
-type Submitted struct {
+// SubmitRequested asks to accept a job in Shard, or in its home shard when Shard is empty.
+type SubmitRequested struct {
 	Request RequestID
 	Job     describer.Job
 }
 
-// Cancelled asks to cancel a job.
-type Cancelled struct {
+// CancelRequested asks to cancel a job.
+type CancelRequested struct {
 	Request RequestID
 	Job     string
 }
 
-// Inquired asks for the state of a job.
-type Inquired struct {
+// JobStatusRequested asks for the state of a job.
+type JobStatusRequested struct {
 	Request RequestID
 	Job     string
 }
 
-// KeyRequested asks to record that a non-idempotent request is about to be sent.
-type KeyRequested struct {
+// KeyClaimRequested asks to record that a non-idempotent request is about to be sent.
+type KeyClaimRequested struct {
 	Request RequestID
 	Shard   string
 	Key     string
@@ -113,12 +113,12 @@
 	Shard  string
 	Epoch  int64
 	Worker string
-	Sent   time.Time // when the call began; leases run from here
+	SentAt time.Time // when the call began; leases run from here
 	Synced runner.Synced
 }
 
-// WorkerFailed says that a SyncWorker had no answer.
-type WorkerFailed struct {
+// WorkerSyncFailed says that a SyncWorker had no answer.
+type WorkerSyncFailed struct {
 	Shard  string
 	Epoch  int64
 	Worker string
@@ -147,9 +147,9 @@
 	Err     string
 }
 
-// Proposed is the outcome of a Propose effect; the new configuration follows
+// DrainUpdateAnswered is the outcome of a Propose effect; the new configuration follows
 // as Configured.
-type Proposed struct {
+type DrainUpdateAnswered struct {
 	Drain  string
 	Worker string
 	OK     bool
@@ -158,47 +158,47 @@
 // StopRequested begins a planned stop: no claims, shards are released.
 type StopRequested struct{}
 
-func (Tick) event()            {}
-func (Configured) event()      {}
-func (HostsListed) event()     {}
-func (PeersChanged) event()    {}
-func (StoreReached) event()    {}
-func (ShardClaimed) event()    {}
-func (ClaimFailed) event()     {}
-func (ShardLost) event()       {}
-func (Appended) event()        {}
-func (Submitted) event()       {}
-func (Cancelled) event()       {}
-func (Inquired) event()        {}
-func (KeyRequested) event()    {}
-func (PlanRequested) event()   {}
-func (StatusRequested) event() {}
-func (WorkerSynced) event()    {}
-func (WorkerFailed) event()    {}
-func (StartAnswered) event()   {}
-func (StopAnswered) event()    {}
-func (Proposed) event()        {}
-func (StopRequested) event()   {}
+func (Tick) event()                  {}
+func (ConfigurationReceived) event() {}
+func (HostsReceived) event()         {}
+func (PeersChanged) event()          {}
+func (StoreChecked) event()          {}
+func (ShardClaimed) event()          {}
+func (ClaimFailed) event()           {}
+func (ShardLost) event()             {}
+func (RecordsAppended) event()       {}
+func (SubmitRequested) event()       {}
+func (CancelRequested) event()       {}
+func (JobStatusRequested) event()    {}
+func (KeyClaimRequested) event()     {}
+func (PlanRequested) event()         {}
+func (StatusRequested) event()       {}
+func (WorkerSynced) event()          {}
+func (WorkerSyncFailed) event()      {}
+func (StartAnswered) event()         {}
+func (StopAnswered) event()          {}
+func (DrainUpdateAnswered) event()   {}
+func (StopRequested) event()         {}
 
 // RequestID ties a Reply to the event that asked for it; 0 wants no reply.
 type RequestID uint64
 
 // JobStatus is the Reply to Submitted, Cancelled and Inquired.
 type JobStatus struct {
-	Job     string            `json:"job"`
-	Shard   string            `json:"shard"`
-	State   string            `json:"state"` // accepted, running, done, cancelled, failed
-	Pending int               `json:"pending"`
-	Started int               `json:"started"`
-	Done    int               `json:"done"`
-	Failed  int               `json:"failed"`
-	Ran     bool              `json:"ran"` // some task may have run
-	Reason  string            `json:"reason,omitempty"`
-	Results []json.RawMessage `json:"results,omitempty"` // by task index, once done
+	Job        string            `json:"job"`
+	Shard      string            `json:"shard"`
+	State      string            `json:"state"` // accepted, running, done, cancelled, failed
+	Pending    int               `json:"pending"`
+	Started    int               `json:"started"`
+	Done       int               `json:"done"`
+	Failed     int               `json:"failed"`
+	MayHaveRun bool              `json:"ran"` // some task may have run
+	Reason     string            `json:"reason,omitempty"`
+	Results    []json.RawMessage `json:"results,omitempty"` // by task index, once done
 }
 
 // KeyClaim is the Reply to KeyRequested.
 type KeyClaim struct {
-	Fresh bool   `json:"fresh"` // false: claimed before, by Owner
+	First bool   `json:"fresh"` // false: claimed before, by Owner
 	Owner string `json:"owner"`
 }
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -38,7 +38,7 @@
 	lease    time.Time
 	batch    int64
 	snapshot []byte
-	appends  []Append
+	appends  []AppendRecords
 }
 
 func (l *ledger) tail() []describer.Record {
@@ -102,7 +102,7 @@
 }
 
 // append commits a batch once; it is refused to a former owner.
-func (s *ledgers) append(a Append) bool {
+func (s *ledgers) append(a AppendRecords) bool {
 	l := s.shards[a.Shard]
 	if l.epoch != a.Epoch {
 		return false
@@ -160,7 +160,7 @@
 	if n.paused || !n.reaches() || l.epoch != e.Epoch {
 		return
 	}
-	i := slices.IndexFunc(l.appends, func(a Append) bool { return a.Epoch == e.Epoch && a.Batch > e.Batch })
+	i := slices.IndexFunc(l.appends, func(a AppendRecords) bool { return a.Epoch == e.Epoch && a.Batch > e.Batch })
 	if i < 0 {
 		i = len(l.appends)
 	}
@@ -169,7 +169,7 @@
 }
 
 // propose changes the configuration as the distributor does.
-func (s *ledgers) propose(n *node, e Propose) {
+func (s *ledgers) propose(n *node, e ProposeDrainUpdate) {
 	i := slices.IndexFunc(s.config.Drains, func(d describer.Drain) bool { return d.ID == e.Drain })
 	if !n.reaches() || i < 0 {
 		return
@@ -259,14 +259,14 @@
 func (w *world) explain(id describer.TaskID) string {
 	out := "no owner knows it"
 	for _, n := range w.nodes {
-		for _, h := range n.state.order {
-			if h.book == nil {
+		for _, sh := range n.state.sortedShards {
+			if sh.view == nil {
 				continue
 			}
-			if t := h.book.task(id); t != nil {
-				out = n.name + " " + h.id + " " + h.phase.String() + ": " + t.state.String() + " " + t.worker + " " + t.policy + " " + t.reason
-				for _, worker := range h.order {
-					out += fmt.Sprintf("; %s has %v, %s", worker.name, worker.account.Free(), h.closedBy(worker))
+			if t := sh.view.task(id); t != nil {
+				out = n.name + " " + sh.id + " " + sh.ownership.String() + ": " + t.state.String() + " " + t.worker + " " + t.pendingReason + " " + t.reason
+				for _, worker := range sh.sortedWorkers {
+					out += fmt.Sprintf("; %s has %v, %s", worker.name, worker.account.Free(), sh.closedReason(worker))
 				}
 			}
 		}
--- a/internal/control/reducer/node_test.go
+++ b/internal/control/reducer/node_test.go
@@ -21,7 +21,7 @@
 	mute     map[string]bool // workers that hear it, and whose answers are lost
 	blind    bool            // sees no peer
 	owns     map[string]int64
-	appends  map[string][]Append
+	appends  map[string][]AppendRecords
 	revision int64
 }
 
@@ -29,14 +29,14 @@
 	o := testOptions()
 	o.Daemon, o.TaskLease, o.LeaseMargin = n.name, 10*time.Second, 3*time.Second
 	o.SyncInterval, o.OutageLimit = 2*time.Second, 40*time.Second
-	n.state = New(o, Policies{Place: placer.FirstFit{}})
-	n.state.snapshotLeast = 15
+	n.state = New(o, Policies{Placement: placer.FirstFit{}})
+	n.state.minSnapshotRecords = 15
 	n.life++
 	n.alive, n.paused, n.inbox = true, false, nil
-	n.owns, n.appends = make(map[string]int64), make(map[string][]Append)
+	n.owns, n.appends = make(map[string]int64), make(map[string][]AppendRecords)
 	n.revision = 0
 	n.reduce(Tick{Now: n.world.now})
-	n.reduce(HostsListed{Hosts: n.world.hosts()})
+	n.reduce(HostsReceived{Hosts: n.world.hosts()})
 	life := n.life
 	n.every(life, 250*time.Millisecond, func() { n.reduce(Tick{Now: n.world.now}) })
 	n.every(life, time.Second, n.watch)
@@ -95,7 +95,7 @@
 // watch brings configuration and membership.
 func (n *node) watch() {
 	if n.reaches() {
-		n.reduce(Configured{Configuration: n.world.store.config})
+		n.reduce(ConfigurationReceived{Configuration: n.world.store.config})
 	}
 	var peers []Peer
 	for _, o := range n.world.nodes {
@@ -106,13 +106,13 @@
 		}
 	}
 	n.reduce(PeersChanged{Alive: peers})
-	n.reduce(HostsListed{Hosts: n.world.hosts()})
+	n.reduce(HostsReceived{Hosts: n.world.hosts()})
 }
 
 // renew keeps the shards' leases in the store.
 func (n *node) renew() {
 	if !n.reaches() {
-		n.reduce(StoreReached{OK: false})
+		n.reduce(StoreChecked{Reachable: false})
 		return
 	}
 	for _, shard := range sortedKeys(n.owns) {
@@ -120,7 +120,7 @@
 			n.lose(shard, n.owns[shard])
 		}
 	}
-	n.reduce(StoreReached{OK: true})
+	n.reduce(StoreChecked{Reachable: true})
 }
 
 func (n *node) lose(shard string, epoch int64) {
@@ -134,11 +134,11 @@
 func (n *node) execute(effect Effect) {
 	w := n.world
 	switch e := effect.(type) {
-	case Claim:
+	case ClaimShard:
 		n.later(w.between(1e6, 5e7), func() { n.claim(e.Shard) })
-	case Release:
+	case ReleaseShard:
 		n.later(w.between(1e6, 5e7), func() { n.release(e) })
-	case Append:
+	case AppendRecords:
 		n.appends[e.Shard] = append(n.appends[e.Shard], e)
 		if len(n.appends[e.Shard]) == 1 {
 			n.later(w.between(1e6, 2e8), func() { n.append(e.Shard) })
@@ -166,20 +166,20 @@
 		w.call(n, e.Worker, func(m *fakeWorker) Event {
 			s, err := m.sync(e.Sync)
 			if err != "" {
-				return WorkerFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
+				return WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
 			}
-			return WorkerSynced{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Sent: sent, Synced: s}
-		}, WorkerFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker})
+			return WorkerSynced{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, SentAt: sent, Synced: s}
+		}, WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker})
 	case Reply:
 		if id := w.asked[e.Request]; id != "" && e.Err != nil && e.Err.Verdict == classifier.NotRun {
 			w.refused[id] = true
 		}
-	case Publish:
+	case PublishRoutingTable:
 		if e.Table.Revision < n.revision {
 			w.t.Fatalf("%s: configuration reverts from %d to %d", n.name, n.revision, e.Table.Revision)
 		}
 		n.revision = e.Table.Revision
-	case Propose:
+	case ProposeDrainUpdate:
 		if !w.chance(0.3) {
 			n.later(w.between(1e6, 5e7), func() { w.store.propose(n, e) })
 		}
@@ -198,7 +198,7 @@
 	n.reduce(ShardClaimed{Shard: shard, Epoch: epoch, Snapshot: l.snapshot, Records: l.tail()})
 }
 
-func (n *node) release(e Release) {
+func (n *node) release(e ReleaseShard) {
 	if n.owns[e.Shard] != e.Epoch {
 		return
 	}
@@ -218,7 +218,7 @@
 	}
 	again := func() { n.later(time.Second, func() { n.append(shard) }) }
 	if n.paused || !n.reaches() {
-		n.reduce(StoreReached{OK: false})
+		n.reduce(StoreChecked{Reachable: false})
 		again()
 		return
 	}
@@ -231,7 +231,7 @@
 		return
 	}
 	n.appends[shard] = queue[1:]
-	n.reduce(Appended{Shard: shard, Epoch: queue[0].Epoch, Batch: queue[0].Batch})
+	n.reduce(RecordsAppended{Shard: shard, Epoch: queue[0].Epoch, Batch: queue[0].Batch})
 	if len(n.appends[shard]) > 0 {
 		n.later(n.world.between(1e6, 2e8), func() { n.append(shard) })
 	}
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -41,7 +41,7 @@
 	case 0, 1, 2, 3:
 		w.submit(fmt.Sprintf("job-%d", i), rapid.IntRange(1, 6).Draw(t, "tasks"))
 	case 4:
-		w.everywhere(func(n *node) { n.reduce(Cancelled{Job: fmt.Sprintf("job-%d", max(i-2, 0))}) })
+		w.everywhere(func(n *node) { n.reduce(CancelRequested{Job: fmt.Sprintf("job-%d", max(i-2, 0))}) })
 	case 5:
 		n := w.node(t)
 		n.kill()
@@ -87,7 +87,7 @@
 		old := w.store.config
 		old.Revision -= int64(rapid.IntRange(0, 3).Draw(t, "older"))
 		n := w.node(t)
-		w.after(length, func() { n.reduce(Configured{Configuration: old}) })
+		w.after(length, func() { n.reduce(ConfigurationReceived{Configuration: old}) })
 	case 14:
 		n := w.node(t)
 		n.blind = true
@@ -146,7 +146,7 @@
 		if _, ok := n.owns[home]; ok && n.alive {
 			w.requests++
 			w.asked[w.requests] = id
-			n.reduce(Submitted{Request: w.requests, Job: job})
+			n.reduce(SubmitRequested{Request: w.requests, Job: job})
 			return
 		}
 	}
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -13,10 +13,10 @@
 
 // successor replays the records in a new State under the next epoch.
 func successor(records []describer.Record, workers ...string) *desk {
-	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+	d := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 	d.do(Tick{Now: start.Add(time.Hour)})
-	d.do(HostsListed{Hosts: testHosts(workers...)})
-	d.do(Configured{Configuration: testConfiguration()})
+	d.do(HostsReceived{Hosts: testHosts(workers...)})
+	d.do(ConfigurationReceived{Configuration: testConfiguration()})
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 2, Records: records})
 	return d
 }
@@ -24,7 +24,7 @@
 var _ = Describe("a successor", func() {
 	It("keeps a started task until an inventory under its epoch lacks it", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 
 		s := successor(records, "w1")
@@ -37,7 +37,7 @@
 
 	It("adopts a run that its worker still has", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 		run := runOf(d.started()[0])
 
@@ -45,36 +45,36 @@
 		s.inventory(runner.Synced{Running: []runner.Running{{Run: run}}})
 		Expect(taken[SyncWorker](s)[0].Sync.Renew).To(Equal([]runner.Run{run}))
 		s.wait(time.Second)
-		Expect(taken[Append](s)).To(BeEmpty())
+		Expect(taken[AppendRecords](s)).To(BeEmpty())
 	})
 
 	It("restarts a task of a worker that it can't reach once its predecessor can't have renewed", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 
 		s := successor(records, "w1", "w2")
 		for _, c := range taken[SyncWorker](s) {
 			if c.Worker == "w2" {
-				s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: "w2", Sent: s.now})
+				s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: "w2", SentAt: s.now})
 			} else {
-				s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
+				s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
 			}
 		}
 		fail := func() {
 			s.wait(time.Second)
 			for _, c := range taken[SyncWorker](s) {
 				if c.Worker == "w1" {
-					s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: c.Worker})
+					s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: c.Worker})
 				} else {
-					s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: c.Worker, Sent: s.now})
+					s.do(WorkerSynced{Shard: "bne-1", Epoch: 2, Worker: c.Worker, SentAt: s.now})
 				}
 			}
 		}
 		for range 93 {
 			fail()
 		}
-		Expect(taken[Append](s)).To(BeEmpty())
+		Expect(taken[AppendRecords](s)).To(BeEmpty())
 		for range 7 {
 			fail()
 		}
@@ -85,18 +85,18 @@
 var _ = Describe("a hand-over", func() {
 	It("tells the successor how long the leases last at a worker that it can't reach", func() {
 		d := newDesk("w1")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		records := d.durable()
 		d.do(StopRequested{})
 		last := d.durable()
 		Expect(kinds(last)).To(Equal([]describer.RecordKind{describer.ShardReleased}))
-		Expect(taken[Release](d)).To(HaveLen(1))
+		Expect(taken[ReleaseShard](d)).To(HaveLen(1))
 
 		s := successor(append(records, last...), "w1")
 		for range 30 + 5 + 3 { // lease, margin, and the interval between looks
 			s.wait(time.Second)
 			for range taken[SyncWorker](s) {
-				s.do(WorkerFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
+				s.do(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
 			}
 		}
 		Expect(kinds(s.durable())).To(ContainElement(describer.TaskReleased))
@@ -106,18 +106,18 @@
 		d := newDesk("w1")
 		d.do(StopRequested{})
 		last := d.durable()
-		s := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+		s := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 		s.do(Tick{Now: start})
-		s.do(Configured{Configuration: testConfiguration()})
+		s.do(ConfigurationReceived{Configuration: testConfiguration()})
 		s.do(ShardClaimed{Shard: "bne-1", Epoch: 3, Records: last})
-		Expect(s.order[0].formerExtent()).To(Equal(start.Add(time.Minute + 30*time.Second)))
+		Expect(s.sortedShards[0].formerLeasesEnd()).To(Equal(start.Add(time.Minute + 30*time.Second)))
 	})
 })
 
 var _ = Describe("a drain", func() {
 	It("moves work off with a checkpoint and ends in a restore", func() {
 		d := newDesk("w1", "w2")
-		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
+		d.do(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		Expect(d.started()[0].Worker).To(Equal("w1"))
 
@@ -126,9 +126,9 @@
 		c.Drains = []describer.Drain{{
 			ID: "d1", Workers: []string{"w1"}, State: describer.Draining, Until: d.now.Add(time.Minute),
 		}}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		d.wait(2 * time.Second)
-		tables := taken[Publish](d)
+		tables := taken[PublishRoutingTable](d)
 		Expect(tables[len(tables)-1].Table.Services["menu-desk"][0].Closed).To(BeTrue())
 		stop := taken[StopTask](d)[0]
 		Expect(stop.Stop.Checkpoint).To(BeTrue())
@@ -144,26 +144,26 @@
 
 		d.wait(time.Minute)
 		d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(again[0])}}})
-		proposals := taken[Propose](d)
-		Expect(proposals[0]).To(Equal(Propose{Drain: "d1"}))
+		proposals := taken[ProposeDrainUpdate](d)
+		Expect(proposals[0]).To(Equal(ProposeDrainUpdate{Drain: "d1"}))
 		Expect(len(proposals)).To(BeNumerically("<=", 2))
 
 		c.Revision = 3
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		for range 60 {
 			d.wait(5 * time.Second)
 			d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(again[0])}}})
 		}
-		Expect(taken[Propose](d)).To(BeEmpty(), "its end isn't durable")
+		Expect(taken[ProposeDrainUpdate](d)).To(BeEmpty(), "its end isn't durable")
 		Expect(kinds(d.durable())).To(ContainElement(describer.DrainRestored))
 		d.wait(12 * time.Second)
-		Expect(len(taken[Propose](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
+		Expect(len(taken[ProposeDrainUpdate](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
 		c.Revision = 4
 		c.Drains = nil
-		d.do(Configured{Configuration: c})
+		d.do(ConfigurationReceived{Configuration: c})
 		d.wait(12 * time.Second)
-		Expect(taken[Propose](d)).To(BeEmpty())
+		Expect(taken[ProposeDrainUpdate](d)).To(BeEmpty())
 	})
 })
 
@@ -173,10 +173,10 @@
 		c := testConfiguration()
 		c.Revision = 2
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.do(Configured{Configuration: c})
-		Expect(d.shards["bne-1"].isRestoring()).To(BeTrue())
+		d.do(ConfigurationReceived{Configuration: c})
+		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeTrue())
 		c.Revision, c.Drains = 3, nil
-		d.do(Configured{Configuration: c})
-		Expect(d.shards["bne-1"].isRestoring()).To(BeFalse())
+		d.do(ConfigurationReceived{Configuration: c})
+		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeFalse())
 	})
 })
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -66,11 +66,11 @@
 // newDesk returns a State that owns its shard, with inventories from all of
 // its workers.
 func newDesk(workers ...string) *desk {
-	d := &desk{State: New(testOptions(), Policies{Place: placer.FirstFit{}})}
+	d := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
 	d.do(Tick{Now: start})
-	d.do(HostsListed{Hosts: testHosts(workers...)})
-	d.do(Configured{Configuration: testConfiguration()})
-	Expect(taken[Claim](d)).To(HaveLen(1))
+	d.do(HostsReceived{Hosts: testHosts(workers...)})
+	d.do(ConfigurationReceived{Configuration: testConfiguration()})
+	Expect(taken[ClaimShard](d)).To(HaveLen(1))
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
 	d.inventory(runner.Synced{})
 	return d
@@ -81,7 +81,7 @@
 func (d *desk) wait(t time.Duration) {
 	for end := d.now.Add(t); d.now.Before(end); {
 		d.do(Tick{Now: d.now.Add(min(250*time.Millisecond, end.Sub(d.now)))})
-		d.do(StoreReached{OK: true})
+		d.do(StoreChecked{Reachable: true})
 	}
 }
 
@@ -104,13 +104,13 @@
 func (d *desk) durable() []describer.Record {
 	var out []describer.Record
 	for {
-		appends := taken[Append](d)
+		appends := taken[AppendRecords](d)
 		if len(appends) == 0 {
 			return out
 		}
 		for _, a := range appends {
 			out = append(out, a.Records...)
-			d.do(Appended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
+			d.do(RecordsAppended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
 		}
 		d.wait(250 * time.Millisecond)
 	}
@@ -119,7 +119,7 @@
 // inventory answers all outstanding calls for inventories alike.
 func (d *desk) inventory(s runner.Synced) {
 	for _, c := range taken[SyncWorker](d) {
-		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now, Synced: s})
+		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: d.now, Synced: s})
 	}
 }
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -79,7 +79,7 @@
 		Log:     s.log,
 	}, store, s.node, func(c describer.Configuration) {
 		s.holder.SetShards(len(c.Shards))
-		post(reducer.Configured{Configuration: c})
+		post(reducer.ConfigurationReceived{Configuration: c})
 	})
 }
 
@@ -103,7 +103,7 @@
 		TaskLease:    time.Duration(s.Settings.Lease.Task),
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
-	}, reducer.Policies{Restore: restorer.Options{
+	}, reducer.Policies{Restoration: restorer.Options{
 		Settle:   time.Duration(s.Settings.Restore.Settle),
 		Patience: time.Duration(s.Settings.Restore.Patience),
 	}})
@@ -147,7 +147,7 @@
 }
 
 // propose carries out the reducer's change of a drain.
-func (s *Server) propose(ctx context.Context, p reducer.Propose) error {
+func (s *Server) propose(ctx context.Context, p reducer.ProposeDrainUpdate) error {
 	_, err := s.config.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
 		if p.Worker == "" {
 			return planner.BeginRestore(c, p.Drain), nil
@@ -181,7 +181,7 @@
 			s.log.Info().Str("part", "server").Err(err).Msg("host list unreadable")
 		} else {
 			s.members.UpdateHosts(list)
-			s.control.Post(reducer.HostsListed{Hosts: list})
+			s.control.Post(reducer.HostsReceived{Hosts: list})
 		}
 		waiter.Pause(ctx, hostsInterval)
 	}
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -32,7 +32,7 @@
 	}
 	lost := func(epoch int64) reducer.Event { return reducer.ShardLost{Shard: shard, Epoch: epoch} }
 	appended := func(epoch, batch int64) reducer.Event {
-		return reducer.Appended{Shard: shard, Epoch: epoch, Batch: batch}
+		return reducer.RecordsAppended{Shard: shard, Epoch: epoch, Batch: batch}
 	}
 
 	It("keeps its shards through an outage and catches up after it", bubble(func() {
@@ -119,7 +119,7 @@
 		a.claim()
 		a.client.SetDown(true)
 		a.append(1, 1, "one")
-		a.Do(reducer.Release{Shard: shard, Epoch: 1})
+		a.Do(reducer.ReleaseShard{Shard: shard, Epoch: 1})
 		time.Sleep(5 * minute)
 		Expect(a.take()).To(BeEmpty())
 		a.client.SetDown(false)
@@ -140,7 +140,7 @@
 			}
 			return faker.Answer
 		})
-		a.Do(reducer.Claim{Shard: shard})
+		a.Do(reducer.ClaimShard{Shard: shard})
 		time.Sleep(minute)
 		broken.Store(false)
 		time.Sleep(10 * time.Second)
@@ -191,9 +191,9 @@
 				time.Sleep(10 * time.Second)
 				a.watch(nil)
 				Expect(order).To(ContainElement(lost(1)))
-				Expect(order).To(ContainElement(reducer.StoreReached{OK: true}))
+				Expect(order).To(ContainElement(reducer.StoreChecked{Reachable: true}))
 				first := slices.Index(order, lost(1))
-				Expect(order[:first]).NotTo(ContainElement(reducer.StoreReached{OK: true}))
+				Expect(order[:first]).NotTo(ContainElement(reducer.StoreChecked{Reachable: true}))
 			})()
 		}
 	})
@@ -230,9 +230,9 @@
 		name := string(rune('a' + round))
 		d.append(claimed.Epoch, 1, name)
 		time.Sleep(2 * minute)
-		Expect(d.take()).To(Equal([]reducer.Event{reducer.Appended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
+		Expect(d.take()).To(Equal([]reducer.Event{reducer.RecordsAppended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
 		kept = append(kept, name)
-		d.Do(reducer.Release{Shard: shard, Epoch: claimed.Epoch})
+		d.Do(reducer.ReleaseShard{Shard: shard, Epoch: claimed.Epoch})
 		time.Sleep(minute)
 		Expect(d.take()).To(Equal([]reducer.Event{reducer.ShardLost{Shard: shard, Epoch: claimed.Epoch}}))
 	}
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -137,11 +137,11 @@
 // any other effect.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
-	case reducer.Claim:
+	case reducer.ClaimShard:
 		h.claim(e.Shard)
-	case reducer.Release:
+	case reducer.ReleaseShard:
 		h.release(e.Shard, e.Epoch)
-	case reducer.Append:
+	case reducer.AppendRecords:
 		h.append(e)
 	case reducer.SaveSnapshot:
 		h.save(e)
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -37,8 +37,8 @@
 		if d.observe != nil {
 			d.observe(e)
 		}
-		if r, ok := e.(reducer.StoreReached); ok {
-			d.reached = append(d.reached, r.OK)
+		if r, ok := e.(reducer.StoreChecked); ok {
+			d.reached = append(d.reached, r.Reachable)
 			return
 		}
 		d.events = append(d.events, e)
@@ -82,7 +82,7 @@
 // claim returns the event that the claim ended with.
 func (d *daemon) claim() reducer.Event {
 	d.take()
-	d.Do(reducer.Claim{Shard: shard})
+	d.Do(reducer.ClaimShard{Shard: shard})
 	for range 100 {
 		time.Sleep(100 * time.Millisecond)
 		if out := d.take(); len(out) > 0 {
@@ -97,7 +97,7 @@
 	for _, j := range jobs {
 		records = append(records, describer.Record{Kind: describer.JobCancelled, JobID: j})
 	}
-	d.Do(reducer.Append{Shard: shard, Epoch: epoch, Batch: batch, Records: records})
+	d.Do(reducer.AppendRecords{Shard: shard, Epoch: epoch, Batch: batch, Records: records})
 }
 
 func jobs(e reducer.Event) []string {
@@ -123,15 +123,15 @@
 		a.append(1, 2, "two", "three")
 		time.Sleep(time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 1},
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 2},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 1},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 2},
 		}))
 		Expect(b.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 		a.append(1, 3, "four")
-		a.Do(reducer.Release{Shard: shard, Epoch: 1})
+		a.Do(reducer.ReleaseShard{Shard: shard, Epoch: 1})
 		time.Sleep(time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{
-			reducer.Appended{Shard: shard, Epoch: 1, Batch: 3},
+			reducer.RecordsAppended{Shard: shard, Epoch: 1, Batch: 3},
 			reducer.ShardLost{Shard: shard, Epoch: 1},
 		}))
 		Expect(jobs(b.claim())).To(Equal([]string{"one", "two", "three", "four"}))
--- a/internal/state/holder/seat.go
+++ b/internal/state/holder/seat.go
@@ -132,7 +132,7 @@
 	})
 }
 
-func (h *Holder) append(e reducer.Append) {
+func (h *Holder) append(e reducer.AppendRecords) {
 	h.mu.Lock()
 	s := h.find(e.Shard, e.Epoch)
 	h.mu.Unlock()
@@ -169,7 +169,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.seats[s.shard] == s {
-		h.post(reducer.Appended{Shard: s.shard, Epoch: s.ledger.Epoch, Batch: batch})
+		h.post(reducer.RecordsAppended{Shard: s.shard, Epoch: s.ledger.Epoch, Batch: batch})
 	}
 }
 
