--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -29,9 +29,9 @@
 // Kind is the kind of an action.
 type Kind uint8
 
-// Kinds of action, in rising cost; Raise undoes a throttle.
+// Kinds of action, in rising cost; Unthrottle undoes a throttle.
 const (
-	Raise Kind = iota
+	Unthrottle Kind = iota
 	KeepOff
 	Throttle
 	Move
@@ -40,7 +40,7 @@
 
 func (k Kind) String() string {
 	switch k {
-	case Raise:
+	case Unthrottle:
 		return "raise"
 	case KeepOff:
 		return "keep-off"
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -60,7 +60,7 @@
 		b.taken[a.Kind]++
 		b.order = append(b.order, a.Kind)
 		switch a.Kind {
-		case Raise, Throttle:
+		case Unthrottle, Throttle:
 			g := b.worker.Grants[a.Task]
 			_ = b.worker.Resize(a.Task, a.Token, describer.Resources{CPU: a.CPU, Memory: g.Resources.Memory})
 		case Move, Stop:
@@ -144,7 +144,7 @@
 		for range 40 {
 			b.report(0.5)
 		}
-		Expect(b.taken[Raise]).To(Equal(2))
+		Expect(b.taken[Unthrottle]).To(Equal(2))
 		Expect(b.worker.BatchCPU()).To(BeEquivalentTo(8000))
 	})
 
@@ -155,7 +155,7 @@
 			wave := 0.85 + 0.15*math.Sin(float64(i)/6)
 			b.report(wave * math.Exp(0.3*r.NormFloat64()))
 		}
-		Expect(b.taken[Throttle] + b.taken[Raise]).To(BeNumerically("<=", 24))
+		Expect(b.taken[Throttle] + b.taken[Unthrottle]).To(BeNumerically("<=", 24))
 		Expect(b.taken[Move] + b.taken[Stop]).To(BeNumerically("<=", 2))
 	})
 })
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if missing == 0 {
-		in.State.Level = Raise
+		in.State.Level = Unthrottle
 		clear(in.State.Throttled)
 		return nil
 	}
@@ -103,8 +103,8 @@
 	in.State.Raised = in.Now
 	g := in.Worker.Grants[best]
 	delete(in.State.Throttled, best)
-	return in.State.acted(in.Now, Raise, []Action{{
-		Kind: Raise, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
+	return in.State.acted(in.Now, Unthrottle, []Action{{
+		Kind: Unthrottle, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
 		Why: "services are within their targets again",
 	}})
 }
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -198,7 +198,7 @@
 	case escalator.Move, escalator.Stop:
 		k.evict(h.runs[a.Task], a.Kind == escalator.Move)
 		k.evictions++
-	case escalator.Throttle, escalator.Raise:
+	case escalator.Throttle, escalator.Unthrottle:
 		g := h.account.Grants[a.Task]
 		g.Ceiling = 0
 		if a.Kind == escalator.Throttle {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -135,7 +135,7 @@
 		return
 	}
 	switch a.Kind {
-	case escalator.Raise:
+	case escalator.Unthrottle:
 		h.setCeiling(t, 0)
 		h.grow(t, a.CPU)
 	case escalator.Throttle:
