--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -32,7 +32,7 @@
 // Kinds of action, in rising cost; Unthrottle undoes a throttle.
 const (
 	Unthrottle Kind = iota
-	KeepOff
+	BlockBatch
 	Throttle
 	Move
 	Stop
@@ -42,7 +42,7 @@
 	switch k {
 	case Unthrottle:
 		return "raise"
-	case KeepOff:
+	case BlockBatch:
 		return "keep-off"
 	case Throttle:
 		return "throttle"
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -84,7 +84,7 @@
 			}
 			seen[k] = true
 		}
-		Expect(first).To(Equal([]Kind{KeepOff, Throttle, Move}))
+		Expect(first).To(Equal([]Kind{BlockBatch, Throttle, Move}))
 		Expect(b.worker.Grants).To(BeEmpty())
 	})
 
@@ -118,7 +118,7 @@
 			b.report(3)
 		}
 		Expect(b.taken).To(HaveLen(1))
-		Expect(b.taken[KeepOff]).To(Equal(20))
+		Expect(b.taken[BlockBatch]).To(Equal(20))
 	})
 
 	It("throttles, and no more, where more than the bound is expected", func() {
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -26,7 +26,7 @@
 // escalate takes the next step.
 func escalate(in Input, service string, ratio float64) []Action {
 	actions := []Action{{
-		Kind:  KeepOff,
+		Kind:  BlockBatch,
 		Until: in.Now.Add(2 * in.Options.Settle),
 		Why:   fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
 	}}
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -126,7 +126,7 @@
 }
 
 func (h *shard) act(w *worker, a escalator.Action) {
-	if a.Kind == escalator.KeepOff {
+	if a.Kind == escalator.BlockBatch {
 		w.account.KeepOff = a.Until
 		return
 	}
