--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -36,7 +36,7 @@
 	Reports  map[string]runner.Latency  // latest lagging report by service
 	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
 	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
-	KeepOff  time.Time                  // no batch task is placed before this time
+	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
 	Limited  bool                       // restoring: batch grants stay within Limit
 	Limit    int64                      // millicores of batch grants while Limited
 	Heard    time.Time                  // last inventory
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -194,7 +194,7 @@
 func (k *control) carryOut(h *host, a escalator.Action) {
 	switch a.Kind {
 	case escalator.BlockBatch:
-		h.account.KeepOff = a.Until
+		h.account.BatchBlockedUntil = a.Until
 	case escalator.Move, escalator.Stop:
 		k.evict(h.runs[a.Task], a.Kind == escalator.Move)
 		k.evictions++
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -126,7 +126,7 @@
 	if r.Job.Kind == describer.LatencyCritical || len(w.Host.Services) == 0 {
 		return 0, objection{}
 	}
-	if now.Before(w.KeepOff) && r.Job.Priority != describer.Urgent {
+	if now.Before(w.BatchBlockedUntil) && r.Job.Priority != describer.Urgent {
 		return 0, objection{kind: recovering}
 	}
 	before := w.Shares()
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -88,7 +88,7 @@
 
 	It("keeps off while services recover, except for urgent tasks", func() {
 		f := fleet(worker("a", "desk"))
-		f.Workers["a"].KeepOff = now.Add(time.Second)
+		f.Workers["a"].BatchBlockedUntil = now.Add(time.Second)
 		policy := placer.Default{Services: target}
 		Expect(policy.Place(f, request(0, 100), now).Why).To(Equal("kept off while services recover"))
 		urgent := request(0, 100)
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -127,7 +127,7 @@
 
 func (h *shard) act(w *worker, a escalator.Action) {
 	if a.Kind == escalator.BlockBatch {
-		w.account.KeepOff = a.Until
+		w.account.BatchBlockedUntil = a.Until
 		return
 	}
 	t := h.book.task(a.Task)
