--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -42,7 +42,7 @@
 	Lasting  int64 // CPU that lasting tasks reserve, or wait for, millicores
 	Limit    int64 // most of it, so that tasks that end find room
 	Free     describer.Resources
-	Turning  int64 // CPU of counted tasks that will end, millicores
+	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
 	Unused   int64 // CPU for fillers that is not taken, millicores
 	Fillers  int64 // CPU that running fillers asked for, millicores
 	Counted  int64 // waiting work that goes first or equal, millicore-seconds
@@ -181,7 +181,7 @@
 	if w.Counted == 0 {
 		return 0
 	}
-	return backlogTime(s.Counted, s.Free.CPU+s.Turning)
+	return backlogTime(s.Counted, s.Free.CPU+s.ReclaimableCPU)
 }
 
 func (w *Work) fillerWait(s *Shard) time.Duration {
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -15,7 +15,7 @@
 func shard(name string, free, waiting int64) Shard {
 	return Shard{
 		Name: name, Near: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		Turning: 10000, Unused: free, Fillers: 10000, Counted: waiting, Filler: waiting,
+		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, Counted: waiting, Filler: waiting,
 	}
 }
 
@@ -112,7 +112,7 @@
 		for tick := range 100 { // of 100 ms; twice the work that can be done
 			waiting = max(0, waiting-rate/10)
 			s := shard("a", 0, waiting)
-			s.Turning = rate
+			s.ReclaimableCPU = rate
 			job := Work{Counted: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
 			if Decide(job, []Shard{s}, random()).Accepted {
 				accepted++
