--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -45,7 +45,7 @@
 	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
 	Unused   int64 // CPU for fillers that is not taken, millicores
 	Fillers  int64 // CPU that running fillers asked for, millicores
-	Counted  int64 // waiting work that goes first or equal, millicore-seconds
+	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
 	Filler   int64 // the same of fillers
 	HasRack  bool  // has the rack of the job's data
 	HasLabel bool  // has workers of each label that the job needs
@@ -181,7 +181,7 @@
 	if w.Counted == 0 {
 		return 0
 	}
-	return backlogTime(s.Counted, s.Free.CPU+s.ReclaimableCPU)
+	return backlogTime(s.ReservedBacklog, s.Free.CPU+s.ReclaimableCPU)
 }
 
 func (w *Work) fillerWait(s *Shard) time.Duration {
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -15,7 +15,7 @@
 func shard(name string, free, waiting int64) Shard {
 	return Shard{
 		Name: name, Near: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, Counted: waiting, Filler: waiting,
+		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, ReservedBacklog: waiting, Filler: waiting,
 	}
 }
 
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -76,14 +76,14 @@
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
-			out.Counted += b.Counted
+			out.ReservedBacklog += b.Counted
 			out.Filler += b.Filler
 		}
 	}
 	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
 	r.accepted[name] = recent
 	for _, a := range recent {
-		out.Counted += a.work.Counted
+		out.ReservedBacklog += a.work.Counted
 		out.Filler += a.work.Filler
 		out.Free.CPU -= a.work.Lasting
 		out.Lasting += a.work.Lasting
