--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -46,7 +46,7 @@
 	Unused   int64 // CPU for fillers that is not taken, millicores
 	Fillers  int64 // CPU that running fillers asked for, millicores
 	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
-	Filler   int64 // the same of fillers
+	FillerBacklog   int64 // the same of fillers
 	HasRack  bool  // has the rack of the job's data
 	HasLabel bool  // has workers of each label that the job needs
 }
@@ -188,7 +188,7 @@
 	if w.Filler == 0 {
 		return 0
 	}
-	return backlogTime(s.Filler, s.Unused+s.Fillers)
+	return backlogTime(s.FillerBacklog, s.Unused+s.Fillers)
 }
 
 func backlogTime(work, rate int64) time.Duration {
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -15,7 +15,7 @@
 func shard(name string, free, waiting int64) Shard {
 	return Shard{
 		Name: name, Near: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, ReservedBacklog: waiting, Filler: waiting,
+		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, ReservedBacklog: waiting, FillerBacklog: waiting,
 	}
 }
 
@@ -52,7 +52,7 @@
 
 	It("does not let the fillers' backlog hold up other work", func() {
 		s := shard("a", 20000, 0)
-		s.Filler = 10_000_000
+		s.FillerBacklog = 10_000_000
 		Expect(Decide(short, []Shard{s}, random()).Accepted).To(BeTrue())
 	})
 
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -77,14 +77,14 @@
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
 			out.ReservedBacklog += b.Counted
-			out.Filler += b.Filler
+			out.FillerBacklog += b.Filler
 		}
 	}
 	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
 	r.accepted[name] = recent
 	for _, a := range recent {
 		out.ReservedBacklog += a.work.Counted
-		out.Filler += a.work.Filler
+		out.FillerBacklog += a.work.Filler
 		out.Free.CPU -= a.work.Lasting
 		out.Lasting += a.work.Lasting
 	}
