--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -35,7 +35,7 @@
 // Shard is the load of one shard as far as it is known.
 type Shard struct {
 	Name     string
-	Near     bool          // in the failure domain that asks
+	SameDomain     bool          // in the failure domain that asks
 	Distance time.Duration // of a call there
 	Age      time.Duration // of the summary
 	Workers  int
@@ -160,7 +160,7 @@
 		chain *= 2
 	}
 	predicted := wait + chain + s.Distance
-	if !s.Near {
+	if !s.SameDomain {
 		predicted += nearBonus
 	}
 	return predicted
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -14,7 +14,7 @@
 
 func shard(name string, free, waiting int64) Shard {
 	return Shard{
-		Name: name, Near: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
+		Name: name, SameDomain: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
 		ReclaimableCPU: 10000, Unused: free, Fillers: 10000, ReservedBacklog: waiting, FillerBacklog: waiting,
 	}
 }
@@ -95,7 +95,7 @@
 			s.Limit = 900000
 			shards = append(shards, s)
 		}
-		shards[0].Near, shards[1].Near = true, false
+		shards[0].SameDomain, shards[1].SameDomain = true, false
 		taken := make(map[string]int)
 		r := random()
 		for range 60 {
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -63,11 +63,11 @@
 // shard is the load of one shard, with what was accepted here since.
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
-		Name: name, Near: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
+		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
 		Workers: s.Load.Workers, Free: s.Load.Free, Lasting: s.Load.Lasting, Limit: s.Load.Limit,
 		ReclaimableCPU: s.Load.Turning, Unused: s.Load.Unused, Fillers: s.Load.Fillers, HasLabel: true,
 	}
-	if !out.Near {
+	if !out.SameDomain {
 		out.Distance = afarDistance
 	}
 	for _, step := range job.Steps {
