--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -39,7 +39,7 @@
 	Distance time.Duration // of a call there
 	Age      time.Duration // of the summary
 	Workers  int
-	Lasting  int64 // CPU that lasting tasks reserve, or wait for, millicores
+	LongRunningCPU  int64 // CPU that lasting tasks reserve, or wait for, millicores
 	Limit    int64 // most of it, so that tasks that end find room
 	Free     describer.Resources
 	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
@@ -169,8 +169,8 @@
 // lastingRoom is how much more lasting tasks the shard may take, in millicores,
 // and 0 if the job's would be too many.
 func (w *Work) lastingRoom(s *Shard) float64 {
-	room := s.Limit - s.Lasting
-	if s.Lasting == 0 || w.Lasting <= room {
+	room := s.Limit - s.LongRunningCPU
+	if s.LongRunningCPU == 0 || w.Lasting <= room {
 		return float64(max(room, 1))
 	}
 	return 0
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -71,19 +71,19 @@
 		s.Limit = 90000
 		for range 100 {
 			if d := Decide(job, []Shard{s}, random()); d.Accepted {
-				s.Lasting += job.Lasting
+				s.LongRunningCPU += job.Lasting
 				s.Free.CPU -= job.Lasting
 			} else {
 				Expect(d.Reason).To(ContainSubstring("lasting"))
 			}
 		}
-		Expect(s.Lasting).To(Equal(int64(90000)))
+		Expect(s.LongRunningCPU).To(Equal(int64(90000)))
 		Expect(Decide(short, []Shard{s}, random()).Accepted).To(BeTrue())
 	})
 
 	It("takes a lasting job where its tasks leave room", func() {
 		full, open := shard("full", 50000, 0), shard("open", 20000, 10000)
-		full.Lasting, full.Limit = 90000, 90000
+		full.LongRunningCPU, full.Limit = 90000, 90000
 		open.Limit = 90000
 		Expect(Decide(Work{Lasting: 3000, Objective: time.Minute}, []Shard{full, open}, random()).Shard).To(Equal("open"))
 	})
