--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -40,7 +40,7 @@
 	Age      time.Duration // of the summary
 	Workers  int
 	LongRunningCPU  int64 // CPU that lasting tasks reserve, or wait for, millicores
-	Limit    int64 // most of it, so that tasks that end find room
+	LongRunningLimit    int64 // most of it, so that tasks that end find room
 	Free     describer.Resources
 	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
 	Unused   int64 // CPU for fillers that is not taken, millicores
@@ -169,7 +169,7 @@
 // lastingRoom is how much more lasting tasks the shard may take, in millicores,
 // and 0 if the job's would be too many.
 func (w *Work) lastingRoom(s *Shard) float64 {
-	room := s.Limit - s.LongRunningCPU
+	room := s.LongRunningLimit - s.LongRunningCPU
 	if s.LongRunningCPU == 0 || w.Lasting <= room {
 		return float64(max(room, 1))
 	}
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -68,7 +68,7 @@
 		const capacity = 100000
 		job := Work{Lasting: 3000, Objective: time.Second}
 		s := shard("a", capacity, 0)
-		s.Limit = 90000
+		s.LongRunningLimit = 90000
 		for range 100 {
 			if d := Decide(job, []Shard{s}, random()); d.Accepted {
 				s.LongRunningCPU += job.Lasting
@@ -83,8 +83,8 @@
 
 	It("takes a lasting job where its tasks leave room", func() {
 		full, open := shard("full", 50000, 0), shard("open", 20000, 10000)
-		full.LongRunningCPU, full.Limit = 90000, 90000
-		open.Limit = 90000
+		full.LongRunningCPU, full.LongRunningLimit = 90000, 90000
+		open.LongRunningLimit = 90000
 		Expect(Decide(Work{Lasting: 3000, Objective: time.Minute}, []Shard{full, open}, random()).Shard).To(Equal("open"))
 	})
 
@@ -92,7 +92,7 @@
 		var shards []Shard
 		for _, name := range []string{"a", "b", "c"} {
 			s := shard(name, 900000, 0)
-			s.Limit = 900000
+			s.LongRunningLimit = 900000
 			shards = append(shards, s)
 		}
 		shards[0].SameDomain, shards[1].SameDomain = true, false
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -64,7 +64,7 @@
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
-		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.Lasting, Limit: s.Load.Limit,
+		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
 		ReclaimableCPU: s.Load.Turning, Unused: s.Load.Unused, Fillers: s.Load.Fillers, HasLabel: true,
 	}
 	if !out.SameDomain {
