--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -53,7 +53,7 @@
 
 // Work is what a job asks for.
 type Work struct {
-	Counted   int64 // millicore-seconds of tasks that count against the capacity
+	ReservedWork   int64 // millicore-seconds of tasks that count against the capacity
 	Filler    int64 // the same of fillers
 	Lasting   int64 // millicores that lasting tasks reserve
 	Chain     time.Duration
@@ -178,7 +178,7 @@
 
 // countedWait is how long the work ahead keeps the workers busy.
 func (w *Work) countedWait(s *Shard) time.Duration {
-	if w.Counted == 0 {
+	if w.ReservedWork == 0 {
 		return 0
 	}
 	return backlogTime(s.ReservedBacklog, s.Free.CPU+s.ReclaimableCPU)
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-var short = Work{Counted: 10000, Chain: time.Second, Objective: 2500 * time.Millisecond}
+var short = Work{ReservedWork: 10000, Chain: time.Second, Objective: 2500 * time.Millisecond}
 
 var _ = Describe("Decide", func() {
 	It("accepts while there is room", func() {
@@ -113,10 +113,10 @@
 			waiting = max(0, waiting-rate/10)
 			s := shard("a", 0, waiting)
 			s.ReclaimableCPU = rate
-			job := Work{Counted: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
+			job := Work{ReservedWork: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
 			if Decide(job, []Shard{s}, random()).Accepted {
 				accepted++
-				waiting += job.Counted
+				waiting += job.ReservedWork
 			}
 			end := time.Duration(waiting) * time.Second / rate
 			Expect(end).To(BeNumerically("<=", 2*job.Objective), "tick %d", tick)
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -83,7 +83,7 @@
 	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
 	r.accepted[name] = recent
 	for _, a := range recent {
-		out.ReservedBacklog += a.work.Counted
+		out.ReservedBacklog += a.work.ReservedWork
 		out.FillerBacklog += a.work.Filler
 		out.Free.CPU -= a.work.Lasting
 		out.LongRunningCPU += a.work.Lasting
@@ -110,7 +110,7 @@
 		case step.Filler:
 			w.Filler += work
 		default:
-			w.Counted += work
+			w.ReservedWork += work
 		}
 		w.NeedsRack = w.NeedsRack || step.Rack != ""
 	}
