--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -54,7 +54,7 @@
 // Work is what a job asks for.
 type Work struct {
 	ReservedWork   int64 // millicore-seconds of tasks that count against the capacity
-	Filler    int64 // the same of fillers
+	FillerWork    int64 // the same of fillers
 	Lasting   int64 // millicores that lasting tasks reserve
 	Chain     time.Duration
 	Objective time.Duration // from acceptance
@@ -185,7 +185,7 @@
 }
 
 func (w *Work) fillerWait(s *Shard) time.Duration {
-	if w.Filler == 0 {
+	if w.FillerWork == 0 {
 		return 0
 	}
 	return backlogTime(s.FillerBacklog, s.Unused+s.Fillers)
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -84,7 +84,7 @@
 	r.accepted[name] = recent
 	for _, a := range recent {
 		out.ReservedBacklog += a.work.ReservedWork
-		out.FillerBacklog += a.work.Filler
+		out.FillerBacklog += a.work.FillerWork
 		out.Free.CPU -= a.work.Lasting
 		out.LongRunningCPU += a.work.Lasting
 	}
@@ -108,7 +108,7 @@
 		case step.Lasting:
 			w.Lasting += cpu
 		case step.Filler:
-			w.Filler += work
+			w.FillerWork += work
 		default:
 			w.ReservedWork += work
 		}
