--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -55,7 +55,7 @@
 type Work struct {
 	ReservedWork   int64 // millicore-seconds of tasks that count against the capacity
 	FillerWork    int64 // the same of fillers
-	Lasting   int64 // millicores that lasting tasks reserve
+	LongRunningCPU   int64 // millicores that lasting tasks reserve
 	Chain     time.Duration
 	Objective time.Duration // from acceptance
 	NeedsRack bool
@@ -96,7 +96,7 @@
 // choose returns the shard with the nearest predicted end; for lasting tasks one
 // with room for them, or nil.
 func (w *Work) choose(shards []*Shard, random *rand.Rand) *Shard {
-	if w.Lasting > 0 {
+	if w.LongRunningCPU > 0 {
 		return w.chooseLasting(shards, random)
 	}
 	return slices.MinFunc(shards, func(a, b *Shard) int { return cmp.Compare(w.predict(a), w.predict(b)) })
@@ -105,7 +105,7 @@
 // ChooseLasting draws a shard for a job whose tasks last and reserve so many
 // millicores, and returns its name; it is empty if none has room for them.
 func ChooseLasting(lasting int64, shards []Shard, random *rand.Rand) string {
-	w := Work{Lasting: lasting}
+	w := Work{LongRunningCPU: lasting}
 	if s := w.chooseLasting(suitable(shards), random); s != nil {
 		return s.Name
 	}
@@ -152,8 +152,8 @@
 // predict is the expected time from acceptance to the end in the shard.
 func (w *Work) predict(s *Shard) time.Duration {
 	wait := max(w.countedWait(s), w.fillerWait(s))
-	if w.Lasting > s.Free.CPU {
-		wait += lastingWait * time.Duration(w.Lasting-s.Free.CPU) / time.Duration(max(w.Lasting, 1))
+	if w.LongRunningCPU > s.Free.CPU {
+		wait += lastingWait * time.Duration(w.LongRunningCPU-s.Free.CPU) / time.Duration(max(w.LongRunningCPU, 1))
 	}
 	chain := w.Chain
 	if w.NeedsRack && !s.HasRack {
@@ -170,7 +170,7 @@
 // and 0 if the job's would be too many.
 func (w *Work) lastingRoom(s *Shard) float64 {
 	room := s.LongRunningLimit - s.LongRunningCPU
-	if s.LongRunningCPU == 0 || w.Lasting <= room {
+	if s.LongRunningCPU == 0 || w.LongRunningCPU <= room {
 		return float64(max(room, 1))
 	}
 	return 0
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -66,13 +66,13 @@
 
 	It("replays the start of a day: lasting jobs leave room for the short ones after them", func() {
 		const capacity = 100000
-		job := Work{Lasting: 3000, Objective: time.Second}
+		job := Work{LongRunningCPU: 3000, Objective: time.Second}
 		s := shard("a", capacity, 0)
 		s.LongRunningLimit = 90000
 		for range 100 {
 			if d := Decide(job, []Shard{s}, random()); d.Accepted {
-				s.LongRunningCPU += job.Lasting
-				s.Free.CPU -= job.Lasting
+				s.LongRunningCPU += job.LongRunningCPU
+				s.Free.CPU -= job.LongRunningCPU
 			} else {
 				Expect(d.Reason).To(ContainSubstring("lasting"))
 			}
@@ -85,7 +85,7 @@
 		full, open := shard("full", 50000, 0), shard("open", 20000, 10000)
 		full.LongRunningCPU, full.LongRunningLimit = 90000, 90000
 		open.LongRunningLimit = 90000
-		Expect(Decide(Work{Lasting: 3000, Objective: time.Minute}, []Shard{full, open}, random()).Shard).To(Equal("open"))
+		Expect(Decide(Work{LongRunningCPU: 3000, Objective: time.Minute}, []Shard{full, open}, random()).Shard).To(Equal("open"))
 	})
 
 	It("replays lasting jobs that many hosts accept by the same summaries: no shard takes far more than others", func() {
@@ -99,7 +99,7 @@
 		taken := make(map[string]int)
 		r := random()
 		for range 60 {
-			taken[Decide(Work{Lasting: 30000, Objective: time.Minute}, shards, r).Shard]++
+			taken[Decide(Work{LongRunningCPU: 30000, Objective: time.Minute}, shards, r).Shard]++
 		}
 		for _, s := range shards {
 			Expect(taken[s.Name]).To(BeNumerically("~", 20, 10), s.Name)
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -85,8 +85,8 @@
 	for _, a := range recent {
 		out.ReservedBacklog += a.work.ReservedWork
 		out.FillerBacklog += a.work.FillerWork
-		out.Free.CPU -= a.work.Lasting
-		out.LongRunningCPU += a.work.Lasting
+		out.Free.CPU -= a.work.LongRunningCPU
+		out.LongRunningCPU += a.work.LongRunningCPU
 	}
 	return out
 }
@@ -106,7 +106,7 @@
 		work := cpu * int64(step.Estimate) / int64(time.Second) * int64(job.Occurrences())
 		switch {
 		case step.Lasting:
-			w.Lasting += cpu
+			w.LongRunningCPU += cpu
 		case step.Filler:
 			w.FillerWork += work
 		default:
