--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -44,7 +44,7 @@
 	Free     describer.Resources
 	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
 	Unused   int64 // CPU for fillers that is not taken, millicores
-	Fillers  int64 // CPU that running fillers asked for, millicores
+	FillerCPU  int64 // CPU that running fillers asked for, millicores
 	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
 	FillerBacklog   int64 // the same of fillers
 	HasRack  bool  // has the rack of the job's data
@@ -188,7 +188,7 @@
 	if w.FillerWork == 0 {
 		return 0
 	}
-	return backlogTime(s.FillerBacklog, s.Unused+s.Fillers)
+	return backlogTime(s.FillerBacklog, s.Unused+s.FillerCPU)
 }
 
 func backlogTime(work, rate int64) time.Duration {
