--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -43,7 +43,7 @@
 	LongRunningLimit    int64 // most of it, so that tasks that end find room
 	Free     describer.Resources
 	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
-	Unused   int64 // CPU for fillers that is not taken, millicores
+	UnusedCPU   int64 // CPU for fillers that is not taken, millicores
 	FillerCPU  int64 // CPU that running fillers asked for, millicores
 	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
 	FillerBacklog   int64 // the same of fillers
@@ -188,7 +188,7 @@
 	if w.FillerWork == 0 {
 		return 0
 	}
-	return backlogTime(s.FillerBacklog, s.Unused+s.FillerCPU)
+	return backlogTime(s.FillerBacklog, s.UnusedCPU+s.FillerCPU)
 }
 
 func backlogTime(work, rate int64) time.Duration {
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -15,7 +15,7 @@
 func shard(name string, free, waiting int64) Shard {
 	return Shard{
 		Name: name, SameDomain: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		ReclaimableCPU: 10000, Unused: free, FillerCPU: 10000, ReservedBacklog: waiting, FillerBacklog: waiting,
+		ReclaimableCPU: 10000, UnusedCPU: free, FillerCPU: 10000, ReservedBacklog: waiting, FillerBacklog: waiting,
 	}
 }
 
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -65,7 +65,7 @@
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
 		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
-		ReclaimableCPU: s.Load.Turning, Unused: s.Load.Unused, FillerCPU: s.Load.Fillers, HasLabel: true,
+		ReclaimableCPU: s.Load.Turning, UnusedCPU: s.Load.Unused, FillerCPU: s.Load.Fillers, HasLabel: true,
 	}
 	if !out.SameDomain {
 		out.Distance = afarDistance
