--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -102,9 +102,9 @@
 	return slices.MinFunc(shards, func(a, b *Shard) int { return cmp.Compare(w.predict(a), w.predict(b)) })
 }
 
-// ChooseLasting draws a shard for a job whose tasks last and reserve so many
+// ChooseLongRunning draws a shard for a job whose tasks last and reserve so many
 // millicores, and returns its name; it is empty if none has room for them.
-func ChooseLasting(lasting int64, shards []Shard, random *rand.Rand) string {
+func ChooseLongRunning(lasting int64, shards []Shard, random *rand.Rand) string {
 	w := Work{LongRunningCPU: lasting}
 	if s := w.chooseLasting(suitable(shards), random); s != nil {
 		return s.Name
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -68,7 +68,7 @@
 		})
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
-	to := admitter.ChooseLasting(e.Lasting, shards, m.options.Random)
+	to := admitter.ChooseLongRunning(e.Lasting, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
 		s.Load.Lasting += e.Lasting
 		m.view.Shards[to] = s
