--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -38,7 +38,7 @@
 type Filler struct {
 	Pace     int     // percent
 	Harm     float64 // expected growth of the logarithm of the worst tail, at full pace
-	Standing ranker.Standing
+	Standing ranker.Lateness
 }
 
 // Decide sets the paces on one worker. tail is the worst tail of its serving
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -14,17 +14,17 @@
 	"time"
 )
 
-// Standing says what a piece of work can still achieve.
-type Standing uint8
+// Lateness says what a piece of work can still achieve.
+type Lateness uint8
 
 // Standings, best first.
 const (
-	OnTime Standing = iota // can meet its objective
+	OnTime Lateness = iota // can meet its objective
 	Late                   // still earns something
 	Overdue
 )
 
-func (s Standing) String() string {
+func (s Lateness) String() string {
 	return [...]string{"on-time", "late", "overdue"}[s]
 }
 
@@ -40,7 +40,7 @@
 }
 
 // Standing is what the work can still achieve when it starts now.
-func (w *Work) Standing(now time.Time) Standing {
+func (w *Work) Standing(now time.Time) Lateness {
 	end := now.Add(w.Remaining)
 	switch {
 	case w.Steady:
