--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -35,7 +35,7 @@
 	Grace     time.Time     // until when an end still earns something
 	Remaining time.Duration // shortest time to its end
 	Accepted  time.Time
-	Steady    bool   // never late: it earns for as long as it runs
+	NoDeadline    bool   // never late: it earns for as long as it runs
 	ID        string // settles ties
 }
 
@@ -43,7 +43,7 @@
 func (w *Work) Standing(now time.Time) Lateness {
 	end := now.Add(w.Remaining)
 	switch {
-	case w.Steady:
+	case w.NoDeadline:
 		return OnTime
 	case !end.After(w.Objective):
 		return OnTime
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -83,7 +83,7 @@
 	}
 	if st.spec.Lasting {
 		// A lasting task earns for as long as it runs, however late it begins.
-		w.Steady = true
+		w.NoDeadline = true
 		w.Objective = st.waitingSince().Add(lastingWait)
 	}
 	return w
