--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -32,7 +32,7 @@
 type Work struct {
 	Priority  int // 0 goes first
 	Objective time.Time
-	Grace     time.Time     // until when an end still earns something
+	GraceEnd     time.Time     // until when an end still earns something
 	Remaining time.Duration // shortest time to its end
 	Accepted  time.Time
 	NoDeadline    bool   // never late: it earns for as long as it runs
@@ -47,7 +47,7 @@
 		return OnTime
 	case !end.After(w.Objective):
 		return OnTime
-	case !end.After(w.Grace):
+	case !end.After(w.GraceEnd):
 		return Late
 	}
 	return Overdue
--- a/internal/control/ranker/ranker_test.go
+++ b/internal/control/ranker/ranker_test.go
@@ -11,7 +11,7 @@
 var now = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
 
 func work(id string, priority int, objective, grace, remaining time.Duration) Work {
-	return Work{ID: id, Priority: priority, Objective: now.Add(objective), Grace: now.Add(grace), Remaining: remaining}
+	return Work{ID: id, Priority: priority, Objective: now.Add(objective), GraceEnd: now.Add(grace), Remaining: remaining}
 }
 
 func order(list ...Work) []string {
@@ -58,7 +58,7 @@
 				arrived := now.Add(time.Duration(i) * 250 * time.Millisecond)
 				waiting = append(waiting, Work{
 					ID: string(rune('a' + i)), Accepted: arrived, Remaining: 500 * time.Millisecond,
-					Objective: arrived.Add(2 * time.Second), Grace: arrived.Add(6 * time.Second),
+					Objective: arrived.Add(2 * time.Second), GraceEnd: arrived.Add(6 * time.Second),
 				})
 			}
 			for len(waiting) > 0 {
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -73,13 +73,13 @@
 func (st *step) work() ranker.Work {
 	j := st.job
 	w := ranker.Work{
-		Priority: j.queue.Priority, Objective: j.objective, Grace: j.grace,
+		Priority: j.queue.Priority, Objective: j.objective, GraceEnd: j.grace,
 		Remaining: st.spec.Estimate, Accepted: j.spec.Accepted, ID: j.spec.ID,
 	}
 	if !st.due.IsZero() {
 		shift := st.due.Sub(j.spec.Accepted)
 		w.Objective = w.Objective.Add(shift)
-		w.Grace = w.Grace.Add(shift)
+		w.GraceEnd = w.GraceEnd.Add(shift)
 	}
 	if st.spec.Lasting {
 		// A lasting task earns for as long as it runs, however late it begins.
