--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -11,8 +11,8 @@
 
 import "dotterelcart.dev/dotterelcart/internal/control/describer"
 
-// Room is what one worker has left.
-type Room struct {
+// Candidate is what one worker has left.
+type Candidate struct {
 	Free     describer.Resources
 	Capacity describer.Resources
 	Unused   int64   // CPU that fillers may still ask for, millicores
@@ -30,7 +30,7 @@
 }
 
 // Fits reports whether the task can go there.
-func (n *Need) Fits(r *Room) bool {
+func (n *Need) Fits(r *Candidate) bool {
 	if r.Closed || !n.Counted.Fits(r.Free) {
 		return false
 	}
@@ -38,7 +38,7 @@
 }
 
 // Choose returns the index of the best room for which allowed holds, or -1.
-func Choose(rooms []Room, n Need, allowed func(i int) bool) int {
+func Choose(rooms []Candidate, n Need, allowed func(i int) bool) int {
 	best, bestScore := -1, 0.0
 	for i := range rooms {
 		r := &rooms[i]
@@ -62,7 +62,7 @@
 // rackBonus outweighs every difference of room.
 const rackBonus = 10
 
-func (n *Need) score(r *Room) float64 {
+func (n *Need) score(r *Candidate) float64 {
 	score := share(r.Free.CPU-n.Counted.CPU, r.Capacity.CPU)
 	if n.Filler > 0 {
 		score = share(r.Unused-n.Filler, r.Capacity.CPU)
@@ -82,7 +82,7 @@
 }
 
 // Take books the task in the room.
-func (r *Room) Take(n *Need) {
+func (r *Candidate) Take(n *Need) {
 	r.Free = r.Free.Sub(n.Counted)
 	r.Unused -= n.Filler + n.Counted.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -9,8 +9,8 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-func room(cpu int64) Room {
-	return Room{
+func room(cpu int64) Candidate {
+	return Candidate{
 		Free:     describer.Resources{CPU: cpu, Memory: 1000},
 		Capacity: describer.Resources{CPU: 16000, Memory: 1000}, Unused: cpu,
 	}
@@ -22,17 +22,17 @@
 
 var _ = Describe("Choose", func() {
 	It("takes the worker with the most room left", func() {
-		Expect(Choose([]Room{room(2000), room(8000), room(4000)}, need(1000), anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{room(2000), room(8000), room(4000)}, need(1000), anywhere)).To(Equal(1))
 	})
 
 	It("finds none where nothing fits", func() {
-		Expect(Choose([]Room{room(500), room(999)}, need(1000), anywhere)).To(Equal(-1))
+		Expect(Choose([]Candidate{room(500), room(999)}, need(1000), anywhere)).To(Equal(-1))
 	})
 
 	It("passes over closed and forbidden workers", func() {
 		closed := room(9000)
 		closed.Closed = true
-		rooms := []Room{closed, room(8000), room(2000)}
+		rooms := []Candidate{closed, room(8000), room(2000)}
 		Expect(Choose(rooms, need(1000), func(i int) bool { return i != 1 })).To(Equal(2))
 	})
 
@@ -41,23 +41,23 @@
 		near.Rack, far.Rack = "r1-1", "r1-2"
 		n := need(1000)
 		n.Rack = "r1-1"
-		Expect(Choose([]Room{far, near}, n, anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{far, near}, n, anywhere)).To(Equal(1))
 		n.Counted.CPU = 2000
-		Expect(Choose([]Room{far, near}, n, anywhere)).To(Equal(0))
+		Expect(Choose([]Candidate{far, near}, n, anywhere)).To(Equal(0))
 	})
 
 	It("puts a filler on unused time where it does no harm", func() {
 		harmed, harmless := room(15000), room(9000)
 		harmed.Harm = 0.8
-		Expect(Choose([]Room{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(1))
 		harmless.Unused = 1000
-		Expect(Choose([]Room{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(0))
+		Expect(Choose([]Candidate{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(0))
 	})
 
 	It("draws serving tasks of one image together", func() {
 		kin, empty := room(9000), room(15000)
 		kin.Kin = 1
-		Expect(Choose([]Room{empty, kin}, need(1000), anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{empty, kin}, need(1000), anywhere)).To(Equal(1))
 	})
 
 	It("books what it took", func() {
@@ -71,7 +71,7 @@
 
 // BenchmarkChoose is one choice among 500 workers.
 func BenchmarkChoose(b *testing.B) {
-	rooms := make([]Room, 500)
+	rooms := make([]Candidate, 500)
 	for i := range rooms {
 		rooms[i] = room(int64(i*31%16000) + 1)
 	}
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -16,9 +16,9 @@
 	s        *Shard
 	settled  bool // see isSettled
 	workers  []*worker
-	rooms    []fitter.Room
+	rooms    []fitter.Candidate
 	reserved int         // workers kept free for work that has waited for long
-	largest  fitter.Room // the most that any worker has of each kind, when the round began
+	largest  fitter.Candidate // the most that any worker has of each kind, when the round began
 	lasting  int64       // CPU that lasting tasks reserve, millicores
 	limit    int64       // the most of it while other tasks need room
 	promised int64       // CPU of all lasting tasks of jobs that stay in the shard, millicores
@@ -113,7 +113,7 @@
 }
 
 func (s *Shard) newPlacement() *placement {
-	p := &placement{s: s, settled: s.isSettled(), workers: make([]*worker, 0, len(s.roster)), rooms: make([]fitter.Room, 0, len(s.roster))}
+	p := &placement{s: s, settled: s.isSettled(), workers: make([]*worker, 0, len(s.roster)), rooms: make([]fitter.Candidate, 0, len(s.roster))}
 	capacity := int64(0)
 	for _, w := range s.roster {
 		if !w.isUsable(s.now) {
@@ -151,9 +151,9 @@
 }
 
 // room is what the worker has left.
-func (w *worker) room() fitter.Room {
+func (w *worker) room() fitter.Candidate {
 	expected := w.used.counted.CPU - w.used.lasting + int64(servingShare*float64(w.used.lasting))
-	return fitter.Room{
+	return fitter.Candidate{
 		Free:     w.reg.Capacity.Sub(w.used.counted),
 		Capacity: w.reg.Capacity,
 		Unused:   w.reg.Capacity.CPU - expected - w.fillerUse(),
