--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -22,15 +22,15 @@
 	Closed   bool // takes no tasks
 }
 
-// Need is what one task asks for.
-type Need struct {
+// Request is what one task asks for.
+type Request struct {
 	Counted describer.Resources // against the worker's free room
 	Filler  int64               // CPU out of the unused, millicores
 	Rack    string              // preferred; empty is any
 }
 
 // Fits reports whether the task can go there.
-func (n *Need) Fits(r *Candidate) bool {
+func (n *Request) Fits(r *Candidate) bool {
 	if r.Closed || !n.Counted.Fits(r.Free) {
 		return false
 	}
@@ -38,7 +38,7 @@
 }
 
 // Choose returns the index of the best room for which allowed holds, or -1.
-func Choose(rooms []Candidate, n Need, allowed func(i int) bool) int {
+func Choose(rooms []Candidate, n Request, allowed func(i int) bool) int {
 	best, bestScore := -1, 0.0
 	for i := range rooms {
 		r := &rooms[i]
@@ -62,7 +62,7 @@
 // rackBonus outweighs every difference of room.
 const rackBonus = 10
 
-func (n *Need) score(r *Candidate) float64 {
+func (n *Request) score(r *Candidate) float64 {
 	score := share(r.Free.CPU-n.Counted.CPU, r.Capacity.CPU)
 	if n.Filler > 0 {
 		score = share(r.Unused-n.Filler, r.Capacity.CPU)
@@ -82,7 +82,7 @@
 }
 
 // Take books the task in the room.
-func (r *Candidate) Take(n *Need) {
+func (r *Candidate) Take(n *Request) {
 	r.Free = r.Free.Sub(n.Counted)
 	r.Unused -= n.Filler + n.Counted.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func need(cpu int64) Need { return Need{Counted: describer.Resources{CPU: cpu, Memory: 10}} }
+func need(cpu int64) Request { return Request{Counted: describer.Resources{CPU: cpu, Memory: 10}} }
 
 func anywhere(int) bool { return true }
 
@@ -49,9 +49,9 @@
 	It("puts a filler on unused time where it does no harm", func() {
 		harmed, harmless := room(15000), room(9000)
 		harmed.Harm = 0.8
-		Expect(Choose([]Candidate{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{harmed, harmless}, Request{Filler: 2000}, anywhere)).To(Equal(1))
 		harmless.Unused = 1000
-		Expect(Choose([]Candidate{harmed, harmless}, Need{Filler: 2000}, anywhere)).To(Equal(0))
+		Expect(Choose([]Candidate{harmed, harmless}, Request{Filler: 2000}, anywhere)).To(Equal(0))
 	})
 
 	It("draws serving tasks of one image together", func() {
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -175,8 +175,8 @@
 	return w.use
 }
 
-func (st *step) fitterNeed() fitter.Need {
-	return fitter.Need{Counted: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.Rack}
+func (st *step) fitterNeed() fitter.Request {
+	return fitter.Request{Counted: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.Rack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
@@ -254,7 +254,7 @@
 }
 
 // choose finds a worker for a task, preferably not the one where it failed last.
-func (p *placement) choose(st *step, t *task, need fitter.Need) int {
+func (p *placement) choose(st *step, t *task, need fitter.Request) int {
 	allowed := func(i int) bool {
 		w := p.workers[i]
 		if !w.reg.HasLabel(st.spec.Label) || w.runs[t.id()] != nil {
