--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -56,7 +56,7 @@
 
 	It("draws serving tasks of one image together", func() {
 		kin, empty := room(9000), room(15000)
-		kin.Kin = 1
+		kin.SameImage = 1
 		Expect(Choose([]Candidate{empty, kin}, need(1000), anywhere)).To(Equal(1))
 	})
 
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -243,12 +243,12 @@
 // relate fills in what the workers' tasks mean for those of the step.
 func (p *placement) relate(st *step) {
 	for i, w := range p.workers {
-		p.rooms[i].Kin, p.rooms[i].Harm = 0, 0
+		p.rooms[i].SameImage, p.rooms[i].Harm = 0, 0
 		switch {
 		case st.spec.Filler:
 			p.rooms[i].Harm = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
 		case st.spec.Target > 0:
-			p.rooms[i].Kin = w.servingOf(st.spec.Image)
+			p.rooms[i].SameImage = w.servingOf(st.spec.Image)
 		}
 	}
 }
