--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -17,7 +17,7 @@
 	Capacity describer.Resources
 	Unused   int64   // CPU that fillers may still ask for, millicores
 	SameImage      float64 // share of the serving tasks there that are of the task's image
-	Harm     float64 // expected growth of the log tail of a serving task there by the task
+	Interference     float64 // expected growth of the log tail of a serving task there by the task
 	Rack     string
 	Closed   bool // takes no tasks
 }
@@ -67,7 +67,7 @@
 	if n.Filler > 0 {
 		score = share(r.Unused-n.Filler, r.Capacity.CPU)
 	}
-	score += kinBonus*r.SameImage - harmMalus*r.Harm
+	score += kinBonus*r.SameImage - harmMalus*r.Interference
 	if n.Rack != "" && n.Rack == r.Rack {
 		score += rackBonus
 	}
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -243,10 +243,10 @@
 // relate fills in what the workers' tasks mean for those of the step.
 func (p *placement) relate(st *step) {
 	for i, w := range p.workers {
-		p.rooms[i].SameImage, p.rooms[i].Harm = 0, 0
+		p.rooms[i].SameImage, p.rooms[i].Interference = 0, 0
 		switch {
 		case st.spec.Filler:
-			p.rooms[i].Harm = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
+			p.rooms[i].Interference = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
 		case st.spec.Target > 0:
 			p.rooms[i].SameImage = w.servingOf(st.spec.Image)
 		}
@@ -260,7 +260,7 @@
 		if !w.reg.HasLabel(st.spec.Label) || w.runs[t.id()] != nil {
 			return false
 		}
-		if st.spec.Filler && w.wouldHarm(p.rooms[i].Harm) || !p.isAdvised(st, w) {
+		if st.spec.Filler && w.wouldHarm(p.rooms[i].Interference) || !p.isAdvised(st, w) {
 			return false
 		}
 		return st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread
