--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -24,14 +24,14 @@
 
 // Request is what one task asks for.
 type Request struct {
-	Counted describer.Resources // against the worker's free room
+	Reserved describer.Resources // against the worker's free room
 	Filler  int64               // CPU out of the unused, millicores
 	Rack    string              // preferred; empty is any
 }
 
 // Fits reports whether the task can go there.
 func (n *Request) Fits(r *Candidate) bool {
-	if r.Closed || !n.Counted.Fits(r.Free) {
+	if r.Closed || !n.Reserved.Fits(r.Free) {
 		return false
 	}
 	return n.Filler <= r.Unused
@@ -63,7 +63,7 @@
 const rackBonus = 10
 
 func (n *Request) score(r *Candidate) float64 {
-	score := share(r.Free.CPU-n.Counted.CPU, r.Capacity.CPU)
+	score := share(r.Free.CPU-n.Reserved.CPU, r.Capacity.CPU)
 	if n.Filler > 0 {
 		score = share(r.Unused-n.Filler, r.Capacity.CPU)
 	}
@@ -83,6 +83,6 @@
 
 // Take books the task in the room.
 func (r *Candidate) Take(n *Request) {
-	r.Free = r.Free.Sub(n.Counted)
-	r.Unused -= n.Filler + n.Counted.CPU
+	r.Free = r.Free.Sub(n.Reserved)
+	r.Unused -= n.Filler + n.Reserved.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func need(cpu int64) Request { return Request{Counted: describer.Resources{CPU: cpu, Memory: 10}} }
+func need(cpu int64) Request { return Request{Reserved: describer.Resources{CPU: cpu, Memory: 10}} }
 
 func anywhere(int) bool { return true }
 
@@ -42,7 +42,7 @@
 		n := need(1000)
 		n.Rack = "r1-1"
 		Expect(Choose([]Candidate{far, near}, n, anywhere)).To(Equal(1))
-		n.Counted.CPU = 2000
+		n.Reserved.CPU = 2000
 		Expect(Choose([]Candidate{far, near}, n, anywhere)).To(Equal(0))
 	})
 
