--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -81,8 +81,8 @@
 	return float64(part) / float64(whole)
 }
 
-// Take books the task in the room.
-func (r *Candidate) Take(n *Request) {
+// Reserve books the task in the room.
+func (r *Candidate) Reserve(n *Request) {
 	r.Free = r.Free.Sub(n.Reserved)
 	r.Unused -= n.Filler + n.Reserved.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -63,7 +63,7 @@
 	It("books what it took", func() {
 		r := room(4000)
 		n := need(1000)
-		r.Take(&n)
+		r.Reserve(&n)
 		Expect(r.Free.CPU).To(Equal(int64(3000)))
 		Expect(r.Unused).To(Equal(int64(3000)))
 	})
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -202,7 +202,7 @@
 		if st.spec.Tight && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
-		p.rooms[i].Take(&need)
+		p.rooms[i].Reserve(&need)
 		p.lasting += st.needs.lasting
 		p.s.start(t, p.workers[i], t.nextRun(p.s.options.Epoch))
 		if p.isYielding(st) {
@@ -310,7 +310,7 @@
 		if st.spec.Tight && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
-		rooms[i].Take(&need)
+		rooms[i].Reserve(&need)
 		count[i]++
 		chosen = append(chosen, i)
 	}
--- a/internal/job/dispatcher/yield.go
+++ b/internal/job/dispatcher/yield.go
@@ -64,7 +64,7 @@
 		if i < 0 {
 			break
 		}
-		p.rooms[i].Take(&need)
+		p.rooms[i].Reserve(&need)
 		n++
 	}
 	return n
