--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -37,7 +37,7 @@
 // Filler is one filler on a worker.
 type Filler struct {
 	Pace     int     // percent
-	Harm     float64 // expected growth of the logarithm of the worst tail, at full pace
+	Interference     float64 // expected growth of the logarithm of the worst tail, at full pace
 	Standing ranker.Lateness
 }
 
@@ -69,7 +69,7 @@
 	}
 	slices.SortStableFunc(out, func(a, b int) int {
 		x, y := &fillers[a], &fillers[b]
-		return cmp.Or(compareMild(x, y), cmp.Compare(y.Standing, x.Standing), cmp.Compare(y.Harm, x.Harm))
+		return cmp.Or(compareMild(x, y), cmp.Compare(y.Standing, x.Standing), cmp.Compare(y.Interference, x.Interference))
 	})
 	return out
 }
@@ -77,9 +77,9 @@
 // compareMild puts fillers that do no harm last.
 func compareMild(a, b *Filler) int {
 	switch {
-	case a.Harm < mild && b.Harm >= mild:
+	case a.Interference < mild && b.Interference >= mild:
 		return 1
-	case b.Harm < mild && a.Harm >= mild:
+	case b.Interference < mild && a.Interference >= mild:
 		return -1
 	}
 	return 0
@@ -89,10 +89,10 @@
 func slow(excess float64, fillers []Filler) {
 	for _, i := range order(fillers) {
 		f := &fillers[i]
-		if f.Harm < mild || excess <= 0 {
+		if f.Interference < mild || excess <= 0 {
 			return
 		}
-		share := f.Harm * float64(f.Pace) / full
+		share := f.Interference * float64(f.Pace) / full
 		if share <= excess {
 			f.Pace = 0
 		} else {
@@ -112,14 +112,14 @@
 			continue
 		}
 		step := min(full-f.Pace, rise)
-		if f.Harm >= mild {
-			step = int(min(float64(step), room/f.Harm*full))
+		if f.Interference >= mild {
+			step = int(min(float64(step), room/f.Interference*full))
 		}
 		if f.Pace+step < resting {
 			continue
 		}
 		f.Pace += step
-		room -= max(f.Harm, 0) * float64(step) / full
+		room -= max(f.Interference, 0) * float64(step) / full
 		if room <= 0 {
 			return
 		}
--- a/internal/control/pacer/pacer_test.go
+++ b/internal/control/pacer/pacer_test.go
@@ -17,7 +17,7 @@
 	const step = 500 * time.Millisecond
 	fillers := make([]Filler, len(harms))
 	for i, harm := range harms {
-		fillers[i] = Filler{Pace: full, Harm: harm}
+		fillers[i] = Filler{Pace: full, Interference: harm}
 	}
 	over := time.Duration(0)
 	steps := seconds * int(time.Second/step)
@@ -25,7 +25,7 @@
 		base := 0.5 * (1 + swing*math.Sin(2*math.Pi*float64(i)/20))
 		tail := base
 		for _, f := range fillers {
-			tail *= math.Exp(f.Harm * float64(f.Pace) / full)
+			tail *= math.Exp(f.Interference * float64(f.Pace) / full)
 			used += float64(f.Pace) / full / float64(steps*len(fillers))
 		}
 		if tail > 1 {
@@ -51,27 +51,27 @@
 	})
 
 	It("slows the most harmful filler first", func() {
-		fillers := []Filler{{Pace: 100, Harm: 0.1}, {Pace: 100, Harm: 0.9}}
+		fillers := []Filler{{Pace: 100, Interference: 0.1}, {Pace: 100, Interference: 0.9}}
 		Decide(1.1, 0, fillers)
 		Expect(fillers[0].Pace).To(Equal(100))
 		Expect(fillers[1].Pace).To(BeNumerically("<", 100))
 	})
 
 	It("lets work that is late give way to work that can end in time", func() {
-		fillers := []Filler{{Pace: 100, Harm: 0.6}, {Pace: 100, Harm: 0.3, Standing: ranker.Late}}
+		fillers := []Filler{{Pace: 100, Interference: 0.6}, {Pace: 100, Interference: 0.3, Standing: ranker.Late}}
 		Decide(1.1, 0, fillers)
 		Expect(fillers[0].Pace).To(Equal(100))
 		Expect(fillers[1].Pace).To(BeNumerically("<", 100))
 	})
 
 	It("stops every filler when a tail stays over its target", func() {
-		fillers := []Filler{{Pace: 100, Harm: 0}, {Pace: 50, Harm: 0}}
+		fillers := []Filler{{Pace: 100, Interference: 0}, {Pace: 50, Interference: 0}}
 		Decide(1.3, overLimit, fillers)
 		Expect(fillers).To(HaveEach(HaveField("Pace", 0)))
 	})
 
 	It("lets fillers work again when nothing serves beside them", func() {
-		fillers := []Filler{{Pace: 0, Harm: 5}}
+		fillers := []Filler{{Pace: 0, Interference: 5}}
 		for range 3 {
 			Decide(0, 0, fillers)
 		}
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -128,7 +128,7 @@
 		runs = append(runs, r)
 		work := r.task.step.work()
 		fillers = append(fillers, pacer.Filler{
-			Pace: max(r.pace, 0), Harm: s.harmTo(w, r.task.step.spec.Image, r.task.step.spec.Needs.CPU),
+			Pace: max(r.pace, 0), Interference: s.harmTo(w, r.task.step.spec.Image, r.task.step.spec.Needs.CPU),
 			Standing: work.Standing(s.now.Add(-r.done())),
 		})
 	}
@@ -141,7 +141,7 @@
 		if fillers[i].Pace != r.pace {
 			s.setPace(r, fillers[i].Pace)
 		}
-		if r.pace == 0 && s.now.Sub(r.slowed) > stuckLimit && s.hasBetterPlace(r, fillers[i].Harm) {
+		if r.pace == 0 && s.now.Sub(r.slowed) > stuckLimit && s.hasBetterPlace(r, fillers[i].Interference) {
 			s.stopRun(r, "disturbs a serving task")
 		}
 	}
