--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -148,9 +148,9 @@
 	return load
 }
 
-// Hold adds a grant. It returns an error and changes nothing if the grant does not fit or
+// Allocate adds a grant. It returns an error and changes nothing if the grant does not fit or
 // the task holds one already.
-func (w *Worker) Hold(task describer.TaskID, g Grant) error {
+func (w *Worker) Allocate(task describer.TaskID, g Grant) error {
 	if _, ok := w.Grants[task]; ok {
 		return fmt.Errorf("accountant: %s already holds a grant on %s", task, w.Host.Name)
 	}
--- a/internal/control/accountant/accountant_test.go
+++ b/internal/control/accountant/accountant_test.go
@@ -24,7 +24,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"hold": func(t *rapid.T) {
-				_ = w.Hold(task(t), Grant{
+				_ = w.Allocate(task(t), Grant{
 					Token: token(t), Resources: size(), Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
 				})
 			},
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -15,7 +15,7 @@
 	BeforeEach(func() {
 		w = &Worker{Host: describer.Host{Name: "w", Capacity: describer.Resources{CPU: 1000, Memory: 100}}}
 		grant := Grant{Token: token, Class: "c", Resources: describer.Resources{CPU: 300, Memory: 90}}
-		Expect(w.Hold(id, grant)).To(Succeed())
+		Expect(w.Allocate(id, grant)).To(Succeed())
 	})
 
 	It("keeps room within the limit of a restore", func() {
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -40,7 +40,7 @@
 	}}
 	for i := range tasks {
 		id := describer.TaskID{Job: "j", Index: i}
-		_ = b.worker.Hold(id, accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 4000}})
+		_ = b.worker.Allocate(id, accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 4000}})
 	}
 	return b
 }
@@ -113,7 +113,7 @@
 	It("does nothing but keep tasks off when batch is not to blame", func() {
 		b := newBench(0, 9)
 		small := accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 200}}
-		Expect(b.worker.Hold(describer.TaskID{Job: "small"}, small)).To(Succeed())
+		Expect(b.worker.Allocate(describer.TaskID{Job: "small"}, small)).To(Succeed())
 		for range 20 {
 			b.report(3)
 		}
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -307,7 +307,7 @@
 	if r.began.IsZero() {
 		r.began = k.now
 	}
-	err := h.account.Hold(r.id, accountant.Grant{
+	err := h.account.Allocate(r.id, accountant.Grant{
 		Token: describer.Token{Epoch: 1, Sequence: k.sequence}, Class: r.job.Class, Team: r.job.Team,
 		Kind: r.job.Kind, Priority: r.job.Priority, Resources: request.Want, Since: k.now,
 	})
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -40,7 +40,7 @@
 
 func hold(w *accountant.Worker, index int, cpu int64) {
 	r := request(100+index, cpu)
-	Expect(w.Hold(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
+	Expect(w.Allocate(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
 }
 
 var _ = Describe("Default", func() {
@@ -109,7 +109,7 @@
 		for i := range 3 {
 			r := request(i, 1000)
 			choice := placer.Default{}.Place(f, r, now)
-			Expect(f.Workers[choice.Worker].Hold(r.Task, accountant.Grant{Resources: r.Want})).To(Succeed())
+			Expect(f.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{Resources: r.Want})).To(Succeed())
 			used[choice.Worker] = true
 		}
 		Expect(used).To(HaveLen(3))
@@ -213,7 +213,7 @@
 		f := fleet(worker("a"), worker("b", "desk"), worker("c"))
 		for i := range rapid.IntRange(0, 30).Draw(t, "grants") {
 			name := rapid.SampledFrom(f.Names()).Draw(t, "worker")
-			_ = f.Workers[name].Hold(describer.TaskID{Job: "x", Index: i}, accountant.Grant{
+			_ = f.Workers[name].Allocate(describer.TaskID{Job: "x", Index: i}, accountant.Grant{
 				Kind:      rapid.SampledFrom([]describer.Kind{describer.Batch, describer.LatencyCritical}).Draw(t, "kind"),
 				Priority:  rapid.SampledFrom([]describer.Priority{describer.Normal, describer.Urgent}).Draw(t, "priority"),
 				Resources: describer.Resources{CPU: rapid.Int64Range(1, 8000).Draw(t, "cpu"), Memory: rapid.Int64Range(0, 30000).Draw(t, "memory")},
@@ -246,7 +246,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := w.Hold(r.Task, accountant.Grant{Resources: r.Want}); err != nil {
+		if err := w.Allocate(r.Task, accountant.Grant{Resources: r.Want}); err != nil {
 			t.Fatal(fmt.Errorf("room was not enough: %w", err))
 		}
 	})
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -51,12 +51,12 @@
 	}
 	for i := range 3 {
 		id := describer.TaskID{Job: "menus", Index: i}
-		Expect(out["s-1"].Workers["w-1"].Hold(id, accountant.Grant{
+		Expect(out["s-1"].Workers["w-1"].Allocate(id, accountant.Grant{
 			Class: "translate", Team: "council", Resources: describer.Resources{CPU: 5000, Memory: 1000},
 		})).To(Succeed())
 	}
 	hold := accountant.Grant{Resources: describer.Resources{CPU: 6000}}
-	Expect(out["s-1"].Workers["w-2"].Hold(describer.TaskID{Job: "other"}, hold)).To(Succeed())
+	Expect(out["s-1"].Workers["w-2"].Allocate(describer.TaskID{Job: "other"}, hold)).To(Succeed())
 	return out
 }
 
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -47,7 +47,7 @@
 	if choice.Worker == "" {
 		return "", choice.Why
 	}
-	err := fleet.Workers[choice.Worker].Hold(r.Task, accountant.Grant{
+	err := fleet.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{
 		Class: r.Job.Class, Team: r.Job.Team, Kind: r.Job.Kind, Resources: r.Want,
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 		w.Closed = false
 		p.opens(w, "gradual, by batch limit and service latency")
 		for _, r := range p.pending {
-			if r.HomeTo != w.Host.Name || w.Hold(r.Task, accountant.Grant{Resources: r.Want}) != nil {
+			if r.HomeTo != w.Host.Name || w.Allocate(r.Task, accountant.Grant{Resources: r.Want}) != nil {
 				continue
 			}
 			p.gained += r.Want.CPU
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -197,7 +197,7 @@
 		HomeTo:    t.drainedOff,
 		Since:     h.state.now,
 	}
-	if w.account.Hold(t.id(), g) != nil {
+	if w.account.Allocate(t.id(), g) != nil {
 		w.account.Adopt(t.id(), g)
 	}
 	t.slot = int32(len(w.runs))
