--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// Drop removes the task's grant if it is of the given token.
-func (w *Worker) Drop(task describer.TaskID, token describer.Token) {
+// Release removes the task's grant if it is of the given token.
+func (w *Worker) Release(task describer.TaskID, token describer.Token) {
 	g, ok := w.Grants[task]
 	if !ok || g.Token != token {
 		return
--- a/internal/control/accountant/accountant_test.go
+++ b/internal/control/accountant/accountant_test.go
@@ -29,7 +29,7 @@
 				})
 			},
 			"resize": func(t *rapid.T) { _ = w.Resize(task(t), token(t), size()) },
-			"drop":   func(t *rapid.T) { w.Drop(task(t), token(t)) },
+			"drop":   func(t *rapid.T) { w.Release(task(t), token(t)) },
 			"": func(t *rapid.T) {
 				var sum describer.Resources
 				classes := map[string]float64{}
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -32,14 +32,14 @@
 	})
 
 	It("ignores a drop under an old token", func() {
-		w.Drop(id, describer.Token{})
+		w.Release(id, describer.Token{})
 		Expect(w.Tasks()).To(Equal([]describer.TaskID{id}))
 		Expect(w.Shares()).To(Equal(map[string]float64{"c": 0.3}))
 	})
 
 	It("clones grants", func() {
 		c := w.Clone()
-		c.Drop(id, token)
+		c.Release(id, token)
 		Expect(w.Grants).To(HaveLen(1))
 	})
 })
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -64,7 +64,7 @@
 			g := b.worker.Grants[a.Task]
 			_ = b.worker.Resize(a.Task, a.Token, describer.Resources{CPU: a.CPU, Memory: g.Resources.Memory})
 		case Move, Stop:
-			b.worker.Drop(a.Task, a.Token)
+			b.worker.Release(a.Task, a.Token)
 		}
 	}
 	return actions
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -91,7 +91,7 @@
 
 func (k *control) release(r *run) {
 	h := r.worker
-	h.account.Drop(r.id, h.account.Grants[r.id].Token)
+	h.account.Release(r.id, h.account.Grants[r.id].Token)
 	delete(h.runs, r.id)
 	r.worker = nil
 	k.changed(h)
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -66,7 +66,7 @@
 		Expect(policy.Place(f, request(0, 1500), now).Worker).To(Equal("a"))
 		hold(f.Workers["a"], 0, 1500)
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(BeEmpty())
-		f.Workers["a"].Drop(request(100, 0).Task, describer.Token{})
+		f.Workers["a"].Release(request(100, 0).Task, describer.Token{})
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(Equal("a"))
 	})
 
@@ -236,7 +236,7 @@
 		w := f.Workers[room.Worker]
 		for _, task := range room.Evict {
 			mustGiveWay(t, w.Grants[task])
-			w.Drop(task, describer.Token{})
+			w.Release(task, describer.Token{})
 		}
 		for _, s := range room.Throttle {
 			g := w.Grants[s.Task]
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -78,7 +78,7 @@
 
 func (p *draft) leave(w *accountant.Worker, task describer.TaskID) {
 	g := w.Grants[task]
-	w.Drop(task, g.Token)
+	w.Release(task, g.Token)
 	job := &describer.Job{ID: task.Job, Team: g.Team, Class: g.Class, Kind: g.Kind, Priority: g.Priority}
 	request := placer.Request{Task: task, Job: job, Want: g.Resources}
 	to, why := p.place(p.within(p.shard[w.Host.Name]), request)
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -130,7 +130,7 @@
 	if w.account.Resize(id, t.token, to) != nil {
 		// In replay the worker's capacity may not be known yet.
 		g := w.account.Grants[id]
-		w.account.Drop(id, t.token)
+		w.account.Release(id, t.token)
 		g.Resources = to
 		w.account.Adopt(id, g)
 	}
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -216,7 +216,7 @@
 
 func (h *shard) unhold(t *task) {
 	w := h.worker(t.worker)
-	w.account.Drop(t.id(), t.token)
+	w.account.Release(t.id(), t.token)
 	last := len(w.runs) - 1
 	w.runs[t.slot] = w.runs[last]
 	w.runs[t.slot].slot = t.slot
