--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -326,7 +326,7 @@
 		want = placer.Size(&k.usage, r.job, k.deployment.Size.Sub(describer.Resources{CPU: k.deployment.Size.CPU / 4}))
 	}
 	return placer.Request{
-		Task: r.id, Job: r.job, Want: want, HomeTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
+		Task: r.id, Job: r.job, Want: want, ReturnTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
 	}
 }
 
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -225,7 +225,7 @@
 
 func (d Default) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
 	score := -cost
-	if r.HomeTo == w.Host.Name {
+	if r.ReturnTo == w.Host.Name {
 		score += homeBonus
 	}
 	score -= rackPenalty * racks[w.Host.Rack]
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -99,7 +99,7 @@
 	It("brings drained tasks home", func() {
 		f := fleet(worker("a"), worker("b"), worker("c"))
 		r := request(0, 1000)
-		r.HomeTo = "c"
+		r.ReturnTo = "c"
 		Expect(placer.Default{}.Place(f, r, now).Worker).To(Equal("c"))
 	})
 
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -63,7 +63,7 @@
 func pending() []placer.Request {
 	job := &describer.Job{ID: "maps", Team: "council", Class: "render"}
 	return []placer.Request{{
-		Task: describer.TaskID{Job: "maps"}, Job: job, Want: describer.Resources{CPU: 3000}, HomeTo: "w-3",
+		Task: describer.TaskID{Job: "maps"}, Job: job, Want: describer.Resources{CPU: 3000}, ReturnTo: "w-3",
 	}}
 }
 
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -98,7 +98,7 @@
 		w.Closed = false
 		p.opens(w, "gradual, by batch limit and service latency")
 		for _, r := range p.pending {
-			if r.HomeTo != w.Host.Name || w.Allocate(r.Task, accountant.Grant{Resources: r.Want}) != nil {
+			if r.ReturnTo != w.Host.Name || w.Allocate(r.Task, accountant.Grant{Resources: r.Want}) != nil {
 				continue
 			}
 			p.gained += r.Want.CPU
