--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -39,7 +39,7 @@
 	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
 	Limited  bool                       // restoring: batch grants stay within Limit
 	Limit    int64                      // millicores of batch grants while Limited
-	Heard    time.Time                  // last inventory
+	LastInventory    time.Time                  // last inventory
 
 	jobs    map[string]int   // grants by job
 	classes map[string]int64 // millicores of batch grants by class
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -133,7 +133,7 @@
 func (k *control) hear() {
 	for _, h := range k.hosts {
 		if !h.dead {
-			h.account.Heard = k.now
+			h.account.LastInventory = k.now
 		}
 		for _, l := range k.arrived(h) {
 			h.account.Reports[l.Service] = l
@@ -339,7 +339,7 @@
 		}
 	}
 	for _, h := range k.hosts {
-		if h.dead && k.now.Sub(h.account.Heard) > 15*time.Second {
+		if h.dead && k.now.Sub(h.account.LastInventory) > 15*time.Second {
 			avoid[h.account.Host.Name] = true
 		}
 	}
--- a/internal/control/evaluator/world.go
+++ b/internal/control/evaluator/world.go
@@ -82,7 +82,7 @@
 			Rack: string([]byte{'r', byte('0' + i/d.Rack)}),
 		},
 		Reports: make(map[string]runner.Latency),
-		Heard:   begin,
+		LastInventory:   begin,
 	}
 	if i%batchOnly != 0 {
 		account.Host.Services = []string{d.Service}
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -192,7 +192,7 @@
 	if !e.Synced.Capacity.IsZero() {
 		w.account.Host.Capacity = e.Synced.Capacity
 	}
-	w.account.Heard = e.Sent
+	w.account.LastInventory = e.Sent
 	h.takeRunning(w, e.Synced.Running)
 	h.takeFinished(w, e.Synced.Finished)
 	h.takeAbsent(w)
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -92,7 +92,7 @@
 	if in.Gone {
 		return Decision{Done: true}
 	}
-	if silent := in.Now.Sub(in.Worker.Heard); silent > o.Silence {
+	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.Silence {
 		in.State.Since = in.Now // no time passes in a step for a silent worker
 		return Decision{Held: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
 	}
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -29,7 +29,7 @@
 		Now: start, State: &b.state,
 		Worker: &accountant.Worker{
 			Host:  describer.Host{Name: "w", Capacity: describer.Resources{CPU: 16000}, Services: []string{"desk"}},
-			Heard: start,
+			LastInventory: start,
 		},
 		Services: map[string]describer.Service{"desk": {Name: "desk", Target: target}},
 	}
@@ -39,7 +39,7 @@
 // report lets 10 s pass with a latency as a share of the target.
 func (b *bench) report(ratio float64) Decision {
 	b.in.Now = b.in.Now.Add(10 * time.Second)
-	b.in.Worker.Heard = b.in.Now
+	b.in.Worker.LastInventory = b.in.Now
 	b.in.Worker.Reports = map[string]runner.Latency{"desk": {
 		Service: "desk", To: b.in.Now, Count: 300, P99: time.Duration(ratio * float64(target)),
 	}}
