--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -97,9 +97,9 @@
 	return w.Host.Capacity.Sub(w.Granted).Sub(w.Reserved)
 }
 
-// Room returns what a new batch grant may take: Free, within Limit while the
+// FreeForBatch returns what a new batch grant may take: Free, within Limit while the
 // worker is being restored, and nothing while it is closed.
-func (w *Worker) Room() describer.Resources {
+func (w *Worker) FreeForBatch() describer.Resources {
 	if w.Closed {
 		return describer.Resources{}
 	}
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -20,9 +20,9 @@
 
 	It("keeps room within the limit of a restore", func() {
 		w.Limited, w.Limit = true, 500
-		Expect(w.Room().CPU).To(BeEquivalentTo(200))
+		Expect(w.FreeForBatch().CPU).To(BeEquivalentTo(200))
 		w.Closed = true
-		Expect(w.Room()).To(BeZero())
+		Expect(w.FreeForBatch()).To(BeZero())
 	})
 
 	It("relieves a worker whose capacity fell", func() {
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -67,7 +67,7 @@
 	score := 0.0
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
-		if !suits(w, r) || !r.Want.Fits(w.Room()) {
+		if !suits(w, r) || !r.Want.Fits(w.FreeForBatch()) {
 			continue
 		}
 		cost, o := d.effect(w, r, limits, now)
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -172,7 +172,7 @@
 // room returns what a new grant for the task may take on the worker.
 func room(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
-		return w.Room()
+		return w.FreeForBatch()
 	}
 	return w.Free()
 }
