--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -56,7 +56,7 @@
 	Resources describer.Resources
 	Used      describer.Resources // latest lagging report
 	Progress  float64             // latest lagging report, 0 to 1
-	Ceiling   int64               // millicores it is throttled to for a service's sake; 0 is not throttled
+	ThrottledTo   int64               // millicores it is throttled to for a service's sake; 0 is not throttled
 	ReturnTo    string              // drained worker that the task is owed back to, or empty
 	Since     time.Time
 }
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -200,9 +200,9 @@
 		k.evictions++
 	case escalator.Throttle, escalator.Unthrottle:
 		g := h.account.Grants[a.Task]
-		g.Ceiling = 0
+		g.ThrottledTo = 0
 		if a.Kind == escalator.Throttle {
-			g.Ceiling = a.CPU
+			g.ThrottledTo = a.CPU
 		}
 		h.account.Grants[a.Task] = g
 		to := g.Resources
--- a/internal/control/placer/size.go
+++ b/internal/control/placer/size.go
@@ -48,7 +48,7 @@
 // grant is throttled use, so it counts as a multiple of the grant; a task that
 // is throttled for a service's sake shows nothing about its need.
 func (u *Usage) Observe(g accountant.Grant) {
-	if g.Used.IsZero() || g.Ceiling > 0 {
+	if g.Used.IsZero() || g.ThrottledTo > 0 {
 		return
 	}
 	if u.Classes == nil {
@@ -87,7 +87,7 @@
 // same otherwise, so that small changes cause no calls. It stays within free,
 // and a task that is throttled for a service's sake gets no more processors.
 func Resize(g accountant.Grant, free describer.Resources) describer.Resources {
-	if g.Ceiling > 0 {
+	if g.ThrottledTo > 0 {
 		free.CPU = 0
 	}
 	to := g.Resources
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -152,7 +152,7 @@
 func (h *shard) setCeiling(t *task, cpu int64) {
 	w := h.worker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
-		g.Ceiling = cpu
+		g.ThrottledTo = cpu
 		w.account.Grants[t.id()] = g
 	}
 }
