--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -37,7 +37,7 @@
 	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
 	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
 	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
-	Limited  bool                       // restoring: batch grants stay within Limit
+	BatchLimited  bool                       // restoring: batch grants stay within Limit
 	Limit    int64                      // millicores of batch grants while Limited
 	LastInventory    time.Time                  // last inventory
 
@@ -104,7 +104,7 @@
 		return describer.Resources{}
 	}
 	free := w.Free()
-	if w.Limited {
+	if w.BatchLimited {
 		free.CPU = min(free.CPU, w.Limit-w.BatchCPU())
 	}
 	return free
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -136,10 +136,10 @@
 
 // limit bounds what batch tasks may hold on the worker.
 func (h *shard) limit(w *worker, on bool, cpu int64) {
-	if w.account.Limited != on || w.account.Limit != cpu {
+	if w.account.BatchLimited != on || w.account.Limit != cpu {
 		h.idle = false
 	}
-	w.account.Limited = on
+	w.account.BatchLimited = on
 	w.account.Limit = cpu
 }
 
