--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -38,7 +38,7 @@
 	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
 	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
 	BatchLimited  bool                       // restoring: batch grants stay within Limit
-	Limit    int64                      // millicores of batch grants while Limited
+	BatchLimit    int64                      // millicores of batch grants while Limited
 	LastInventory    time.Time                  // last inventory
 
 	jobs    map[string]int   // grants by job
@@ -105,7 +105,7 @@
 	}
 	free := w.Free()
 	if w.BatchLimited {
-		free.CPU = min(free.CPU, w.Limit-w.BatchCPU())
+		free.CPU = min(free.CPU, w.BatchLimit-w.BatchCPU())
 	}
 	return free
 }
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -19,7 +19,7 @@
 	})
 
 	It("keeps room within the limit of a restore", func() {
-		w.BatchLimited, w.Limit = true, 500
+		w.BatchLimited, w.BatchLimit = true, 500
 		Expect(w.FreeForBatch().CPU).To(BeEquivalentTo(200))
 		w.Closed = true
 		Expect(w.FreeForBatch()).To(BeZero())
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -246,7 +246,7 @@
 			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Owed: k.owed(name),
 		})
 	}
-	h.account.BatchLimited, h.account.Limit = !d.Done, d.Limit
+	h.account.BatchLimited, h.account.BatchLimit = !d.Done, d.Limit
 	if d.Done {
 		delete(k.restores, name)
 		k.restored = max(k.restored, k.now.Sub(begin)-drainAt-drainFor)
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -117,7 +117,7 @@
 
 	It("stays within the limit of a restore", func() {
 		f := fleet(worker("a"))
-		f.Workers["a"].BatchLimited, f.Workers["a"].Limit = true, 500
+		f.Workers["a"].BatchLimited, f.Workers["a"].BatchLimit = true, 500
 		Expect(placer.Default{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
 		Expect(placer.Default{}.Place(f, request(0, 500), now).Worker).To(Equal("a"))
 	})
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -136,11 +136,11 @@
 
 // limit bounds what batch tasks may hold on the worker.
 func (h *shard) limit(w *worker, on bool, cpu int64) {
-	if w.account.BatchLimited != on || w.account.Limit != cpu {
+	if w.account.BatchLimited != on || w.account.BatchLimit != cpu {
 		h.idle = false
 	}
 	w.account.BatchLimited = on
-	w.account.Limit = cpu
+	w.account.BatchLimit = cpu
 }
 
 // propose asks for the configuration to show that the worker has its work
