--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -126,9 +126,9 @@
 	return float64(r.CPU) / float64(max(w.Host.Capacity.CPU, 1))
 }
 
-// Shares returns for each class of batch tasks the share of the worker's
+// BatchShares returns for each class of batch tasks the share of the worker's
 // processors, 0 to 1, that its grants hold.
-func (w *Worker) Shares() map[string]float64 {
+func (w *Worker) BatchShares() map[string]float64 {
 	if w.Host.Capacity.CPU <= 0 {
 		return nil
 	}
--- a/internal/control/accountant/accountant_test.go
+++ b/internal/control/accountant/accountant_test.go
@@ -39,7 +39,7 @@
 						classes[g.Class] += float64(g.Resources.CPU) / 100
 					}
 				}
-				for class, share := range w.Shares() {
+				for class, share := range w.BatchShares() {
 					if math.Abs(classes[class]-share) > 1e-9 {
 						t.Fatalf("class %s: %v, sum of grants %v", class, share, classes[class])
 					}
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -34,7 +34,7 @@
 	It("ignores a drop under an old token", func() {
 		w.Release(id, describer.Token{})
 		Expect(w.Tasks()).To(Equal([]describer.TaskID{id}))
-		Expect(w.Shares()).To(Equal(map[string]float64{"c": 0.3}))
+		Expect(w.BatchShares()).To(Equal(map[string]float64{"c": 0.3}))
 	})
 
 	It("clones grants", func() {
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -206,7 +206,7 @@
 	if in.Learner == nil {
 		return "", 0
 	}
-	shares := in.Worker.Shares()
+	shares := in.Worker.BatchShares()
 	for name, bound := range in.Bounds {
 		load := in.Worker.Reports[name].Load
 		base, known := in.Learner.Baseline(name, load)
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -129,7 +129,7 @@
 	if now.Before(w.BatchBlockedUntil) && r.Job.Priority != describer.Urgent {
 		return 0, objection{kind: recovering}
 	}
-	before := w.Shares()
+	before := w.BatchShares()
 	shares := maps.Clone(before)
 	shares[r.Job.Class] += w.Share(r.Want)
 	for _, service := range w.Host.Services {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -180,7 +180,7 @@
 // interference returns the slow-down of the worker's services by the batch
 // tasks that run there, 0 is none.
 func (h *shard) interference(w *worker) float64 {
-	shares := w.account.Shares()
+	shares := w.account.BatchShares()
 	if len(shares) == 0 {
 		return 0
 	}
