--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -43,7 +43,7 @@
 }
 
 func defaultPolicy(d Deployment, l *learner.Learner) placer.Policy {
-	return placer.Default{Learner: l, Services: services(d), Weights: d.Weights}
+	return placer.InterferenceAware{Learner: l, Services: services(d), Weights: d.Weights}
 }
 
 func services(d Deployment) map[string]describer.Service {
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -161,7 +161,7 @@
 			g := h.account.Grants[task]
 			k.usage.Observe(g)
 			to := placer.Resize(g, h.account.FreeForBatch())
-			if p, ok := k.policy.(placer.Default); ok && !p.MayGrow(h.account, g, to, k.now) {
+			if p, ok := k.policy.(placer.InterferenceAware); ok && !p.MayGrow(h.account, g, to, k.now) {
 				to.CPU = g.Resources.CPU
 			}
 			if to != g.Resources && h.account.Resize(task, g.Token, to) == nil {
@@ -178,7 +178,7 @@
 	}
 	for _, h := range k.hosts {
 		var bounds map[string]time.Duration
-		if p, ok := k.policy.(placer.Default); ok {
+		if p, ok := k.policy.(placer.InterferenceAware); ok {
 			bounds = p.Bounds(h.account)
 		}
 		actions := escalator.Decide(escalator.Input{
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -10,9 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/learner"
 )
 
-// Default weighs the expected slow-down of services against their targets,
+// InterferenceAware weighs the expected slow-down of services against their targets,
 // spread over racks, and drained tasks that are owed back to their worker.
-type Default struct {
+type InterferenceAware struct {
 	Learner  *learner.Learner
 	Services map[string]describer.Service // by name
 	Weights  describer.Weights
@@ -53,7 +53,7 @@
 }
 
 // Place implements Policy.
-func (d Default) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
+func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
 	limits := d.Limits.orDefault(d.Weights)
 	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.Patience {
 		limits.Slowdown *= 2
@@ -120,7 +120,7 @@
 // effect returns the cost of the task for the worker's services: what it is
 // expected to add to their relative slow-down, and a part of the whole. Or it
 // returns why the task must stay off.
-func (d Default) effect(
+func (d InterferenceAware) effect(
 	w *accountant.Worker, r Request, limits Limits, now time.Time,
 ) (cost float64, o objection) {
 	if r.Job.Kind == describer.LatencyCritical || len(w.Host.Services) == 0 {
@@ -147,7 +147,7 @@
 
 // MayGrow reports whether a running task may get the processors of a greater
 // grant, which is weighed like a placement.
-func (d Default) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
+func (d InterferenceAware) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
 	if to.CPU <= g.Resources.CPU {
 		return true
 	}
@@ -162,7 +162,7 @@
 // objects compares the cautious latency with what the service has at its busy
 // times without batch tasks, and with its target. Without any report, one small
 // task at a time is tried: nothing would ever be known otherwise.
-func (d Default) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
+func (d InterferenceAware) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
 	base, known := d.baseline(service, load)
 	if !known {
 		if upper > limits.Slowdown && !isTrial {
@@ -182,7 +182,7 @@
 }
 
 // bound is the latency that batch tasks may bring a service to.
-func (d Default) bound(service string, base time.Duration, limits Limits) time.Duration {
+func (d InterferenceAware) bound(service string, base time.Duration, limits Limits) time.Duration {
 	busy, _ := d.Learner.BusyLatency(service)
 	comfort := limits.Comfort * float64(d.Services[service].Target)
 	return max(time.Duration(float64(base)*(1+limits.Slowdown)), busy, time.Duration(comfort))
@@ -190,7 +190,7 @@
 
 // Bounds returns for each service of a worker the latency that batch tasks
 // may bring it to at its present load, where there is evidence.
-func (d Default) Bounds(w *accountant.Worker) map[string]time.Duration {
+func (d InterferenceAware) Bounds(w *accountant.Worker) map[string]time.Duration {
 	limits := d.Limits.orDefault(d.Weights)
 	bounds := make(map[string]time.Duration)
 	for _, service := range w.Host.Services {
@@ -201,14 +201,14 @@
 	return bounds
 }
 
-func (d Default) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
+func (d InterferenceAware) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
 	if d.Learner == nil {
 		return 0, 0
 	}
 	return d.Learner.Slowdown(service, shares, load)
 }
 
-func (d Default) baseline(service string, load float64) (time.Duration, bool) {
+func (d InterferenceAware) baseline(service string, load float64) (time.Duration, bool) {
 	if d.Learner == nil {
 		return 0, false
 	}
@@ -223,7 +223,7 @@
 	totalWeight = 0.25  // of the worker's whole slow-down, besides what the task adds
 )
 
-func (d Default) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
+func (d InterferenceAware) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
 	score := -cost
 	if r.ReturnTo == w.Host.Name {
 		score += homeBonus
@@ -237,7 +237,7 @@
 // a service: as much as a typical class slows a service, rising with their
 // use. Classes that do less harm go beside services and leave that room to
 // those that do more.
-func (d Default) scarcity(fleet *accountant.Fleet) float64 {
+func (d InterferenceAware) scarcity(fleet *accountant.Fleet) float64 {
 	var granted, capacity int64
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -48,13 +48,13 @@
 
 	It("prefers a worker without a service", func() {
 		f := fleet(worker("a", "desk"), worker("b"))
-		policy := placer.Default{Learner: learner.New(learner.Options{}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{}), Services: target}
 		Expect(policy.Place(f, request(0, 1000), now).Worker).To(Equal("b"))
 	})
 
 	It("says why it keeps a task off", func() {
 		f := fleet(worker("a", "desk"))
-		policy := placer.Default{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		choice := policy.Place(f, request(0, 8000), now)
 		Expect(choice.Worker).To(BeEmpty())
 		Expect(choice.Why).To(HavePrefix("would slow desk by up to "))
@@ -62,7 +62,7 @@
 
 	It("tries one small task where nothing is known", func() {
 		f := fleet(worker("a", "desk"))
-		policy := placer.Default{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		Expect(policy.Place(f, request(0, 1500), now).Worker).To(Equal("a"))
 		hold(f.Workers["a"], 0, 1500)
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(BeEmpty())
@@ -80,7 +80,7 @@
 					Service: "desk", From: from, To: from.Add(time.Second), P99: p99, Count: 50,
 				}})
 			}
-			return placer.Default{Learner: l, Services: target}.Place(f, request(0, 4000), now).Worker
+			return placer.InterferenceAware{Learner: l, Services: target}.Place(f, request(0, 4000), now).Worker
 		}
 		Expect(place(10 * time.Millisecond)).To(Equal("a"))
 		Expect(place(60 * time.Millisecond)).To(BeEmpty())
@@ -89,7 +89,7 @@
 	It("keeps off while services recover, except for urgent tasks", func() {
 		f := fleet(worker("a", "desk"))
 		f.Workers["a"].BatchBlockedUntil = now.Add(time.Second)
-		policy := placer.Default{Services: target}
+		policy := placer.InterferenceAware{Services: target}
 		Expect(policy.Place(f, request(0, 100), now).Why).To(Equal("kept off while services recover"))
 		urgent := request(0, 100)
 		urgent.Job.Priority = describer.Urgent
@@ -100,7 +100,7 @@
 		f := fleet(worker("a"), worker("b"), worker("c"))
 		r := request(0, 1000)
 		r.ReturnTo = "c"
-		Expect(placer.Default{}.Place(f, r, now).Worker).To(Equal("c"))
+		Expect(placer.InterferenceAware{}.Place(f, r, now).Worker).To(Equal("c"))
 	})
 
 	It("spreads a job over racks", func() {
@@ -108,7 +108,7 @@
 		used := map[string]bool{}
 		for i := range 3 {
 			r := request(i, 1000)
-			choice := placer.Default{}.Place(f, r, now)
+			choice := placer.InterferenceAware{}.Place(f, r, now)
 			Expect(f.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{Resources: r.Want})).To(Succeed())
 			used[choice.Worker] = true
 		}
@@ -118,8 +118,8 @@
 	It("stays within the limit of a restore", func() {
 		f := fleet(worker("a"))
 		f.Workers["a"].BatchLimited, f.Workers["a"].BatchLimit = true, 500
-		Expect(placer.Default{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
-		Expect(placer.Default{}.Place(f, request(0, 500), now).Worker).To(Equal("a"))
+		Expect(placer.InterferenceAware{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
+		Expect(placer.InterferenceAware{}.Place(f, request(0, 500), now).Worker).To(Equal("a"))
 	})
 })
 
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -34,7 +34,7 @@
 	}
 	s.placer = s.policies.Place
 	if s.placer == nil {
-		s.placer = placer.Default{
+		s.placer = placer.InterferenceAware{
 			Learner:  s.policies.Learner,
 			Services: s.services,
 			Weights:  s.config.Weights,
