--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -185,7 +185,7 @@
 	})
 
 	It("throttles before it evicts", func() {
-		room := placer.MakeRoom(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
+		room := placer.Preempt(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
 		Expect(room.Worker).To(Equal("a"))
 		Expect(room.Evict).To(BeEmpty())
 		Expect(room.Throttle).To(HaveLen(4))
@@ -193,14 +193,14 @@
 	})
 
 	It("evicts the fewest when throttling is not enough", func() {
-		room := placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
+		room := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
 		Expect(room.Evict).To(HaveLen(1))
 	})
 
 	It("says why it refuses", func() {
-		Expect(placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Why).To(Equal("the eviction budget is used up"))
-		Expect(placer.MakeRoom(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Why).To(Equal("no open worker is large enough"))
-		late := placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
+		Expect(placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Why).To(Equal("the eviction budget is used up"))
+		Expect(placer.Preempt(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Why).To(Equal("no open worker is large enough"))
+		late := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
 		Expect(late.Why).To(HavePrefix("making room takes 4.5s"))
 	})
 })
@@ -223,7 +223,7 @@
 		elapsed := time.Duration(rapid.IntRange(0, 8).Draw(t, "elapsed")) * time.Second
 		r := request(0, rapid.Int64Range(1, 20000).Draw(t, "want"))
 		r.Want.Memory = rapid.Int64Range(0, 60000).Draw(t, "memory")
-		room := placer.MakeRoom(f, r, placer.Costs{}, budget, elapsed)
+		room := placer.Preempt(f, r, placer.Costs{}, budget, elapsed)
 		if room.Worker == "" {
 			if room.Why == "" {
 				t.Fatal("refused without a reason")
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -55,11 +55,11 @@
 	To   int64 // millicores
 }
 
-// MakeRoom finds the worker on which the request fits after the cheapest
+// Preempt finds the worker on which the request fits after the cheapest
 // change: none, throttling, or the fewest evictions, at most evictions many.
 // Only batch tasks of normal priority give way. elapsed is how long the
 // request has waited already.
-func MakeRoom(
+func Preempt(
 	fleet *accountant.Fleet, r Request, costs Costs, evictions int, elapsed time.Duration,
 ) Room {
 	costs = costs.orDefault()
