--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -37,9 +37,9 @@
 	return c
 }
 
-// Room is how an urgent task gets its place. Worker is empty if it can't
+// Preemption is how an urgent task gets its place. Worker is empty if it can't
 // within the bound, and Why says the reason.
-type Room struct {
+type Preemption struct {
 	Worker   string
 	Throttle []Shrink            // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
@@ -61,9 +61,9 @@
 // request has waited already.
 func Preempt(
 	fleet *accountant.Fleet, r Request, costs Costs, evictions int, elapsed time.Duration,
-) Room {
+) Preemption {
 	costs = costs.orDefault()
-	best, why := Room{}, "no open worker is large enough"
+	best, why := Preemption{}, "no open worker is large enough"
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
 		if w.Closed || r.Avoid[name] || !r.Want.Fits(w.Host.Capacity.Sub(w.Reserved)) {
@@ -88,7 +88,7 @@
 	return best
 }
 
-func cheaper(a, b Room) bool {
+func cheaper(a, b Preemption) bool {
 	if c := cmp.Compare(len(a.Evict), len(b.Evict)); c != 0 {
 		return c < 0
 	}
@@ -97,8 +97,8 @@
 
 // roomOn makes room on one worker: first by throttling, then by evicting the
 // run with the least progress, whose loss is the smallest, and so on.
-func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Room, string) {
-	room := Room{Worker: w.Host.Name, Wait: costs.Start}
+func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Preemption, string) {
+	room := Preemption{Worker: w.Host.Name, Wait: costs.Start}
 	missing := want.Sub(w.Free())
 	if isMet(missing) {
 		return room, ""
@@ -109,13 +109,13 @@
 			break
 		}
 		if len(room.Evict) == evictions {
-			return Room{}, "the eviction budget is used up"
+			return Preemption{}, "the eviction budget is used up"
 		}
 		missing = missing.Sub(w.Grants[task].Resources)
 		room.Evict = append(room.Evict, task)
 	}
 	if !isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
-		return Room{}, "latency-critical and urgent tasks hold the capacity"
+		return Preemption{}, "latency-critical and urgent tasks hold the capacity"
 	}
 	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.Floor)
 	room.Freed = want.Sub(w.Free()).Sub(missing)
