--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -149,8 +149,8 @@
 				Used: describer.Resources{CPU: 2000, Memory: 500},
 			})
 		}
-		Expect(placer.Size(&u, job, capacity).CPU).To(BeNumerically("~", 2300, 30))
-		Expect(placer.Size(nil, job, capacity)).To(Equal(job.Declared))
+		Expect(placer.SizeGrant(&u, job, capacity).CPU).To(BeNumerically("~", 2300, 30))
+		Expect(placer.SizeGrant(nil, job, capacity)).To(Equal(job.Declared))
 	})
 
 	It("grow when use reaches the grant, within the factor that declarations may be off by", func() {
@@ -159,11 +159,11 @@
 		for range 200 {
 			grant.Used = grant.Resources
 			u.Observe(grant)
-			grant.Resources = placer.Size(&u, job, describer.Resources{CPU: 1 << 40, Memory: 1 << 40})
+			grant.Resources = placer.SizeGrant(&u, job, describer.Resources{CPU: 1 << 40, Memory: 1 << 40})
 		}
 		Expect(grant.Resources.CPU).To(BeNumerically("<=", 80000))
 		Expect(grant.Resources.CPU).To(BeNumerically(">", 16000))
-		Expect(placer.Size(&u, job, capacity).CPU).To(Equal(capacity.CPU))
+		Expect(placer.SizeGrant(&u, job, capacity).CPU).To(Equal(capacity.CPU))
 	})
 
 	It("leave a throttled task as it is", func() {
--- a/internal/control/placer/size.go
+++ b/internal/control/placer/size.go
@@ -65,10 +65,10 @@
 	c.Count++
 }
 
-// Size returns the grant for a task of the job: what its class was measured to
+// SizeGrant returns the grant for a task of the job: what its class was measured to
 // use with a margin, the declaration until there are enough reports, and a mix
 // between. It never exceeds capacity. Accelerators are granted as declared.
-func Size(u *Usage, job *describer.Job, capacity describer.Resources) describer.Resources {
+func SizeGrant(u *Usage, job *describer.Job, capacity describer.Resources) describer.Resources {
 	size := job.Declared
 	if u != nil {
 		if c := u.Classes[ClassKey{job.Team, job.Class}]; c != nil {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -163,7 +163,7 @@
 	if t.job.Kind == describer.LatencyCritical {
 		return t.job.Declared
 	}
-	return placer.Size(&h.state.usage, t.job.Job, unlimited)
+	return placer.SizeGrant(&h.state.usage, t.job.Job, unlimited)
 }
 
 // unlimited is larger than any worker.
