--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -160,7 +160,7 @@
 		for _, task := range h.account.Tasks() {
 			g := h.account.Grants[task]
 			k.usage.Observe(g)
-			to := placer.Resize(g, h.account.FreeForBatch())
+			to := placer.ResizeGrant(g, h.account.FreeForBatch())
 			if p, ok := k.policy.(placer.InterferenceAware); ok && !p.MayGrow(h.account, g, to, k.now) {
 				to.CPU = g.Resources.CPU
 			}
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -168,9 +168,9 @@
 
 	It("leave a throttled task as it is", func() {
 		g := accountant.Grant{Resources: job.Declared, Used: job.Declared, ThrottledTo: 8000}
-		Expect(placer.Resize(g, capacity).CPU).To(BeEquivalentTo(8000))
+		Expect(placer.ResizeGrant(g, capacity).CPU).To(BeEquivalentTo(8000))
 		g.ThrottledTo = 0
-		Expect(placer.Resize(g, capacity).CPU).To(BeEquivalentTo(12000))
+		Expect(placer.ResizeGrant(g, capacity).CPU).To(BeEquivalentTo(12000))
 	})
 })
 
--- a/internal/control/placer/size.go
+++ b/internal/control/placer/size.go
@@ -82,11 +82,11 @@
 	return size
 }
 
-// Resize returns the grant that a running task should have by its own use:
+// ResizeGrant returns the grant that a running task should have by its own use:
 // more when it uses all of it, less when it leaves most of it unused, and the
 // same otherwise, so that small changes cause no calls. It stays within free,
 // and a task that is throttled for a service's sake gets no more processors.
-func Resize(g accountant.Grant, free describer.Resources) describer.Resources {
+func ResizeGrant(g accountant.Grant, free describer.Resources) describer.Resources {
 	if g.ThrottledTo > 0 {
 		free.CPU = 0
 	}
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -39,7 +39,7 @@
 	if t.job.Kind != describer.Batch {
 		return false
 	}
-	to := placer.Resize(w.account.Grants[r.Task], w.account.FreeForBatch()).CPU
+	to := placer.ResizeGrant(w.account.Grants[r.Task], w.account.FreeForBatch()).CPU
 	switch {
 	case to < t.granted.CPU:
 		h.shrink(t, to)
