--- a/internal/control/planner/merge.go
+++ b/internal/control/planner/merge.go
@@ -36,10 +36,10 @@
 	return out, nil
 }
 
-// Difference returns what a plan made anew does that the old one did not say.
+// NewSteps returns what a plan made anew does that the old one did not say.
 // Steps that have become needless, because a task has ended, other
 // destinations and other expected times do not make a plan stale.
-func Difference(old, renewed []describer.Step) []string {
+func NewSteps(old, renewed []describer.Step) []string {
 	seen := make(map[describer.Step]bool)
 	for _, s := range old {
 		seen[essence(s)] = true
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -5,7 +5,7 @@
 //
 // The owner of each shard computes [Steps] for its workers, and [Merge] joins
 // the parts into one plan. Nothing is changed by that. On confirmation the
-// steps are computed anew: if [Difference] finds one that the operator has not
+// steps are computed anew: if [NewSteps] finds one that the operator has not
 // seen, the plan is stale. Otherwise [Apply] gives the configuration to be
 // written by compare-and-swap on the plan's revision, so that of two racing
 // operators one is refused.
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -173,9 +173,9 @@
 		old := plan(intents()["drain"]).Steps
 		renewed := append([]describer.Step(nil), old[:len(old)-1]...)
 		renewed[1].To = "elsewhere"
-		Expect(Difference(old, renewed)).To(BeEmpty())
+		Expect(NewSteps(old, renewed)).To(BeEmpty())
 		renewed = append(old, describer.Step{Verb: describer.Move, Task: "new/0", Worker: "w-1"})
-		Expect(Difference(old, renewed)).To(Equal([]string{"new: move new/0 w-1"}))
+		Expect(NewSteps(old, renewed)).To(Equal([]string{"new: move new/0 w-1"}))
 	})
 })
 
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if changes := planner.Difference(plan.Steps, renewed.Steps); len(changes) > 0 {
+	if changes := planner.NewSteps(plan.Steps, renewed.Steps); len(changes) > 0 {
 		return 0, stale(changes)
 	}
 	if intent.Action == describer.Run {
