--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -243,7 +243,7 @@
 	d := restorer.Decision{Done: true}
 	if k.contender.Full {
 		d = restorer.Decide(restorer.Input{
-			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Owed: k.owed(name),
+			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Returning: k.owed(name),
 		})
 	}
 	h.account.BatchLimited, h.account.BatchLimit = !d.Done, d.Limit
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -114,7 +114,7 @@
 		Now:      h.state.now,
 		Worker:   w.account,
 		Services: h.state.services,
-		Owed:     owed,
+		Returning:     owed,
 		Gone:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
 		State:    &w.restore,
 		Options:  h.state.policies.Restore,
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -28,7 +28,7 @@
 	Now      time.Time
 	Worker   *accountant.Worker
 	Services map[string]describer.Service // by name
-	Owed     int                          // tasks drained off this worker that wait to run
+	Returning     int                          // tasks drained off this worker that wait to run
 	Gone     bool                         // the worker has left the host list for good
 	State    *State                       // of this worker and drain
 	Options  Options
@@ -123,8 +123,8 @@
 		return fmt.Sprintf("%s is at %.0f %% of its target, must fall below %.0f %%",
 			service, 100*ratio, 100*o.Cool)
 	}
-	if s.Step == len(o.Steps)-1 && in.Owed > 0 {
-		return fmt.Sprintf("%d tasks wait to come back", in.Owed)
+	if s.Step == len(o.Steps)-1 && in.Returning > 0 {
+		return fmt.Sprintf("%d tasks wait to come back", in.Returning)
 	}
 	return ""
 }
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -77,12 +77,12 @@
 
 	It("waits at the last step for tasks that are owed", func() {
 		b := newBench()
-		b.in.Owed = 3
+		b.in.Returning = 3
 		for range 30 {
 			b.report(0.5)
 		}
 		Expect(b.report(0.5).Held).To(HavePrefix("3 tasks wait to come back"))
-		b.in.Owed = 0
+		b.in.Returning = 0
 		Expect(b.report(0.5).Done).To(BeTrue())
 	})
 
@@ -111,7 +111,7 @@
 		b := newBench()
 		ratios := rapid.SliceOfN(rapid.Float64Range(0.05, 8), 1, 40).Draw(t, "ratios")
 		wave := rapid.Float64Range(0, 0.5).Draw(t, "wave")
-		b.in.Owed = rapid.IntRange(0, 3).Draw(t, "owed")
+		b.in.Returning = rapid.IntRange(0, 3).Draw(t, "owed")
 		var limit int64
 		for i := range 200 {
 			d := b.report(ratios[i%len(ratios)] * (1 + wave*math.Sin(float64(i))))
