--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -115,7 +115,7 @@
 		Worker:   w.account,
 		Services: h.state.services,
 		Returning:     owed,
-		Gone:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
+		Removed:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
 		State:    &w.restore,
 		Options:  h.state.policies.Restore,
 	})
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -29,7 +29,7 @@
 	Worker   *accountant.Worker
 	Services map[string]describer.Service // by name
 	Returning     int                          // tasks drained off this worker that wait to run
-	Gone     bool                         // the worker has left the host list for good
+	Removed     bool                         // the worker has left the host list for good
 	State    *State                       // of this worker and drain
 	Options  Options
 }
@@ -89,7 +89,7 @@
 // Decide returns what the worker may take now.
 func Decide(in Input) Decision {
 	o := in.Options.orDefault()
-	if in.Gone {
+	if in.Removed {
 		return Decision{Done: true}
 	}
 	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.Silence {
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -99,7 +99,7 @@
 		Expect(d.Held).To(Equal("no answer from the worker for 1h0m0s"))
 		Expect(b.state.Step).To(Equal(0))
 		Expect(b.report(0.5).Limit).To(BeEquivalentTo(2000))
-		b.in.Gone = true
+		b.in.Removed = true
 		Expect(Decide(b.in).Done).To(BeTrue())
 	})
 })
