--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -104,7 +104,7 @@
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
 	}, reducer.Policies{Restore: restorer.Options{
-		Settle:   time.Duration(s.Settings.Restore.Settle),
+		MinStep:   time.Duration(s.Settings.Restore.Settle),
 		Patience: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
