--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -46,7 +46,7 @@
 type Options struct {
 	Steps    []float64     // rising shares of the worker's processors, the last one 1
 	MinStep   time.Duration // shortest time of a step, longer than the lag of reports
-	Patience time.Duration // longest time of a step
+	MaxStep time.Duration // longest time of a step
 	Silence  time.Duration // without inventory the worker counts as silent
 	Hot      float64       // share of a service's target above which a step is held back
 	Cool     float64       // share below which it is no longer
@@ -63,7 +63,7 @@
 		}
 	}
 	duration(&o.MinStep, time.Minute)
-	duration(&o.Patience, 5*time.Minute)
+	duration(&o.MaxStep, 5*time.Minute)
 	duration(&o.Silence, time.Minute)
 	number := func(v *float64, otherwise float64) {
 		if *v == 0 {
@@ -102,7 +102,7 @@
 	service, ratio := in.State.take(in, o)
 	passed := in.Now.Sub(in.State.Since)
 	held := in.State.held(in, o, service, ratio)
-	if passed >= o.Patience || passed >= o.MinStep && held == "" {
+	if passed >= o.MaxStep || passed >= o.MinStep && held == "" {
 		if in.State.Step == len(o.Steps)-1 {
 			return Decision{Open: true, Limit: in.Worker.Host.Capacity.CPU, Done: true}
 		}
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -105,7 +105,7 @@
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
 	}, reducer.Policies{Restore: restorer.Options{
 		MinStep:   time.Duration(s.Settings.Restore.Settle),
-		Patience: time.Duration(s.Settings.Restore.Patience),
+		MaxStep: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
 		State:    state,
