--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -47,7 +47,7 @@
 	Steps    []float64     // rising shares of the worker's processors, the last one 1
 	MinStep   time.Duration // shortest time of a step, longer than the lag of reports
 	MaxStep time.Duration // longest time of a step
-	Silence  time.Duration // without inventory the worker counts as silent
+	SilenceTimeout  time.Duration // without inventory the worker counts as silent
 	Hot      float64       // share of a service's target above which a step is held back
 	Cool     float64       // share below which it is no longer
 	Weight   float64       // of the newest report in the smoothed latency
@@ -64,7 +64,7 @@
 	}
 	duration(&o.MinStep, time.Minute)
 	duration(&o.MaxStep, 5*time.Minute)
-	duration(&o.Silence, time.Minute)
+	duration(&o.SilenceTimeout, time.Minute)
 	number := func(v *float64, otherwise float64) {
 		if *v == 0 {
 			*v = otherwise
@@ -92,7 +92,7 @@
 	if in.Removed {
 		return Decision{Done: true}
 	}
-	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.Silence {
+	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.SilenceTimeout {
 		in.State.Since = in.Now // no time passes in a step for a silent worker
 		return Decision{Held: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
 	}
