--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -17,7 +17,7 @@
 	TaskReleased   RecordKind = "release"  // Task, Token, Checkpoint, Reason, DrainedOff: known to be over, waits to resume
 	TaskFinished   RecordKind = "finish"   // Task, Token, Result
 	TaskFailed     RecordKind = "fail"     // Task, Token, Reason: one attempt failed
-	TaskSetAside   RecordKind = "aside"    // Task, Reason: final
+	TaskAbandoned   RecordKind = "aside"    // Task, Reason: final
 	WorkerSetAside RecordKind = "suspect"  // Worker, Reason
 	WorkerTrusted  RecordKind = "trust"    // Worker
 	DrainRestored  RecordKind = "restored" // Worker, Key (drain id)
--- a/internal/control/reducer/book.go
+++ b/internal/control/reducer/book.go
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if r.Kind == describer.TaskSetAside {
+	if r.Kind == describer.TaskAbandoned {
 		if t.state == describer.Pending {
 			h.move(t, r.Time, func() { t.state, t.reason = describer.Failed, r.Reason })
 		}
--- a/internal/control/reducer/fault.go
+++ b/internal/control/reducer/fault.go
@@ -128,7 +128,7 @@
 }
 
 func (h *shard) setAside(t *task, reason string) {
-	h.append(describer.Record{Kind: describer.TaskSetAside, Task: t.id(), Reason: reason})
+	h.append(describer.Record{Kind: describer.TaskAbandoned, Task: t.id(), Reason: reason})
 	t.policy = ""
 	t.job.batch = h.journal.next()
 }
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -148,7 +148,7 @@
 		if r.Checkpoint != "" {
 			s.saved[r.Task] = r.Checkpoint
 		}
-	case describer.TaskSetAside:
+	case describer.TaskAbandoned:
 		s.aside[r.Task] = true
 	case describer.DrainRestored:
 		s.restored[r.Key+r.Worker] = true
