--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -18,7 +18,7 @@
 	TaskFinished   RecordKind = "finish"   // Task, Token, Result
 	TaskFailed     RecordKind = "fail"     // Task, Token, Reason: one attempt failed
 	TaskAbandoned   RecordKind = "aside"    // Task, Reason: final
-	WorkerSetAside RecordKind = "suspect"  // Worker, Reason
+	WorkerQuarantined RecordKind = "suspect"  // Worker, Reason
 	WorkerTrusted  RecordKind = "trust"    // Worker
 	DrainRestored  RecordKind = "restored" // Worker, Key (drain id)
 	ShardReleased  RecordKind = "handover" // Token.Epoch, Wait: the last record of an owner that gave the shard up
--- a/internal/control/reducer/book.go
+++ b/internal/control/reducer/book.go
@@ -51,7 +51,7 @@
 		h.applyJob(r)
 	case describer.JobCancelled:
 		h.applyCancel(r)
-	case describer.WorkerSetAside:
+	case describer.WorkerQuarantined:
 		h.aside(r.Worker, r.Reason)
 	case describer.WorkerTrusted:
 		delete(h.book.asides, r.Worker)
--- a/internal/control/reducer/fault.go
+++ b/internal/control/reducer/fault.go
@@ -59,7 +59,7 @@
 		return
 	}
 	h.append(describer.Record{
-		Kind:   describer.WorkerSetAside,
+		Kind:   describer.WorkerQuarantined,
 		Worker: w.name,
 		Reason: fmt.Sprintf("failed %d jobs in a row, the last with: %s", len(w.evidence.jobs), reason),
 	})
