--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -19,7 +19,7 @@
 	TaskFailed     RecordKind = "fail"     // Task, Token, Reason: one attempt failed
 	TaskAbandoned   RecordKind = "aside"    // Task, Reason: final
 	WorkerQuarantined RecordKind = "suspect"  // Worker, Reason
-	WorkerTrusted  RecordKind = "trust"    // Worker
+	WorkerReinstated  RecordKind = "trust"    // Worker
 	DrainRestored  RecordKind = "restored" // Worker, Key (drain id)
 	ShardReleased  RecordKind = "handover" // Token.Epoch, Wait: the last record of an owner that gave the shard up
 	KeyClaimed     RecordKind = "key"      // Key, Owner: a non-idempotent request is about to be sent
--- a/internal/control/reducer/book.go
+++ b/internal/control/reducer/book.go
@@ -53,7 +53,7 @@
 		h.applyCancel(r)
 	case describer.WorkerQuarantined:
 		h.aside(r.Worker, r.Reason)
-	case describer.WorkerTrusted:
+	case describer.WorkerReinstated:
 		delete(h.book.asides, r.Worker)
 		h.refresh(h.worker(r.Worker))
 	case describer.DrainRestored:
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -201,7 +201,7 @@
 		d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(probe[0])}}})
 		d.wait(6 * time.Second)
 		d.inventory(runner.Synced{Finished: []runner.Finished{{Run: runOf(probe[0]), OK: true}}})
-		Expect(kinds(d.durable())).To(ContainElement(describer.WorkerTrusted))
+		Expect(kinds(d.durable())).To(ContainElement(describer.WorkerReinstated))
 	})
 
 	It("of a worker to answer don't lose a result that comes before a new start", func() {
--- a/internal/control/reducer/fault.go
+++ b/internal/control/reducer/fault.go
@@ -69,7 +69,7 @@
 func (h *shard) trust(w *worker) {
 	w.evidence = evidence{}
 	if h.book.asides[w.name] != "" {
-		h.append(describer.Record{Kind: describer.WorkerTrusted, Worker: w.name})
+		h.append(describer.Record{Kind: describer.WorkerReinstated, Worker: w.name})
 	}
 }
 
