--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -122,7 +122,7 @@
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Attempts   int             `json:"attempts,omitempty"` // runs that ended in failure
 	Evictions  int             `json:"evictions,omitempty"`
-	DrainedOff string          `json:"drained,omitempty"` // worker it was drained from and is owed back to
+	DrainedFrom string          `json:"drained,omitempty"` // worker it was drained from and is owed back to
 	Ran        bool            `json:"ran,omitempty"`     // some run may have begun
 	Result     json.RawMessage `json:"result,omitempty"`
 	Reason     string          `json:"reason,omitempty"`
