--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -36,7 +36,7 @@
 	Worker     string          `json:"worker,omitempty"`
 	Granted    Resources       `json:"granted,omitzero"`
 	Checkpoint string          `json:"checkpoint,omitempty"`
-	DrainedOff string          `json:"drained,omitempty"`
+	DrainedFrom string          `json:"drained,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
 	Reason     string          `json:"reason,omitempty"`
 	Key        string          `json:"key,omitempty"`
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -103,7 +103,7 @@
 		Token:      t.token,
 		Reason:     r.reason,
 		Checkpoint: r.checkpoint,
-		DrainedOff: r.drainedOff,
+		DrainedFrom: r.drainedOff,
 	})
 }
 
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -137,7 +137,7 @@
 			Stopped: runner.Stopped{Ran: true, Checkpoint: "half"},
 		})
 		records := d.durable()
-		Expect(records[0].DrainedOff).To(Equal("w1"))
+		Expect(records[0].DrainedFrom).To(Equal("w1"))
 		again := d.started()
 		Expect(again[0].Worker).To(Equal("w2"))
 		Expect(again[0].Start.Checkpoint).To(Equal("half"))
--- a/internal/control/reducer/task.go
+++ b/internal/control/reducer/task.go
@@ -96,10 +96,10 @@
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
-	if r.DrainedOff != "" {
-		t.drainedOff = r.DrainedOff
+	if r.DrainedFrom != "" {
+		t.drainedOff = r.DrainedFrom
 	}
-	if r.DrainedOff != "" || r.Reason == reasonEvicted {
+	if r.DrainedFrom != "" || r.Reason == reasonEvicted {
 		t.evictions++
 	}
 	t.reason = r.Reason
