--- a/internal/control/describer/intent.go
+++ b/internal/control/describer/intent.go
@@ -12,7 +12,7 @@
 const (
 	SetTarget Action = "latency-target"
 	Run       Action = "run"
-	DrainOff  Action = "drain"
+	DrainWorkers  Action = "drain"
 	Restore   Action = "restore"
 	Cancel    Action = "cancel"
 )
--- a/internal/control/planner/apply.go
+++ b/internal/control/planner/apply.go
@@ -25,7 +25,7 @@
 		return setTarget(cfg, intent)
 	case describer.Run:
 		return cfg, checkJob(cfg, intent.Job)
-	case describer.DrainOff:
+	case describer.DrainWorkers:
 		return drainOff(cfg, intent, now)
 	case describer.Restore:
 		return restore(cfg, intent)
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -47,7 +47,7 @@
 		p.target()
 	case describer.Run:
 		p.run()
-	case describer.DrainOff:
+	case describer.DrainWorkers:
 		p.drain()
 	case describer.Restore:
 		p.restore()
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -75,7 +75,7 @@
 	return map[string]describer.Intent{
 		"target":       {ID: "i", Action: describer.SetTarget, Service: "desk", Target: 150 * time.Millisecond},
 		"run":          {ID: "i", Action: describer.Run, Job: job},
-		"drain":        {ID: "i", Action: describer.DrainOff, Workers: []string{"w-4", "w-1"}, For: time.Hour},
+		"drain":        {ID: "i", Action: describer.DrainWorkers, Workers: []string{"w-4", "w-1"}, For: time.Hour},
 		"restore":      {ID: "i", Action: describer.Restore, Drain: "d-old"},
 		"cancel-drain": {ID: "i", Action: describer.Cancel, Drain: "d-old"},
 		"cancel-job":   {ID: "i", Action: describer.Cancel, Job: &describer.Job{ID: "menus"}},
@@ -161,8 +161,8 @@
 		Entry("no target", describer.Intent{Action: describer.SetTarget, Service: "desk"}, "target"),
 		Entry("no such drain", describer.Intent{Action: describer.Restore, Drain: "x"}, "drain"),
 		Entry("nothing to cancel", describer.Intent{Action: describer.Cancel}, "drain"),
-		Entry("no workers", describer.Intent{Action: describer.DrainOff}, "workers"),
-		Entry("drained already", describer.Intent{Action: describer.DrainOff, Workers: []string{"w-3"}}, "workers"),
+		Entry("no workers", describer.Intent{Action: describer.DrainWorkers}, "workers"),
+		Entry("drained already", describer.Intent{Action: describer.DrainWorkers, Workers: []string{"w-3"}}, "workers"),
 		Entry("no job", describer.Intent{Action: describer.Run}, "job"),
 		Entry("no such action", describer.Intent{Action: "x"}, "action"),
 	)
--- a/internal/operator/commander/intent.go
+++ b/internal/operator/commander/intent.go
@@ -77,7 +77,7 @@
   dotterelcart intent drain bne-w1 --for 2h`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return state(cmd, *daemon, describer.Intent{Action: describer.DrainOff, Workers: args, For: lasting})
+			return state(cmd, *daemon, describer.Intent{Action: describer.DrainWorkers, Workers: args, For: lasting})
 		},
 	}
 	cmd.Flags().DurationVar(&lasting, "for", 0, "restore by itself after this time; 0 waits for a restore intent")
--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -35,7 +35,7 @@
 	}
 	ctx, cancel := w.limited()
 	defer cancel()
-	intent := describer.Intent{ID: args[0], Action: describer.DrainOff, Workers: args[2:], For: lasting}
+	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: lasting}
 	var made describer.Plan
 	err = deployer.Until(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &made) })
 	if err != nil {
@@ -69,7 +69,7 @@
 	defer cancel()
 	var plans [2]describer.Plan
 	for i := range plans {
-		intent := describer.Intent{ID: args[i], Action: describer.DrainOff, Workers: args[3:], For: lasting}
+		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: lasting}
 		err := deployer.Until(ctx, func() error {
 			return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
 		})
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -185,7 +185,7 @@
 // holdsIntent reports whether the configuration already shows the intent.
 func holdsIntent(c describer.Configuration, intent describer.Intent) bool {
 	switch intent.Action {
-	case describer.DrainOff:
+	case describer.DrainWorkers:
 		return slices.ContainsFunc(c.Drains, func(d describer.Drain) bool { return d.ID == intent.ID })
 	case describer.SetTarget:
 		return slices.ContainsFunc(c.Services, func(s describer.Service) bool { return s.Intent == intent.ID })
--- a/internal/operator/responder/shards.go
+++ b/internal/operator/responder/shards.go
@@ -63,7 +63,7 @@
 	for _, shard := range c.Shards {
 		all = append(all, shard.ID)
 	}
-	if intent.Action != describer.DrainOff {
+	if intent.Action != describer.DrainWorkers {
 		return all
 	}
 	shards := shardsByWorker(r.options.Table())
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -112,7 +112,7 @@
 
 // Drain states the intent to drain workers, and confirms its plan.
 func (d *Deployment) Drain(ctx context.Context, id string, workers []string, lasting time.Duration) error {
-	intent := describer.Intent{ID: id, Action: describer.DrainOff, Workers: workers, For: lasting}
+	intent := describer.Intent{ID: id, Action: describer.DrainWorkers, Workers: workers, For: lasting}
 	return d.Confirm(ctx, intent)
 }
 
