--- a/internal/control/describer/intent.go
+++ b/internal/control/describer/intent.go
@@ -90,5 +90,5 @@
 	Revision int64       `json:"revision"` // of the configuration it was made from
 	Steps    []Step      `json:"steps"`
 	Expected Expectation `json:"expected"`
-	Made     time.Time   `json:"made"`
+	Created     time.Time   `json:"made"`
 }
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -137,7 +137,7 @@
 		return describer.Plan{}, err
 	}
 	plan.Intent = intent
-	plan.Made = time.Now().UTC()
+	plan.Created = time.Now().UTC()
 	return plan, nil
 }
 
