--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -137,7 +137,7 @@
 		}
 		for _, l := range k.arrived(h) {
 			h.account.Reports[l.Service] = l
-			shares, ok := k.timeline.Between(h.account.Host.Name, l.From, l.To)
+			shares, ok := k.timeline.Average(h.account.Host.Name, l.From, l.To)
 			if ok && k.contender.Full {
 				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -103,7 +103,7 @@
 		var t Timeline
 		t.Set("w", start, nil)
 		t.Set("w", start.Add(15*time.Second), map[string]float64{"heavy": 0.4})
-		shares, ok := t.Between("w", start.Add(10*time.Second), start.Add(20*time.Second))
+		shares, ok := t.Average("w", start.Add(10*time.Second), start.Add(20*time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(shares["heavy"]).To(BeNumerically("~", 0.2, 1e-9))
 	})
@@ -111,7 +111,7 @@
 	It("knows nothing before its beginning", func() {
 		var t Timeline
 		t.Set("w", start, nil)
-		_, ok := t.Between("w", start.Add(-time.Second), start.Add(time.Second))
+		_, ok := t.Average("w", start.Add(-time.Second), start.Add(time.Second))
 		Expect(ok).To(BeFalse())
 	})
 
--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -34,9 +34,9 @@
 	t.Workers[worker] = append(changes, Change{now, shares})
 }
 
-// Between returns the shares averaged over an interval, and false if the
+// Average returns the shares averaged over an interval, and false if the
 // timeline does not reach back to its beginning.
-func (t *Timeline) Between(worker string, from, to time.Time) (map[string]float64, bool) {
+func (t *Timeline) Average(worker string, from, to time.Time) (map[string]float64, bool) {
 	changes := t.Workers[worker]
 	total := to.Sub(from).Seconds()
 	if len(changes) == 0 || changes[0].At.After(from) || total <= 0 {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -66,7 +66,7 @@
 		w.account.Reports = make(map[string]runner.Latency)
 	}
 	w.account.Reports[l.Service] = *l
-	if shares, ok := h.state.timeline.Between(w.name, l.From, l.To); ok {
+	if shares, ok := h.state.timeline.Average(w.name, l.From, l.To); ok {
 		h.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
 	}
 	return true
