--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -83,7 +83,7 @@
 		k.fleet.Workers[h.account.Host.Name] = h.account
 		k.byName[h.account.Host.Name] = h
 		k.states[h.account.Host.Name] = &escalator.State{}
-		k.timeline.Set(h.account.Host.Name, begin, nil)
+		k.timeline.Record(h.account.Host.Name, begin, nil)
 	}
 	k.policy = c.Policy(w.deployment, k.learner)
 	return k
@@ -97,7 +97,7 @@
 	k.changed(h)
 }
 
-func (k *control) changed(h *host) { k.timeline.Set(h.account.Host.Name, k.now, h.account.BatchShares()) }
+func (k *control) changed(h *host) { k.timeline.Record(h.account.Host.Name, k.now, h.account.BatchShares()) }
 
 // ended takes in runs that ended by themselves. A worker that fails 5 runs in
 // a row is set aside for 10 minutes, whatever the contender.
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -101,8 +101,8 @@
 var _ = Describe("Timeline", func() {
 	It("attributes only over the time when both ran", func() {
 		var t Timeline
-		t.Set("w", start, nil)
-		t.Set("w", start.Add(15*time.Second), map[string]float64{"heavy": 0.4})
+		t.Record("w", start, nil)
+		t.Record("w", start.Add(15*time.Second), map[string]float64{"heavy": 0.4})
 		shares, ok := t.Average("w", start.Add(10*time.Second), start.Add(20*time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(shares["heavy"]).To(BeNumerically("~", 0.2, 1e-9))
@@ -110,7 +110,7 @@
 
 	It("knows nothing before its beginning", func() {
 		var t Timeline
-		t.Set("w", start, nil)
+		t.Record("w", start, nil)
 		_, ok := t.Average("w", start.Add(-time.Second), start.Add(time.Second))
 		Expect(ok).To(BeFalse())
 	})
@@ -118,7 +118,7 @@
 	It("keeps a bounded past", func() {
 		t := Timeline{Keep: time.Minute}
 		for i := range 1000 {
-			t.Set("w", start.Add(time.Duration(i)*time.Second), nil)
+			t.Record("w", start.Add(time.Duration(i)*time.Second), nil)
 		}
 		Expect(len(t.Workers["w"])).To(BeNumerically("<=", 62))
 	})
--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -15,9 +15,9 @@
 	Shares map[string]float64
 }
 
-// Set says what runs on a worker from now on. Call it at each change of
+// Record says what runs on a worker from now on. Call it at each change of
 // grants, with accountant.Worker.Shares.
-func (t *Timeline) Set(worker string, now time.Time, shares map[string]float64) {
+func (t *Timeline) Record(worker string, now time.Time, shares map[string]float64) {
 	if t.Workers == nil {
 		t.Workers = make(map[string][]Change)
 	}
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -210,7 +210,7 @@
 // noteShares keeps what runs on the worker for late reports.
 func (h *shard) noteShares(w *worker) {
 	if len(w.account.Host.Services) > 0 {
-		h.state.timeline.Set(w.name, h.state.now, w.account.BatchShares())
+		h.state.timeline.Record(w.name, h.state.now, w.account.BatchShares())
 	}
 }
 
