--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -35,7 +35,7 @@
 	Prior     float64       // coefficient of a class without evidence
 	Deviation float64       // standard deviation of the prior
 	Noise     float64       // standard deviation of one report's log latency
-	Caution   float64       // standard deviations from mean to upper bound
+	UpperSigmas   float64       // standard deviations from mean to upper bound
 	HalfLife  time.Duration // in which a coefficient's evidence loses half of its weight
 	Classes   int           // classes for each service and band; later ones share one coefficient
 }
@@ -65,7 +65,7 @@
 	o.Prior = orDefault(o.Prior, 0.4)
 	o.Deviation = orDefault(o.Deviation, 0.6)
 	o.Noise = orDefault(o.Noise, 0.25)
-	o.Caution = orDefault(o.Caution, 1)
+	o.UpperSigmas = orDefault(o.UpperSigmas, 1)
 	o.HalfLife = orDefault(o.HalfLife, 2*time.Hour)
 	o.Classes = orDefault(o.Classes, 24)
 	return &Learner{Options: o, Models: make(map[Key]*Model), Busy: make(map[string]*Busy)}
@@ -101,7 +101,7 @@
 func (l *Learner) Estimate(service, class string, load float64) (mean, upper float64) {
 	m := l.Models[Key{service, Band(load)}]
 	if m == nil {
-		return l.Options.Prior, l.Options.Prior + l.Options.Caution*l.Options.Deviation
+		return l.Options.Prior, l.Options.Prior + l.Options.UpperSigmas*l.Options.Deviation
 	}
 	return m.estimate(l.Options, map[string]float64{class: 1})
 }
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -145,7 +145,7 @@
 			variance += xi * xj * m.Covariance[i][j]
 		}
 	}
-	return mean, mean + o.Caution*math.Sqrt(max(variance, 0))
+	return mean, mean + o.UpperSigmas*math.Sqrt(max(variance, 0))
 }
 
 // unknown returns the prior's part for classes that were never seen.
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -26,7 +26,7 @@
 
 func newHarm() *learner.Learner {
 	return learner.New(learner.Options{
-		Prior: harmPrior, Deviation: harmDeviation, Noise: harmNoise, Caution: 1,
+		Prior: harmPrior, Deviation: harmDeviation, Noise: harmNoise, UpperSigmas: 1,
 		HalfLife: harmHalfLife, Classes: harmImages,
 	})
 }
