--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -351,14 +351,14 @@
 	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Left(k.now), k.now.Sub(r.arrives))
 	if room.Worker == "" {
 		r.refused = room.Why
-		return placer.Choice{Why: room.Why}
+		return placer.Choice{Reason: room.Why}
 	}
 	h := k.byName[room.Worker]
 	for _, s := range room.Throttle {
 		g := h.account.Grants[s.Task]
 		g.Resources.CPU = s.To
 		if h.account.Resize(s.Task, g.Token, g.Resources) != nil {
-			return placer.Choice{Why: "throttling failed"}
+			return placer.Choice{Reason: "throttling failed"}
 		}
 	}
 	for _, task := range room.Evict {
--- a/internal/control/placer/baseline.go
+++ b/internal/control/placer/baseline.go
@@ -20,7 +20,7 @@
 			return Choice{Worker: name}
 		}
 	}
-	return Choice{Why: noRoom}
+	return Choice{Reason: noRoom}
 }
 
 // LeastLoaded takes the open worker with the greatest share of processors
@@ -77,7 +77,7 @@
 		}
 	}
 	if best == "" {
-		return Choice{Why: why}
+		return Choice{Reason: why}
 	}
 	return Choice{Worker: best}
 }
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -63,7 +63,7 @@
 	}
 	racks := busyRacks(fleet, r.Job.ID)
 	scarcity := d.scarcity(fleet)
-	best, why := Choice{Why: noRoom}, objection{}
+	best, why := Choice{Reason: noRoom}, objection{}
 	score := 0.0
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
@@ -84,7 +84,7 @@
 		}
 	}
 	if best.Worker == "" && why.kind != none {
-		best.Why = why.String()
+		best.Reason = why.String()
 	}
 	return best
 }
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -26,7 +26,7 @@
 // says the reason.
 type Choice struct {
 	Worker string
-	Why    string
+	Reason    string
 }
 
 // Policy chooses a worker for a request.
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -57,7 +57,7 @@
 		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		choice := policy.Place(f, request(0, 8000), now)
 		Expect(choice.Worker).To(BeEmpty())
-		Expect(choice.Why).To(HavePrefix("would slow desk by up to "))
+		Expect(choice.Reason).To(HavePrefix("would slow desk by up to "))
 	})
 
 	It("tries one small task where nothing is known", func() {
@@ -90,7 +90,7 @@
 		f := fleet(worker("a", "desk"))
 		f.Workers["a"].BatchBlockedUntil = now.Add(time.Second)
 		policy := placer.InterferenceAware{Services: target}
-		Expect(policy.Place(f, request(0, 100), now).Why).To(Equal("kept off while services recover"))
+		Expect(policy.Place(f, request(0, 100), now).Reason).To(Equal("kept off while services recover"))
 		urgent := request(0, 100)
 		urgent.Job.Priority = describer.Urgent
 		Expect(policy.Place(f, urgent, now).Worker).To(Equal("a"))
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -45,7 +45,7 @@
 func (p *draft) place(fleet *accountant.Fleet, r placer.Request) (worker, why string) {
 	choice := placer.LeastLoaded{}.Place(fleet, r, p.now)
 	if choice.Worker == "" {
-		return "", choice.Why
+		return "", choice.Reason
 	}
 	err := fleet.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{
 		Class: r.Job.Class, Team: r.Job.Team, Kind: r.Job.Kind, Resources: r.Want,
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -132,7 +132,7 @@
 	choice := h.state.placer.Place(h.fleet, h.request(t), h.state.now)
 	w := h.workers[choice.Worker]
 	if w == nil || w.account.Closed || !want.Fits(room(t, w.account)) {
-		t.policy = choice.Why
+		t.policy = choice.Reason
 		if len(t.failedOn) == 0 {
 			missed[key] = true
 		}
