--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -350,8 +350,8 @@
 func (k *control) makeRoom(r *run, request placer.Request) placer.Choice {
 	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Left(k.now), k.now.Sub(r.arrives))
 	if room.Worker == "" {
-		r.refused = room.Why
-		return placer.Choice{Reason: room.Why}
+		r.refused = room.Reason
+		return placer.Choice{Reason: room.Reason}
 	}
 	h := k.byName[room.Worker]
 	for _, s := range room.Throttle {
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -198,10 +198,10 @@
 	})
 
 	It("says why it refuses", func() {
-		Expect(placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Why).To(Equal("the eviction budget is used up"))
-		Expect(placer.Preempt(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Why).To(Equal("no open worker is large enough"))
+		Expect(placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Reason).To(Equal("the eviction budget is used up"))
+		Expect(placer.Preempt(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Reason).To(Equal("no open worker is large enough"))
 		late := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
-		Expect(late.Why).To(HavePrefix("making room takes 4.5s"))
+		Expect(late.Reason).To(HavePrefix("making room takes 4.5s"))
 	})
 })
 
@@ -225,7 +225,7 @@
 		r.Want.Memory = rapid.Int64Range(0, 60000).Draw(t, "memory")
 		room := placer.Preempt(f, r, placer.Costs{}, budget, elapsed)
 		if room.Worker == "" {
-			if room.Why == "" {
+			if room.Reason == "" {
 				t.Fatal("refused without a reason")
 			}
 			return
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -45,7 +45,7 @@
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
-	Why      string
+	Reason      string
 }
 
 // Shrink lowers the processor grant of a run.
@@ -83,7 +83,7 @@
 		}
 	}
 	if best.Worker == "" {
-		best.Why = why
+		best.Reason = why
 	}
 	return best
 }
--- a/internal/control/reducer/urgent.go
+++ b/internal/control/reducer/urgent.go
@@ -32,7 +32,7 @@
 	r := placer.Preempt(h.fleet, h.request(t), placer.Costs{}, h.budget.Left(h.state.now), elapsed)
 	w := h.workers[r.Worker]
 	if w == nil {
-		t.policy = r.Why
+		t.policy = r.Reason
 		return
 	}
 	t.policy = "room is being made on " + w.name
