--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -61,7 +61,7 @@
 	Token describer.Token  // of the run
 	CPU   int64            // Raise, Throttle: new grant in millicores
 	Until time.Time        // KeepOff
-	Why   string
+	Reason   string
 }
 
 // Input is what a decision is made from. State and Budget are changed.
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -28,7 +28,7 @@
 	actions := []Action{{
 		Kind:  BlockBatch,
 		Until: in.Now.Add(2 * in.Options.Settle),
-		Why:   fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
+		Reason:   fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
 	}}
 	if in.Now.Sub(in.State.Acted) < in.Options.Settle {
 		return actions
@@ -105,7 +105,7 @@
 	delete(in.State.Throttled, best)
 	return in.State.acted(in.Now, Unthrottle, []Action{{
 		Kind: Unthrottle, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
-		Why: "services are within their targets again",
+		Reason: "services are within their targets again",
 	}})
 }
 
@@ -167,7 +167,7 @@
 		need -= s.slow * (1 - in.Options.Floor)
 		actions = append(actions, Action{
 			Kind: Throttle, Task: s.task, Token: in.Worker.Grants[s.task].Token, CPU: to,
-			Why: "slows " + service,
+			Reason: "slows " + service,
 		})
 	}
 	return actions
@@ -191,7 +191,7 @@
 		need -= s.slow
 		actions = append(actions, Action{
 			Kind: kind, Task: s.task, Token: g.Token,
-			Why: fmt.Sprintf("slows %s, and throttling was not enough", service),
+			Reason: fmt.Sprintf("slows %s, and throttling was not enough", service),
 		})
 	}
 	return actions
