--- a/internal/control/describer/intent.go
+++ b/internal/control/describer/intent.go
@@ -52,7 +52,7 @@
 	Worker string        `json:"worker,omitempty"`
 	To     string        `json:"to,omitempty"`
 	For    time.Duration `json:"for,omitempty"` // expected
-	Why    string        `json:"why,omitempty"`
+	Reason    string        `json:"why,omitempty"`
 }
 
 func (s Step) String() string {
@@ -68,8 +68,8 @@
 	if s.For > 0 {
 		out += fmt.Sprintf(" (about %s)", s.For)
 	}
-	if s.Why != "" {
-		out += ": " + s.Why
+	if s.Reason != "" {
+		out += ": " + s.Reason
 	}
 	return out
 }
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -105,7 +105,7 @@
 func (p *draft) target() {
 	p.add(describer.Step{
 		Verb: describer.Set,
-		Why:  fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
+		Reason:  fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
 	})
 }
 
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if waiting > 0 {
-		p.add(describer.Step{Verb: describer.Wait, Task: counted(job.ID, waiting), Why: why})
+		p.add(describer.Step{Verb: describer.Wait, Task: counted(job.ID, waiting), Reason: why})
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	for _, w := range workers {
 		p.add(describer.Step{
-			Verb: describer.Close, Worker: w.Host.Name, For: p.intent.For, Why: "drain " + p.intent.ID,
+			Verb: describer.Close, Worker: w.Host.Name, For: p.intent.For, Reason: "drain " + p.intent.ID,
 		})
 		if len(w.Host.Services) > 0 {
 			p.closed++
@@ -86,7 +86,7 @@
 	p.lost += g.Resources.CPU
 	step := describer.Step{Verb: describer.Move, Task: task.String(), Worker: w.Host.Name, To: to, For: moveTime}
 	if to == "" {
-		step.Verb, step.For, step.Why = describer.Wait, p.intent.For, why
+		step.Verb, step.For, step.Reason = describer.Wait, p.intent.For, why
 	}
 	p.add(step)
 }
@@ -111,7 +111,7 @@
 	if len(w.Host.Services) > 0 {
 		p.opened++
 	}
-	p.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Why: why})
+	p.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Reason: why})
 }
 
 // cancel ends a drain at once, or a job.
@@ -140,7 +140,7 @@
 	}
 	if waiting > 0 {
 		p.add(describer.Step{
-			Verb: describer.Stop, Task: counted(p.intent.Job.ID, waiting), Why: "waits to run, and will not",
+			Verb: describer.Stop, Task: counted(p.intent.Job.ID, waiting), Reason: "waits to run, and will not",
 		})
 	}
 }
