--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -44,7 +44,7 @@
 	Publish  func(table *describer.RoutingTable)
 	Interval time.Duration // between ticks
 	Timeout  time.Duration // of a call to a worker or of a proposal
-	Calls    int           // to workers at a time
+	MaxCalls    int           // to workers at a time
 	Scope    tally.Scope
 	Log      zerolog.Logger
 }
@@ -70,7 +70,7 @@
 		Done:    make(chan struct{}),
 		options: o,
 		inbox:   make(chan reducer.Event, inboxSize),
-		calls:   make(chan struct{}, o.Calls),
+		calls:   make(chan struct{}, o.MaxCalls),
 		stop:    stop,
 		waiting: make(map[reducer.RequestID]chan reducer.Reply),
 	}
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -115,7 +115,7 @@
 		Publish:  s.publish,
 		Interval: tickInterval,
 		Timeout:  s.timeout(),
-		Calls:    workerCalls,
+		MaxCalls:    workerCalls,
 		Scope:    s.metrics.Scope,
 		Log:      s.log.With().Str("part", "control").Logger(),
 	})
