--- a/internal/control/escalator/budget.go
+++ b/internal/control/escalator/budget.go
@@ -16,8 +16,8 @@
 	return &Budget{Burst: burst, Hourly: hourly, Tokens: burst, At: now}
 }
 
-// Left returns how many evictions are allowed at once now.
-func (b *Budget) Left(now time.Time) int {
+// Available returns how many evictions are allowed at once now.
+func (b *Budget) Available(now time.Time) int {
 	b.refill(now)
 	return int(b.Tokens)
 }
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -348,7 +348,7 @@
 
 // makeRoom throttles or evicts for an urgent task.
 func (k *control) makeRoom(r *run, request placer.Request) placer.Choice {
-	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Left(k.now), k.now.Sub(r.arrives))
+	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Available(k.now), k.now.Sub(r.arrives))
 	if room.Worker == "" {
 		r.refused = room.Reason
 		return placer.Choice{Reason: room.Reason}
--- a/internal/control/reducer/urgent.go
+++ b/internal/control/reducer/urgent.go
@@ -29,7 +29,7 @@
 	if t.ran {
 		elapsed = 0 // the bound is on its first start
 	}
-	r := placer.Preempt(h.fleet, h.request(t), placer.Costs{}, h.budget.Left(h.state.now), elapsed)
+	r := placer.Preempt(h.fleet, h.request(t), placer.Costs{}, h.budget.Available(h.state.now), elapsed)
 	w := h.workers[r.Worker]
 	if w == nil {
 		t.policy = r.Reason
