--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -141,7 +141,7 @@
 		}
 		mean := 0.3
 		if in.Learner != nil {
-			mean, _ = in.Learner.Estimate(service, g.Class, load)
+			mean, _ = in.Learner.Coefficient(service, g.Class, load)
 		}
 		slow := max(mean, 0) * float64(g.Resources.CPU) / capacity
 		out = append(out, suspect{task, mean, g.Resources.CPU, slow})
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -96,9 +96,9 @@
 	b.add(s.Latency.Load, s.Latency.Count, s.Latency.To)
 }
 
-// Estimate returns the coefficient of a class for a service at a load: the
+// Coefficient returns the coefficient of a class for a service at a load: the
 // logarithm of the slow-down if the class held all of the worker's processors.
-func (l *Learner) Estimate(service, class string, load float64) (mean, upper float64) {
+func (l *Learner) Coefficient(service, class string, load float64) (mean, upper float64) {
 	m := l.Models[Key{service, Band(load)}]
 	if m == nil {
 		return l.Options.Prior, l.Options.Prior + l.Options.UpperSigmas*l.Options.Deviation
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -40,15 +40,15 @@
 var _ = Describe("Learner", func() {
 	It("stays at the prior without evidence", func() {
 		l := New(Options{})
-		mean, upper := l.Estimate("desk", "heavy", 0.6)
+		mean, upper := l.Coefficient("desk", "heavy", 0.6)
 		Expect(mean).To(Equal(l.Options.Prior))
 		Expect(upper).To(BeNumerically(">", mean))
 	})
 
 	It("tells classes apart from noisy reports", func() {
 		l := trained(600)
-		heavy, upper := l.Estimate("desk", "heavy", 0.6)
-		light, _ := l.Estimate("desk", "light", 0.6)
+		heavy, upper := l.Coefficient("desk", "heavy", 0.6)
+		light, _ := l.Coefficient("desk", "light", 0.6)
 		Expect(heavy).To(BeNumerically("~", 0.8, 0.3))
 		Expect(light).To(BeNumerically("~", 0, 0.3))
 		Expect(upper - heavy).To(BeNumerically("<", 0.2))
@@ -58,27 +58,27 @@
 	})
 
 	It("shrinks towards the prior with few reports", func() {
-		heavy, _ := trained(3).Estimate("desk", "heavy", 0.6)
+		heavy, _ := trained(3).Coefficient("desk", "heavy", 0.6)
 		Expect(heavy).To(BeNumerically("~", 0.4, 0.25))
 	})
 
 	It("grows less certain with age", func() {
 		l := trained(600)
-		mean, upper := l.Estimate("desk", "heavy", 0.6)
+		mean, upper := l.Coefficient("desk", "heavy", 0.6)
 		late := report(rand.New(rand.NewPCG(1, 1)), start.Add(24*time.Hour), 0, 0)
 		l.Observe(late)
-		agedMean, agedUpper := l.Estimate("desk", "heavy", 0.6)
+		agedMean, agedUpper := l.Coefficient("desk", "heavy", 0.6)
 		Expect(agedUpper - agedMean).To(BeNumerically(">", 2*(upper-mean)))
 		Expect(math.Abs(agedMean - l.Options.Prior)).To(BeNumerically("<", math.Abs(mean-l.Options.Prior)))
 	})
 
 	It("cuts off single wild reports", func() {
 		l := trained(600)
-		before, _ := l.Estimate("desk", "heavy", 0.6)
+		before, _ := l.Coefficient("desk", "heavy", 0.6)
 		wild := report(rand.New(rand.NewPCG(1, 1)), start.Add(2*time.Hour), 0.5, 0)
 		wild.Latency.P99 = 20 * time.Second
 		l.Observe(wild)
-		after, _ := l.Estimate("desk", "heavy", 0.6)
+		after, _ := l.Coefficient("desk", "heavy", 0.6)
 		Expect(after - before).To(BeNumerically("<", 0.3))
 	})
 
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -87,7 +87,7 @@
 	}
 	mean, ok := s.beliefs.known[p]
 	if !ok {
-		mean, _ = s.harm.Estimate(p.serving, p.filler, sampleLoad)
+		mean, _ = s.harm.Coefficient(p.serving, p.filler, sampleLoad)
 		s.beliefs.known[p] = mean
 	}
 	return mean
