--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -36,7 +36,7 @@
 type Shard struct {
 	Name     string
 	SameDomain     bool          // in the failure domain that asks
-	Distance time.Duration // of a call there
+	RoundTrip time.Duration // of a call there
 	Age      time.Duration // of the summary
 	Workers  int
 	LongRunningCPU  int64 // CPU that lasting tasks reserve, or wait for, millicores
@@ -159,7 +159,7 @@
 	if w.NeedsRack && !s.HasRack {
 		chain *= 2
 	}
-	predicted := wait + chain + s.Distance
+	predicted := wait + chain + s.RoundTrip
 	if !s.SameDomain {
 		predicted += nearBonus
 	}
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -68,7 +68,7 @@
 		ReclaimableCPU: s.Load.Turning, UnusedCPU: s.Load.Unused, FillerCPU: s.Load.Fillers, HasLabel: true,
 	}
 	if !out.SameDomain {
-		out.Distance = afarDistance
+		out.RoundTrip = afarDistance
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
