--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -67,7 +67,7 @@
 	Shard     string        // with the nearest predicted end; empty if none has suitable workers
 	Age       time.Duration // of that shard's summary
 	Predicted time.Duration // from acceptance to the end
-	Retry     time.Duration // when to come back, if refused
+	RetryAfter     time.Duration // when to come back, if refused
 	Reason    string
 }
 
@@ -76,11 +76,11 @@
 func Decide(w Work, shards []Shard, random *rand.Rand) Decision {
 	open := suitable(shards)
 	if len(open) == 0 {
-		return Decision{Reason: "no shard has suitable workers", Retry: spread(minRetry*2, random)}
+		return Decision{Reason: "no shard has suitable workers", RetryAfter: spread(minRetry*2, random)}
 	}
 	s := w.choose(open, random)
 	if s == nil {
-		return Decision{Shard: open[0].Name, Age: open[0].Age, Reason: "the limit of lasting tasks is reached", Retry: spread(maxRetry, random)}
+		return Decision{Shard: open[0].Name, Age: open[0].Age, Reason: "the limit of lasting tasks is reached", RetryAfter: spread(maxRetry, random)}
 	}
 	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end is within reach"}
 	limit := time.Duration(reach * float64(w.Objective))
@@ -89,7 +89,7 @@
 		return best
 	}
 	best.Reason = "predicted end is out of reach"
-	best.Retry = spread(min(max(best.Predicted-limit, minRetry), maxRetry), random)
+	best.RetryAfter = spread(min(max(best.Predicted-limit, minRetry), maxRetry), random)
 	return best
 }
 
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -37,15 +37,15 @@
 		d := Decide(short, []Shard{shard("a", 0, 100000)}, random())
 		Expect(d.Accepted).To(BeFalse())
 		// 10 s of work wait; the objective leaves room for about 2 s of it.
-		Expect(d.Retry).To(BeNumerically(">", 5*time.Second))
-		Expect(d.Retry).To(BeNumerically("<=", maxRetry*3/2))
+		Expect(d.RetryAfter).To(BeNumerically(">", 5*time.Second))
+		Expect(d.RetryAfter).To(BeNumerically("<=", maxRetry*3/2))
 	})
 
 	It("spreads returning callers", func() {
 		r := random()
 		seen := make(map[time.Duration]bool)
 		for range 20 {
-			seen[Decide(short, []Shard{shard("a", 0, 100000)}, r).Retry] = true
+			seen[Decide(short, []Shard{shard("a", 0, 100000)}, r).RetryAfter] = true
 		}
 		Expect(len(seen)).To(BeNumerically(">", 15))
 	})
@@ -61,7 +61,7 @@
 		s.HasLabel = false
 		d := Decide(short, []Shard{s}, random())
 		Expect(d.Accepted).To(BeFalse())
-		Expect(d.Retry).To(BeNumerically(">", 0))
+		Expect(d.RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("replays the start of a day: lasting jobs leave room for the short ones after them", func() {
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -178,10 +178,10 @@
 	}
 	r.count(job.Queue, "refused")
 	r.log.Info().Str("job", job.ID).Str("queue", job.Queue).Str("reason", d.Reason).Str("shard", d.Shard).
-		Dur("age", d.Age).Dur("predicted", d.Predicted).Dur("retry", d.Retry).Msg("job refused")
+		Dur("age", d.Age).Dur("predicted", d.Predicted).Dur("retry", d.RetryAfter).Msg("job refused")
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusTooManyRequests, Code: "overloaded",
-		Message: d.Reason, RetryAfter: d.Retry,
+		Message: d.Reason, RetryAfter: d.RetryAfter,
 	}
 }
 
