--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -25,7 +25,7 @@
 // Request is what one task asks for.
 type Request struct {
 	Reserved describer.Resources // against the worker's free room
-	Filler  int64               // CPU out of the unused, millicores
+	FillerCPU  int64               // CPU out of the unused, millicores
 	Rack    string              // preferred; empty is any
 }
 
@@ -34,7 +34,7 @@
 	if r.Closed || !n.Reserved.Fits(r.Free) {
 		return false
 	}
-	return n.Filler <= r.Unused
+	return n.FillerCPU <= r.Unused
 }
 
 // Choose returns the index of the best room for which allowed holds, or -1.
@@ -64,8 +64,8 @@
 
 func (n *Request) score(r *Candidate) float64 {
 	score := share(r.Free.CPU-n.Reserved.CPU, r.Capacity.CPU)
-	if n.Filler > 0 {
-		score = share(r.Unused-n.Filler, r.Capacity.CPU)
+	if n.FillerCPU > 0 {
+		score = share(r.Unused-n.FillerCPU, r.Capacity.CPU)
 	}
 	score += kinBonus*r.SameImage - harmMalus*r.Interference
 	if n.Rack != "" && n.Rack == r.Rack {
@@ -84,5 +84,5 @@
 // Reserve books the task in the room.
 func (r *Candidate) Reserve(n *Request) {
 	r.Free = r.Free.Sub(n.Reserved)
-	r.Unused -= n.Filler + n.Reserved.CPU
+	r.Unused -= n.FillerCPU + n.Reserved.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -49,9 +49,9 @@
 	It("puts a filler on unused time where it does no harm", func() {
 		harmed, harmless := room(15000), room(9000)
 		harmed.Interference = 0.8
-		Expect(Choose([]Candidate{harmed, harmless}, Request{Filler: 2000}, anywhere)).To(Equal(1))
+		Expect(Choose([]Candidate{harmed, harmless}, Request{FillerCPU: 2000}, anywhere)).To(Equal(1))
 		harmless.Unused = 1000
-		Expect(Choose([]Candidate{harmed, harmless}, Request{Filler: 2000}, anywhere)).To(Equal(0))
+		Expect(Choose([]Candidate{harmed, harmless}, Request{FillerCPU: 2000}, anywhere)).To(Equal(0))
 	})
 
 	It("draws serving tasks of one image together", func() {
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -176,7 +176,7 @@
 }
 
 func (st *step) fitterNeed() fitter.Request {
-	return fitter.Request{Reserved: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.Rack}
+	return fitter.Request{Reserved: st.needs.counted, FillerCPU: st.needs.filler, Rack: st.spec.Rack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
