--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -15,7 +15,7 @@
 type Candidate struct {
 	Free     describer.Resources
 	Capacity describer.Resources
-	Unused   int64   // CPU that fillers may still ask for, millicores
+	UnusedCPU   int64   // CPU that fillers may still ask for, millicores
 	SameImage      float64 // share of the serving tasks there that are of the task's image
 	Interference     float64 // expected growth of the log tail of a serving task there by the task
 	Rack     string
@@ -34,7 +34,7 @@
 	if r.Closed || !n.Reserved.Fits(r.Free) {
 		return false
 	}
-	return n.FillerCPU <= r.Unused
+	return n.FillerCPU <= r.UnusedCPU
 }
 
 // Choose returns the index of the best room for which allowed holds, or -1.
@@ -65,7 +65,7 @@
 func (n *Request) score(r *Candidate) float64 {
 	score := share(r.Free.CPU-n.Reserved.CPU, r.Capacity.CPU)
 	if n.FillerCPU > 0 {
-		score = share(r.Unused-n.FillerCPU, r.Capacity.CPU)
+		score = share(r.UnusedCPU-n.FillerCPU, r.Capacity.CPU)
 	}
 	score += kinBonus*r.SameImage - harmMalus*r.Interference
 	if n.Rack != "" && n.Rack == r.Rack {
@@ -84,5 +84,5 @@
 // Reserve books the task in the room.
 func (r *Candidate) Reserve(n *Request) {
 	r.Free = r.Free.Sub(n.Reserved)
-	r.Unused -= n.FillerCPU + n.Reserved.CPU
+	r.UnusedCPU -= n.FillerCPU + n.Reserved.CPU
 }
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -12,7 +12,7 @@
 func room(cpu int64) Candidate {
 	return Candidate{
 		Free:     describer.Resources{CPU: cpu, Memory: 1000},
-		Capacity: describer.Resources{CPU: 16000, Memory: 1000}, Unused: cpu,
+		Capacity: describer.Resources{CPU: 16000, Memory: 1000}, UnusedCPU: cpu,
 	}
 }
 
@@ -50,7 +50,7 @@
 		harmed, harmless := room(15000), room(9000)
 		harmed.Interference = 0.8
 		Expect(Choose([]Candidate{harmed, harmless}, Request{FillerCPU: 2000}, anywhere)).To(Equal(1))
-		harmless.Unused = 1000
+		harmless.UnusedCPU = 1000
 		Expect(Choose([]Candidate{harmed, harmless}, Request{FillerCPU: 2000}, anywhere)).To(Equal(0))
 	})
 
@@ -65,7 +65,7 @@
 		n := need(1000)
 		r.Reserve(&n)
 		Expect(r.Free.CPU).To(Equal(int64(3000)))
-		Expect(r.Unused).To(Equal(int64(3000)))
+		Expect(r.UnusedCPU).To(Equal(int64(3000)))
 	})
 })
 
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -127,7 +127,7 @@
 		p.largest.Free.CPU = max(p.largest.Free.CPU, room.Free.CPU)
 		p.largest.Free.Memory = max(p.largest.Free.Memory, room.Free.Memory)
 		p.largest.Free.Accelerators = max(p.largest.Free.Accelerators, room.Free.Accelerators)
-		p.largest.Unused = max(p.largest.Unused, room.Unused)
+		p.largest.UnusedCPU = max(p.largest.UnusedCPU, room.UnusedCPU)
 	}
 	p.limit = s.lastingLimit(capacity)
 	if s.options.Domain != "" {
@@ -156,7 +156,7 @@
 	return fitter.Candidate{
 		Free:     w.reg.Capacity.Sub(w.used.counted),
 		Capacity: w.reg.Capacity,
-		Unused:   w.reg.Capacity.CPU - expected - w.fillerUse(),
+		UnusedCPU:   w.reg.Capacity.CPU - expected - w.fillerUse(),
 		Rack:     w.rack,
 	}
 }
