--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -35,7 +35,7 @@
 	Used     describer.Resources        // latest lagging report
 	Reports  map[string]runner.Latency  // latest lagging report by service
 	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
-	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
+	OpenedAt   time.Time                  // when Closed last became false; gradual restore starts from it
 	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
 	BatchLimited  bool                       // restoring: batch grants stay within Limit
 	BatchLimit    int64                      // millicores of batch grants while Limited
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -229,7 +229,7 @@
 			}
 		case drainAt + drainFor:
 			h.account.Closed = false
-			h.account.Opened = k.now
+			h.account.OpenedAt = k.now
 			k.restores[name] = &restorer.State{}
 		}
 		if state := k.restores[name]; state != nil {
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -152,7 +152,7 @@
 	}
 	closed := h.closedBy(w) != ""
 	if w.account.Closed && !closed {
-		w.account.Opened = h.state.now
+		w.account.OpenedAt = h.state.now
 		h.idle = false
 	}
 	if w.account.Closed != closed {
