--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -41,5 +41,5 @@
 	Reason     string          `json:"reason,omitempty"`
 	Key        string          `json:"key,omitempty"`
 	Owner      string          `json:"owner,omitempty"`
-	Wait       time.Duration   `json:"wait,omitempty"` // until every task lease has lapsed
+	LeaseWait       time.Duration   `json:"wait,omitempty"` // until every task lease has lapsed
 }
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -227,7 +227,7 @@
 			wait = max(wait, w.extent.Sub(h.state.now))
 		}
 	}
-	h.append(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: h.epoch}, Wait: wait})
+	h.append(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: h.epoch}, LeaseWait: wait})
 }
 
 // handOver emits Release once every decision has been sent to the ledger.
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -115,7 +115,7 @@
 // gave the shard up to this owner said how long its leases last.
 func (h *shard) formerExtent() time.Time {
 	if h.released.Token.Epoch == h.epoch-1 && h.released.Kind == describer.ShardReleased {
-		return h.claimed.Add(h.released.Wait)
+		return h.claimed.Add(h.released.LeaseWait)
 	}
 	return h.claimed.Add(h.state.options.OutageLimit + h.state.options.TaskLease)
 }
