--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -28,18 +28,18 @@
 
 // Worker is the account of one worker.
 type Worker struct {
-	Host     describer.Host
-	Grants   map[describer.TaskID]Grant // changed by Hold, Adopt, Resize and Drop only, but for reports
-	Granted  describer.Resources        // sum of Grants
-	Reserved describer.Resources        // kept for the backend server, never granted
-	Used     describer.Resources        // latest lagging report
-	Reports  map[string]runner.Latency  // latest lagging report by service
-	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
-	OpenedAt   time.Time                  // when Closed last became false; gradual restore starts from it
-	BatchBlockedUntil  time.Time                  // no batch task is placed before this time
-	BatchLimited  bool                       // restoring: batch grants stay within Limit
-	BatchLimit    int64                      // millicores of batch grants while Limited
-	LastInventory    time.Time                  // last inventory
+	Host              describer.Host
+	Grants            map[describer.TaskID]Grant // changed by Hold, Adopt, Resize and Drop only, but for reports
+	Granted           describer.Resources        // sum of Grants
+	Reserved          describer.Resources        // kept for the backend server, never granted
+	Used              describer.Resources        // latest lagging report
+	Reports           map[string]runner.Latency  // latest lagging report by service
+	Closed            bool                       // draining, drained, leaving or set aside: nothing is placed here
+	OpenedAt          time.Time                  // when Closed last became false; gradual restore starts from it
+	BatchBlockedUntil time.Time                  // no batch task is placed before this time
+	BatchLimited      bool                       // restoring: batch grants stay within Limit
+	BatchLimit        int64                      // millicores of batch grants while Limited
+	LastInventory     time.Time                  // last inventory
 
 	jobs    map[string]int   // grants by job
 	classes map[string]int64 // millicores of batch grants by class
@@ -48,17 +48,17 @@
 
 // Grant is what one run holds.
 type Grant struct {
-	Token     describer.Token
-	Class     string
-	Team      string
-	Kind      describer.Kind
-	Priority  describer.Priority
-	Resources describer.Resources
-	Used      describer.Resources // latest lagging report
-	Progress  float64             // latest lagging report, 0 to 1
-	ThrottledTo   int64               // millicores it is throttled to for a service's sake; 0 is not throttled
+	Token       describer.Token
+	Class       string
+	Team        string
+	Kind        describer.Kind
+	Priority    describer.Priority
+	Resources   describer.Resources
+	Used        describer.Resources // latest lagging report
+	Progress    float64             // latest lagging report, 0 to 1
+	ThrottledTo int64               // millicores it is throttled to for a service's sake; 0 is not throttled
 	ReturnTo    string              // drained worker that the task is owed back to, or empty
-	Since     time.Time
+	Since       time.Time
 }
 
 // Names returns the workers' names in order. The slice must not be changed.
--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -34,41 +34,41 @@
 
 // Shard is the load of one shard as far as it is known.
 type Shard struct {
-	Name     string
-	SameDomain     bool          // in the failure domain that asks
-	RoundTrip time.Duration // of a call there
-	Age      time.Duration // of the summary
-	Workers  int
-	LongRunningCPU  int64 // CPU that lasting tasks reserve, or wait for, millicores
-	LongRunningLimit    int64 // most of it, so that tasks that end find room
-	Free     describer.Resources
-	ReclaimableCPU  int64 // CPU of counted tasks that will end, millicores
-	UnusedCPU   int64 // CPU for fillers that is not taken, millicores
-	FillerCPU  int64 // CPU that running fillers asked for, millicores
+	Name             string
+	SameDomain       bool          // in the failure domain that asks
+	RoundTrip        time.Duration // of a call there
+	Age              time.Duration // of the summary
+	Workers          int
+	LongRunningCPU   int64 // CPU that lasting tasks reserve, or wait for, millicores
+	LongRunningLimit int64 // most of it, so that tasks that end find room
+	Free             describer.Resources
+	ReclaimableCPU   int64 // CPU of counted tasks that will end, millicores
+	UnusedCPU        int64 // CPU for fillers that is not taken, millicores
+	FillerCPU        int64 // CPU that running fillers asked for, millicores
 	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
-	FillerBacklog   int64 // the same of fillers
-	HasRack  bool  // has the rack of the job's data
-	HasLabel bool  // has workers of each label that the job needs
+	FillerBacklog    int64 // the same of fillers
+	HasRack          bool  // has the rack of the job's data
+	HasLabel         bool  // has workers of each label that the job needs
 }
 
 // Work is what a job asks for.
 type Work struct {
 	ReservedWork   int64 // millicore-seconds of tasks that count against the capacity
-	FillerWork    int64 // the same of fillers
-	LongRunningCPU   int64 // millicores that lasting tasks reserve
-	Chain     time.Duration
-	Objective time.Duration // from acceptance
-	NeedsRack bool
+	FillerWork     int64 // the same of fillers
+	LongRunningCPU int64 // millicores that lasting tasks reserve
+	Chain          time.Duration
+	Objective      time.Duration // from acceptance
+	NeedsRack      bool
 }
 
 // Decision is the outcome.
 type Decision struct {
-	Accepted  bool
-	Shard     string        // with the nearest predicted end; empty if none has suitable workers
-	Age       time.Duration // of that shard's summary
-	Predicted time.Duration // from acceptance to the end
-	RetryAfter     time.Duration // when to come back, if refused
-	Reason    string
+	Accepted   bool
+	Shard      string        // with the nearest predicted end; empty if none has suitable workers
+	Age        time.Duration // of that shard's summary
+	Predicted  time.Duration // from acceptance to the end
+	RetryAfter time.Duration // when to come back, if refused
+	Reason     string
 }
 
 // Decide chooses a shard and decides whether it is to take the job. random
--- a/internal/control/describer/intent.go
+++ b/internal/control/describer/intent.go
@@ -10,11 +10,11 @@
 
 // Actions of intents.
 const (
-	SetTarget Action = "latency-target"
-	Run       Action = "run"
-	DrainWorkers  Action = "drain"
-	Restore   Action = "restore"
-	Cancel    Action = "cancel"
+	SetTarget    Action = "latency-target"
+	Run          Action = "run"
+	DrainWorkers Action = "drain"
+	Restore      Action = "restore"
+	Cancel       Action = "cancel"
 )
 
 // Intent is an operator's request. It has no effect before its plan is
@@ -52,7 +52,7 @@
 	Worker string        `json:"worker,omitempty"`
 	To     string        `json:"to,omitempty"`
 	For    time.Duration `json:"for,omitempty"` // expected
-	Reason    string        `json:"why,omitempty"`
+	Reason string        `json:"why,omitempty"`
 }
 
 func (s Step) String() string {
@@ -90,5 +90,5 @@
 	Revision int64       `json:"revision"` // of the configuration it was made from
 	Steps    []Step      `json:"steps"`
 	Expected Expectation `json:"expected"`
-	Created     time.Time   `json:"made"`
+	Created  time.Time   `json:"made"`
 }
--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -114,16 +114,16 @@
 
 // Task is the durable state of one task.
 type Task struct {
-	ID         TaskID          `json:"id"`
-	State      TaskState       `json:"state"`
-	Worker     string          `json:"worker,omitempty"` // while Started
-	Token      Token           `json:"token,omitzero"`   // of the latest run
-	Granted    Resources       `json:"granted,omitzero"` // while Started
-	Checkpoint string          `json:"checkpoint,omitempty"`
-	Attempts   int             `json:"attempts,omitempty"` // runs that ended in failure
-	Evictions  int             `json:"evictions,omitempty"`
+	ID          TaskID          `json:"id"`
+	State       TaskState       `json:"state"`
+	Worker      string          `json:"worker,omitempty"` // while Started
+	Token       Token           `json:"token,omitzero"`   // of the latest run
+	Granted     Resources       `json:"granted,omitzero"` // while Started
+	Checkpoint  string          `json:"checkpoint,omitempty"`
+	Attempts    int             `json:"attempts,omitempty"` // runs that ended in failure
+	Evictions   int             `json:"evictions,omitempty"`
 	DrainedFrom string          `json:"drained,omitempty"` // worker it was drained from and is owed back to
-	Ran        bool            `json:"ran,omitempty"`     // some run may have begun
-	Result     json.RawMessage `json:"result,omitempty"`
-	Reason     string          `json:"reason,omitempty"`
+	Ran         bool            `json:"ran,omitempty"`     // some run may have begun
+	Result      json.RawMessage `json:"result,omitempty"`
+	Reason      string          `json:"reason,omitempty"`
 }
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -56,12 +56,12 @@
 
 // Action is one thing to do on the worker.
 type Action struct {
-	Kind  Kind
-	Task  describer.TaskID // all but KeepOff
-	Token describer.Token  // of the run
-	CPU   int64            // Raise, Throttle: new grant in millicores
-	Until time.Time        // KeepOff
-	Reason   string
+	Kind   Kind
+	Task   describer.TaskID // all but KeepOff
+	Token  describer.Token  // of the run
+	CPU    int64            // Raise, Throttle: new grant in millicores
+	Until  time.Time        // KeepOff
+	Reason string
 }
 
 // Input is what a decision is made from. State and Budget are changed.
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -26,9 +26,9 @@
 // escalate takes the next step.
 func escalate(in Input, service string, ratio float64) []Action {
 	actions := []Action{{
-		Kind:  BlockBatch,
-		Until: in.Now.Add(2 * in.Options.Settle),
-		Reason:   fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
+		Kind:   BlockBatch,
+		Until:  in.Now.Add(2 * in.Options.Settle),
+		Reason: fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
 	}}
 	if in.Now.Sub(in.State.Acted) < in.Options.Settle {
 		return actions
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -97,7 +97,9 @@
 	k.changed(h)
 }
 
-func (k *control) changed(h *host) { k.timeline.Record(h.account.Host.Name, k.now, h.account.BatchShares()) }
+func (k *control) changed(h *host) {
+	k.timeline.Record(h.account.Host.Name, k.now, h.account.BatchShares())
+}
 
 // ended takes in runs that ended by themselves. A worker that fails 5 runs in
 // a row is set aside for 10 minutes, whatever the contender.
--- a/internal/control/evaluator/world.go
+++ b/internal/control/evaluator/world.go
@@ -81,8 +81,8 @@
 			Name: name, Role: describer.Worker, Capacity: d.Size, Slots: 8, Connections: 64,
 			Rack: string([]byte{'r', byte('0' + i/d.Rack)}),
 		},
-		Reports: make(map[string]runner.Latency),
-		LastInventory:   begin,
+		Reports:       make(map[string]runner.Latency),
+		LastInventory: begin,
 	}
 	if i%batchOnly != 0 {
 		account.Host.Services = []string{d.Service}
--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -44,7 +44,7 @@
 	Publish  func(table *describer.RoutingTable)
 	Interval time.Duration // between ticks
 	Timeout  time.Duration // of a call to a worker or of a proposal
-	MaxCalls    int           // to workers at a time
+	MaxCalls int           // to workers at a time
 	Scope    tally.Scope
 	Log      zerolog.Logger
 }
--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -33,7 +33,7 @@
 		Publish:  func(*describer.RoutingTable) {},
 		Interval: time.Second,
 		Timeout:  time.Second,
-		MaxCalls:    1,
+		MaxCalls: 1,
 		Scope:    tally.NoopScope,
 		Log:      zerolog.Nop(),
 	})
--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -13,20 +13,20 @@
 
 // Candidate is what one worker has left.
 type Candidate struct {
-	Free     describer.Resources
-	Capacity describer.Resources
-	UnusedCPU   int64   // CPU that fillers may still ask for, millicores
-	SameImage      float64 // share of the serving tasks there that are of the task's image
-	Interference     float64 // expected growth of the log tail of a serving task there by the task
-	Rack     string
-	Closed   bool // takes no tasks
+	Free         describer.Resources
+	Capacity     describer.Resources
+	UnusedCPU    int64   // CPU that fillers may still ask for, millicores
+	SameImage    float64 // share of the serving tasks there that are of the task's image
+	Interference float64 // expected growth of the log tail of a serving task there by the task
+	Rack         string
+	Closed       bool // takes no tasks
 }
 
 // Request is what one task asks for.
 type Request struct {
-	Reserved describer.Resources // against the worker's free room
-	FillerCPU  int64               // CPU out of the unused, millicores
-	Rack    string              // preferred; empty is any
+	Reserved  describer.Resources // against the worker's free room
+	FillerCPU int64               // CPU out of the unused, millicores
+	Rack      string              // preferred; empty is any
 }
 
 // Fits reports whether the task can go there.
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -32,12 +32,12 @@
 
 // Options set the prior and the speed of forgetting. Zero fields take defaults.
 type Options struct {
-	Prior     float64       // coefficient of a class without evidence
-	Deviation float64       // standard deviation of the prior
-	Noise     float64       // standard deviation of one report's log latency
-	UpperSigmas   float64       // standard deviations from mean to upper bound
-	HalfLife  time.Duration // in which a coefficient's evidence loses half of its weight
-	Classes   int           // classes for each service and band; later ones share one coefficient
+	Prior       float64       // coefficient of a class without evidence
+	Deviation   float64       // standard deviation of the prior
+	Noise       float64       // standard deviation of one report's log latency
+	UpperSigmas float64       // standard deviations from mean to upper bound
+	HalfLife    time.Duration // in which a coefficient's evidence loses half of its weight
+	Classes     int           // classes for each service and band; later ones share one coefficient
 }
 
 // Sample is one report with what ran on the worker during its interval.
--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -36,9 +36,9 @@
 
 // Filler is one filler on a worker.
 type Filler struct {
-	Pace     int     // percent
-	Interference     float64 // expected growth of the logarithm of the worst tail, at full pace
-	Standing ranker.Lateness
+	Pace         int     // percent
+	Interference float64 // expected growth of the logarithm of the worst tail, at full pace
+	Standing     ranker.Lateness
 }
 
 // Decide sets the paces on one worker. tail is the worst tail of its serving
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -17,7 +17,7 @@
 	Task     describer.TaskID
 	Job      *describer.Job
 	Want     describer.Resources // to be granted, see Size
-	ReturnTo   string              // drained worker it is owed back to, or empty
+	ReturnTo string              // drained worker it is owed back to, or empty
 	Avoid    map[string]bool     // workers on which it failed
 	Deadline time.Time
 }
@@ -26,7 +26,7 @@
 // says the reason.
 type Choice struct {
 	Worker string
-	Reason    string
+	Reason string
 }
 
 // Policy chooses a worker for a request.
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -45,7 +45,7 @@
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
-	Reason      string
+	Reason   string
 }
 
 // Shrink lowers the processor grant of a run.
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -104,8 +104,8 @@
 
 func (p *draft) target() {
 	p.add(describer.Step{
-		Verb: describer.Set,
-		Reason:  fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
+		Verb:   describer.Set,
+		Reason: fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
 	})
 }
 
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -30,13 +30,13 @@
 
 // Work is a piece of waiting work.
 type Work struct {
-	Priority  int // 0 goes first
-	Objective time.Time
-	GraceEnd     time.Time     // until when an end still earns something
-	Remaining time.Duration // shortest time to its end
-	Accepted  time.Time
-	NoDeadline    bool   // never late: it earns for as long as it runs
-	ID        string // settles ties
+	Priority   int // 0 goes first
+	Objective  time.Time
+	GraceEnd   time.Time     // until when an end still earns something
+	Remaining  time.Duration // shortest time to its end
+	Accepted   time.Time
+	NoDeadline bool   // never late: it earns for as long as it runs
+	ID         string // settles ties
 }
 
 // Standing is what the work can still achieve when it starts now.
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -111,13 +111,13 @@
 	}
 	owed := h.book.owed[w.name]
 	decision := restorer.Decide(restorer.Input{
-		Now:      h.state.now,
-		Worker:   w.account,
-		Services: h.state.services,
-		Returning:     owed,
-		Removed:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
-		State:    &w.restore,
-		Options:  h.state.policies.Restore,
+		Now:       h.state.now,
+		Worker:    w.account,
+		Services:  h.state.services,
+		Returning: owed,
+		Removed:   !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
+		State:     &w.restore,
+		Options:   h.state.policies.Restore,
 	})
 	w.held = decision.Held
 	h.limit(w, !decision.Done, decision.Limit)
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -149,7 +149,7 @@
 		Task:     t.id(),
 		Job:      t.job.Job,
 		Want:     h.want(t),
-		ReturnTo:   t.drainedOff,
+		ReturnTo: t.drainedOff,
 		Deadline: t.job.Deadline,
 	}
 	if h.hasOthers(t.failedOn) {
--- a/internal/control/reducer/plan.go
+++ b/internal/control/reducer/plan.go
@@ -36,7 +36,7 @@
 		Revision: s.config.Revision,
 		Steps:    steps,
 		Expected: expected,
-		Created:     s.now,
+		Created:  s.now,
 	}})
 }
 
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -98,11 +98,11 @@
 // release records that the task's run is known to be over.
 func (h *shard) release(t *task, r released) {
 	h.append(describer.Record{
-		Kind:       describer.TaskReleased,
-		Task:       t.id(),
-		Token:      t.token,
-		Reason:     r.reason,
-		Checkpoint: r.checkpoint,
+		Kind:        describer.TaskReleased,
+		Task:        t.id(),
+		Token:       t.token,
+		Reason:      r.reason,
+		Checkpoint:  r.checkpoint,
 		DrainedFrom: r.drainedOff,
 	})
 }
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -116,18 +116,18 @@
 
 func (t *task) save() describer.Task {
 	return describer.Task{
-		ID:         t.id(),
-		State:      t.state,
-		Worker:     t.worker,
-		Token:      t.token,
-		Granted:    t.granted,
-		Checkpoint: t.checkpoint,
-		Attempts:   int(t.attempts),
-		Evictions:  int(t.evictions),
+		ID:          t.id(),
+		State:       t.state,
+		Worker:      t.worker,
+		Token:       t.token,
+		Granted:     t.granted,
+		Checkpoint:  t.checkpoint,
+		Attempts:    int(t.attempts),
+		Evictions:   int(t.evictions),
 		DrainedFrom: t.drainedOff,
-		Ran:        t.ran,
-		Result:     t.result,
-		Reason:     t.reason,
+		Ran:         t.ran,
+		Result:      t.result,
+		Reason:      t.reason,
 	}
 }
 
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -194,7 +194,7 @@
 		Kind:      t.job.Kind,
 		Priority:  t.job.Priority,
 		Resources: t.granted,
-		ReturnTo:    t.drainedOff,
+		ReturnTo:  t.drainedOff,
 		Since:     h.state.now,
 	}
 	if w.account.Allocate(t.id(), g) != nil {
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -25,13 +25,13 @@
 
 // Input is what a decision is made from. State is changed.
 type Input struct {
-	Now      time.Time
-	Worker   *accountant.Worker
-	Services map[string]describer.Service // by name
-	Returning     int                          // tasks drained off this worker that wait to run
-	Removed     bool                         // the worker has left the host list for good
-	State    *State                       // of this worker and drain
-	Options  Options
+	Now       time.Time
+	Worker    *accountant.Worker
+	Services  map[string]describer.Service // by name
+	Returning int                          // tasks drained off this worker that wait to run
+	Removed   bool                         // the worker has left the host list for good
+	State     *State                       // of this worker and drain
+	Options   Options
 }
 
 // Decision is what the worker may take now.
@@ -44,13 +44,13 @@
 
 // Options tune the pace. Zero fields take defaults.
 type Options struct {
-	Steps    []float64     // rising shares of the worker's processors, the last one 1
-	MinStep   time.Duration // shortest time of a step, longer than the lag of reports
-	MaxStep time.Duration // longest time of a step
-	SilenceTimeout  time.Duration // without inventory the worker counts as silent
-	Hot      float64       // share of a service's target above which a step is held back
-	Cool     float64       // share below which it is no longer
-	Weight   float64       // of the newest report in the smoothed latency
+	Steps          []float64     // rising shares of the worker's processors, the last one 1
+	MinStep        time.Duration // shortest time of a step, longer than the lag of reports
+	MaxStep        time.Duration // longest time of a step
+	SilenceTimeout time.Duration // without inventory the worker counts as silent
+	Hot            float64       // share of a service's target above which a step is held back
+	Cool           float64       // share below which it is no longer
+	Weight         float64       // of the newest report in the smoothed latency
 }
 
 func (o Options) orDefault() Options {
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -28,7 +28,7 @@
 	b.in = Input{
 		Now: start, State: &b.state,
 		Worker: &accountant.Worker{
-			Host:  describer.Host{Name: "w", Capacity: describer.Resources{CPU: 16000}, Services: []string{"desk"}},
+			Host:          describer.Host{Name: "w", Capacity: describer.Resources{CPU: 16000}, Services: []string{"desk"}},
 			LastInventory: start,
 		},
 		Services: map[string]describer.Service{"desk": {Name: "desk", Target: target}},
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -17,11 +17,11 @@
 	settled  bool // see isSettled
 	workers  []*worker
 	rooms    []fitter.Candidate
-	reserved int         // workers kept free for work that has waited for long
+	reserved int              // workers kept free for work that has waited for long
 	largest  fitter.Candidate // the most that any worker has of each kind, when the round began
-	lasting  int64       // CPU that lasting tasks reserve, millicores
-	limit    int64       // the most of it while other tasks need room
-	promised int64       // CPU of all lasting tasks of jobs that stay in the shard, millicores
+	lasting  int64            // CPU that lasting tasks reserve, millicores
+	limit    int64            // the most of it while other tasks need room
+	promised int64            // CPU of all lasting tasks of jobs that stay in the shard, millicores
 }
 
 // place starts waiting tasks, in their order, where there is room.
@@ -154,10 +154,10 @@
 func (w *worker) room() fitter.Candidate {
 	expected := w.used.counted.CPU - w.used.lasting + int64(servingShare*float64(w.used.lasting))
 	return fitter.Candidate{
-		Free:     w.reg.Capacity.Sub(w.used.counted),
-		Capacity: w.reg.Capacity,
-		UnusedCPU:   w.reg.Capacity.CPU - expected - w.fillerUse(),
-		Rack:     w.rack,
+		Free:      w.reg.Capacity.Sub(w.used.counted),
+		Capacity:  w.reg.Capacity,
+		UnusedCPU: w.reg.Capacity.CPU - expected - w.fillerUse(),
+		Rack:      w.rack,
 	}
 }
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -104,7 +104,7 @@
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
 	}, reducer.Policies{Restore: restorer.Options{
-		MinStep:   time.Duration(s.Settings.Restore.Settle),
+		MinStep: time.Duration(s.Settings.Restore.Settle),
 		MaxStep: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
@@ -115,7 +115,7 @@
 		Publish:  s.publish,
 		Interval: tickInterval,
 		Timeout:  s.timeout(),
-		MaxCalls:    workerCalls,
+		MaxCalls: workerCalls,
 		Scope:    s.metrics.Scope,
 		Log:      s.log.With().Str("part", "control").Logger(),
 	})
