--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -1,16 +1,21 @@
-// Package admitter decides whether a job is accepted, and by which shard.
+// Package admitter decides whether to accept a submitted job, and which shard
+// takes it.
 //
-// # Load pattern
+// # Algorithm
 //
-// In a burst more work arrives than the workers can do. Accepted work is owed,
-// so accepting all of it makes everything late. A job is accepted where its
-// predicted end is nearest, as long as that is within reach of its objective;
-// otherwise it is refused at once, with the time at which the work ahead of it
-// will have shrunk enough. While some shard has room for the job nothing is
-// refused.
+// An accepted job is guaranteed to be run, so accepting more work than the
+// workers can do would make all of it late. For each shard [Decide] predicts
+// when the job would end there. It accepts the job on the shard with the
+// earliest predicted end if that end meets the job's objective with a fixed
+// tolerance. Otherwise it refuses the job at once and says after which time to
+// retry, which is when enough of the backlog will be done.
 //
-// Jobs whose tasks last for minutes would take all room for as long, and the
-// many short ones after them find none. They are accepted up to a limit.
+// Long-running tasks hold their processors until their job is cancelled. If
+// they took everything, short tasks would find no capacity, so each shard
+// accepts them only up to a limit.
+//
+// Fillers are best-effort tasks that run on processor time that other tasks
+// leave unused. Their backlog is separate and doesn't delay other tasks.
 package admitter
 
 import (
@@ -22,97 +27,97 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Bounds of the decision.
 const (
-	reach       = 1.3 // times the objective, up to which a predicted end is good enough
-	nearBonus   = 150 * time.Millisecond
-	minRetry    = 500 * time.Millisecond
-	maxRetry    = 8 * time.Second
-	noticeable  = 50 // millicores; a shard with less throughput is full
-	lastingWait = 3 * time.Second
+	objectiveTolerance = 1.3                    // accepted ratio of the predicted end to the objective
+	otherDomainPenalty = 150 * time.Millisecond // added to the prediction for a shard of another failure domain
+	minRetryAfter      = 500 * time.Millisecond
+	maxRetryAfter      = 8 * time.Second // before jitter
+	minRate            = 50              // millicores; lowest processing rate assumed for a backlog, also in a full shard
+	longRunningWait    = 3 * time.Second // predicted wait when none of the processors for long-running tasks is free
 )
 
-// Shard is the load of one shard as far as it is known.
+// Shard is the load of one shard as its latest summary shows it.
 type Shard struct {
 	Name             string
-	SameDomain       bool          // in the failure domain that asks
-	RoundTrip        time.Duration // of a call there
+	SameDomain       bool          // in the failure domain of the deciding host
+	RoundTrip        time.Duration // of a call to the shard
 	Age              time.Duration // of the summary
-	Workers          int
-	LongRunningCPU   int64 // CPU that lasting tasks reserve, or wait for, millicores
-	LongRunningLimit int64 // most of it, so that tasks that end find room
+	Workers          int           // usable workers
+	LongRunningCPU   int64         // millicores that long-running tasks reserve or wait for
+	LongRunningLimit int64         // upper bound of LongRunningCPU, millicores
 	Free             describer.Resources
-	ReclaimableCPU   int64 // CPU of counted tasks that will end, millicores
-	UnusedCPU        int64 // CPU for fillers that is not taken, millicores
-	FillerCPU        int64 // CPU that running fillers asked for, millicores
-	ReservedBacklog  int64 // waiting work that goes first or equal, millicore-seconds
-	FillerBacklog    int64 // the same of fillers
-	HasRack          bool  // has the rack of the job's data
-	HasLabel         bool  // has workers of each label that the job needs
+	ReclaimableCPU   int64 // millicores reserved by tasks that end by themselves
+	UnusedCPU        int64 // millicores that fillers may still take
+	FillerCPU        int64 // millicores that running fillers asked for
+	ReservedBacklog  int64 // waiting work of equal or higher priority that reserves capacity, millicore-seconds
+	FillerBacklog    int64 // waiting work of fillers of equal or higher priority, millicore-seconds
+	HasRack          bool  // contains the rack that holds the job's data
+	HasLabel         bool  // has workers with every label that the job requires
 }
 
-// Work is what a job asks for.
+// Work is what a job needs in total.
 type Work struct {
-	ReservedWork   int64 // millicore-seconds of tasks that count against the capacity
-	FillerWork     int64 // the same of fillers
-	LongRunningCPU int64 // millicores that lasting tasks reserve
-	Chain          time.Duration
-	Objective      time.Duration // from acceptance
-	NeedsRack      bool
+	ReservedWork   int64         // millicore-seconds of tasks that reserve capacity and end by themselves
+	FillerWork     int64         // millicore-seconds of fillers
+	LongRunningCPU int64         // millicores that long-running tasks reserve
+	Chain          time.Duration // estimated run time of the longest chain of dependent steps
+	Objective      time.Duration // from acceptance to the end
+	NeedsRack      bool          // prefers the rack that holds its data
 }
 
-// Decision is the outcome.
+// Decision is the outcome for one job.
 type Decision struct {
 	Accepted   bool
-	Shard      string        // with the nearest predicted end; empty if none has suitable workers
+	Shard      string        // the chosen or last considered shard; empty if none has suitable workers
 	Age        time.Duration // of that shard's summary
-	Predicted  time.Duration // from acceptance to the end
-	RetryAfter time.Duration // when to come back, if refused
-	Reason     string
+	Predicted  time.Duration // from acceptance to the end on that shard
+	RetryAfter time.Duration // set if the job is refused
+	Reason     string        // for callers and logs
 }
 
-// Decide chooses a shard and decides whether it is to take the job. random
-// spreads returning callers, and lasting jobs over the shards.
+// Decide chooses a shard for the job and decides whether to accept it. random
+// adds jitter to RetryAfter and distributes long-running jobs over the shards.
 func Decide(w Work, shards []Shard, random *rand.Rand) Decision {
-	open := suitable(shards)
-	if len(open) == 0 {
-		return Decision{Reason: "no shard has suitable workers", RetryAfter: spread(minRetry*2, random)}
+	candidates := suitable(shards)
+	if len(candidates) == 0 {
+		return Decision{Reason: "no shard has suitable workers", RetryAfter: jitter(minRetryAfter*2, random)}
 	}
-	s := w.choose(open, random)
+	s := w.choose(candidates, random)
 	if s == nil {
-		return Decision{Shard: open[0].Name, Age: open[0].Age, Reason: "the limit of lasting tasks is reached", RetryAfter: spread(maxRetry, random)}
+		return Decision{Shard: candidates[0].Name, Age: candidates[0].Age, Reason: "limit of long-running tasks reached", RetryAfter: jitter(maxRetryAfter, random)}
 	}
-	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end is within reach"}
-	limit := time.Duration(reach * float64(w.Objective))
+	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end meets the objective"}
+	limit := time.Duration(objectiveTolerance * float64(w.Objective))
 	if best.Predicted <= limit {
 		best.Accepted = true
 		return best
 	}
-	best.Reason = "predicted end is out of reach"
-	best.RetryAfter = spread(min(max(best.Predicted-limit, minRetry), maxRetry), random)
+	best.Reason = "predicted end misses the objective"
+	best.RetryAfter = jitter(min(max(best.Predicted-limit, minRetryAfter), maxRetryAfter), random)
 	return best
 }
 
-// choose returns the shard with the nearest predicted end; for lasting tasks one
-// with room for them, or nil.
+// choose returns the shard with the earliest predicted end. For a job with
+// long-running tasks it draws one that is below its limit, or returns nil.
 func (w *Work) choose(shards []*Shard, random *rand.Rand) *Shard {
 	if w.LongRunningCPU > 0 {
-		return w.chooseLasting(shards, random)
+		return w.drawLongRunning(shards, random)
 	}
 	return slices.MinFunc(shards, func(a, b *Shard) int { return cmp.Compare(w.predict(a), w.predict(b)) })
 }
 
-// ChooseLongRunning draws a shard for a job whose tasks last and reserve so many
-// millicores, and returns its name; it is empty if none has room for them.
-func ChooseLongRunning(lasting int64, shards []Shard, random *rand.Rand) string {
-	w := Work{LongRunningCPU: lasting}
-	if s := w.chooseLasting(suitable(shards), random); s != nil {
+// ChooseLongRunning draws a shard for long-running tasks that reserve the given
+// millicores, and returns its name. It returns "" if all shards are at their
+// limits.
+func ChooseLongRunning(millicores int64, shards []Shard, random *rand.Rand) string {
+	w := Work{LongRunningCPU: millicores}
+	if s := w.drawLongRunning(suitable(shards), random); s != nil {
 		return s.Name
 	}
 	return ""
 }
 
-// suitable returns the shards that have workers for the job.
+// suitable returns the shards that have workers with the required labels.
 func suitable(shards []Shard) []*Shard {
 	var out []*Shard
 	for i := range shards {
@@ -123,67 +128,72 @@
 	return out
 }
 
-// chooseLasting draws a shard by how much more of lasting tasks it may take:
-// many hosts accept at once by the same summaries, and what one shard has too
-// much of stays there for minutes.
-func (w *Work) chooseLasting(shards []*Shard, random *rand.Rand) *Shard {
+// drawLongRunning draws a shard with a probability proportional to its headroom
+// for long-running tasks. Many hosts decide by the same summaries at the same
+// time; if all took the best shard it would be overloaded for as long as the
+// tasks run.
+func (w *Work) drawLongRunning(shards []*Shard, random *rand.Rand) *Shard {
 	total := 0.0
 	for _, s := range shards {
-		total += w.lastingRoom(s)
+		total += w.longRunningHeadroom(s)
 	}
 	if total == 0 {
 		return nil
 	}
-	at := random.Float64() * total
+	point := random.Float64() * total
 	var chosen *Shard
 	for _, s := range shards {
-		room := w.lastingRoom(s)
-		if room == 0 {
+		headroom := w.longRunningHeadroom(s)
+		if headroom == 0 {
 			continue
 		}
 		chosen = s
-		if at -= room; at < 0 {
+		if point -= headroom; point < 0 {
 			break
 		}
 	}
 	return chosen
 }
 
-// predict is the expected time from acceptance to the end in the shard.
+// predict returns the expected time from acceptance to the end of the job if
+// the shard runs it.
 func (w *Work) predict(s *Shard) time.Duration {
-	wait := max(w.countedWait(s), w.fillerWait(s))
+	wait := max(w.reservedWait(s), w.fillerWait(s))
 	if w.LongRunningCPU > s.Free.CPU {
-		wait += lastingWait * time.Duration(w.LongRunningCPU-s.Free.CPU) / time.Duration(max(w.LongRunningCPU, 1))
+		wait += longRunningWait * time.Duration(w.LongRunningCPU-s.Free.CPU) / time.Duration(max(w.LongRunningCPU, 1))
 	}
 	chain := w.Chain
 	if w.NeedsRack && !s.HasRack {
-		chain *= 2
+		chain *= 2 // data is read from another rack
 	}
 	predicted := wait + chain + s.RoundTrip
 	if !s.SameDomain {
-		predicted += nearBonus
+		predicted += otherDomainPenalty
 	}
 	return predicted
 }
 
-// lastingRoom is how much more lasting tasks the shard may take, in millicores,
-// and 0 if the job's would be too many.
-func (w *Work) lastingRoom(s *Shard) float64 {
-	room := s.LongRunningLimit - s.LongRunningCPU
-	if s.LongRunningCPU == 0 || w.LongRunningCPU <= room {
-		return float64(max(room, 1))
+// longRunningHeadroom returns the millicores that the shard may still give to
+// long-running tasks, or 0 if the job's would exceed its limit. A shard without
+// such tasks takes a job of any size.
+func (w *Work) longRunningHeadroom(s *Shard) float64 {
+	headroom := s.LongRunningLimit - s.LongRunningCPU
+	if s.LongRunningCPU == 0 || w.LongRunningCPU <= headroom {
+		return float64(max(headroom, 1))
 	}
 	return 0
 }
 
-// countedWait is how long the work ahead keeps the workers busy.
-func (w *Work) countedWait(s *Shard) time.Duration {
+// reservedWait returns how long the job's tasks that reserve capacity wait for
+// the backlog ahead of them.
+func (w *Work) reservedWait(s *Shard) time.Duration {
 	if w.ReservedWork == 0 {
 		return 0
 	}
 	return backlogTime(s.ReservedBacklog, s.Free.CPU+s.ReclaimableCPU)
 }
 
+// fillerWait returns how long the job's fillers wait for the fillers ahead.
 func (w *Work) fillerWait(s *Shard) time.Duration {
 	if w.FillerWork == 0 {
 		return 0
@@ -191,15 +201,17 @@
 	return backlogTime(s.FillerBacklog, s.UnusedCPU+s.FillerCPU)
 }
 
+// backlogTime returns how long work of the given millicore-seconds takes at a
+// rate in millicores, at most an hour.
 func backlogTime(work, rate int64) time.Duration {
 	if work == 0 {
 		return 0
 	}
-	seconds := float64(work) / float64(max(rate, noticeable))
+	seconds := float64(work) / float64(max(rate, minRate))
 	return time.Duration(min(seconds, 3600) * float64(time.Second))
 }
 
-// spread keeps callers from returning all at once.
-func spread(d time.Duration, random *rand.Rand) time.Duration {
+// jitter adds up to half of d, so that refused callers don't all retry at once.
+func jitter(d time.Duration, random *rand.Rand) time.Duration {
 	return d + time.Duration(random.Float64()*float64(d)/2)
 }
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -12,10 +12,10 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func shard(name string, free, waiting int64) Shard {
+func shard(name string, free, backlog int64) Shard {
 	return Shard{
 		Name: name, SameDomain: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		ReclaimableCPU: 10000, UnusedCPU: free, FillerCPU: 10000, ReservedBacklog: waiting, FillerBacklog: waiting,
+		ReclaimableCPU: 10000, UnusedCPU: free, FillerCPU: 10000, ReservedBacklog: backlog, FillerBacklog: backlog,
 	}
 }
 
@@ -28,20 +28,20 @@
 		Expect(d.Shard).To(Equal("a"))
 	})
 
-	It("takes the shard with the nearest predicted end", func() {
+	It("takes the shard with the earliest predicted end", func() {
 		d := Decide(short, []Shard{shard("full", 0, 100000), shard("idle", 20000, 0)}, random())
 		Expect(d.Shard).To(Equal("idle"))
 	})
 
-	It("refuses what can't meet its objective, and says when to come back", func() {
+	It("refuses a job that can't meet its objective, with a time to retry after", func() {
 		d := Decide(short, []Shard{shard("a", 0, 100000)}, random())
 		Expect(d.Accepted).To(BeFalse())
-		// 10 s of work wait; the objective leaves room for about 2 s of it.
+		// The backlog takes 10 s; the objective allows for about 2 s of it.
 		Expect(d.RetryAfter).To(BeNumerically(">", 5*time.Second))
-		Expect(d.RetryAfter).To(BeNumerically("<=", maxRetry*3/2))
+		Expect(d.RetryAfter).To(BeNumerically("<=", maxRetryAfter*3/2))
 	})
 
-	It("spreads returning callers", func() {
+	It("adds jitter to the time to retry after", func() {
 		r := random()
 		seen := make(map[time.Duration]bool)
 		for range 20 {
@@ -50,7 +50,7 @@
 		Expect(len(seen)).To(BeNumerically(">", 15))
 	})
 
-	It("does not let the fillers' backlog hold up other work", func() {
+	It("doesn't delay other work by the fillers' backlog", func() {
 		s := shard("a", 20000, 0)
 		s.FillerBacklog = 10_000_000
 		Expect(Decide(short, []Shard{s}, random()).Accepted).To(BeTrue())
@@ -64,7 +64,7 @@
 		Expect(d.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("replays the start of a day: lasting jobs leave room for the short ones after them", func() {
+	It("keeps capacity for short jobs when many long-running ones are submitted first", func() {
 		const capacity = 100000
 		job := Work{LongRunningCPU: 3000, Objective: time.Second}
 		s := shard("a", capacity, 0)
@@ -74,21 +74,21 @@
 				s.LongRunningCPU += job.LongRunningCPU
 				s.Free.CPU -= job.LongRunningCPU
 			} else {
-				Expect(d.Reason).To(ContainSubstring("lasting"))
+				Expect(d.Reason).To(ContainSubstring("limit of long-running tasks"))
 			}
 		}
 		Expect(s.LongRunningCPU).To(Equal(int64(90000)))
 		Expect(Decide(short, []Shard{s}, random()).Accepted).To(BeTrue())
 	})
 
-	It("takes a lasting job where its tasks leave room", func() {
+	It("puts a long-running job on a shard below its limit", func() {
 		full, open := shard("full", 50000, 0), shard("open", 20000, 10000)
 		full.LongRunningCPU, full.LongRunningLimit = 90000, 90000
 		open.LongRunningLimit = 90000
 		Expect(Decide(Work{LongRunningCPU: 3000, Objective: time.Minute}, []Shard{full, open}, random()).Shard).To(Equal("open"))
 	})
 
-	It("replays lasting jobs that many hosts accept by the same summaries: no shard takes far more than others", func() {
+	It("distributes long-running jobs evenly although many hosts decide by the same summaries", func() {
 		var shards []Shard
 		for _, name := range []string{"a", "b", "c"} {
 			s := shard(name, 900000, 0)
@@ -106,21 +106,21 @@
 		}
 	})
 
-	It("replays a burst: what it accepts ends within reach of its objective", func() {
+	It("accepts in a burst only what ends within twice its objective", func() {
 		const rate = 10000 // millicores
-		waiting, accepted := int64(0), 0
-		for tick := range 100 { // of 100 ms; twice the work that can be done
-			waiting = max(0, waiting-rate/10)
-			s := shard("a", 0, waiting)
+		backlog, accepted := int64(0), 0
+		for tick := range 100 { // 100 ms each; twice as much work arrives as can be done
+			backlog = max(0, backlog-rate/10)
+			s := shard("a", 0, backlog)
 			s.ReclaimableCPU = rate
 			job := Work{ReservedWork: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
 			if Decide(job, []Shard{s}, random()).Accepted {
 				accepted++
-				waiting += job.ReservedWork
+				backlog += job.ReservedWork
 			}
-			end := time.Duration(waiting) * time.Second / rate
+			end := time.Duration(backlog) * time.Second / rate
 			Expect(end).To(BeNumerically("<=", 2*job.Objective), "tick %d", tick)
 		}
-		Expect(accepted).To(BeNumerically(">=", 50), "no less than the workers can do")
+		Expect(accepted).To(BeNumerically(">=", 50), "at least as much as the workers can do")
 	})
 })
