--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -1,74 +1,78 @@
-// Package fitter chooses a worker for a task.
+// Package fitter chooses a worker for a task of a job.
 //
-// # Load pattern
+// # Algorithm
 //
-// Serving tasks, short tasks and fillers share workers. Tasks that count
-// against the capacity go where the most room is left, so that no worker is
-// crowded while others idle; fillers go where the most processor time is
-// unused. Data on a rack, and tasks that talk to each other, draw a task to
-// its rack as far as there is room.
+// Serving tasks, short tasks and fillers share workers. Fillers are
+// best-effort tasks that run on processor time that other tasks leave unused.
+// [Choose] scores every worker on which the task fits: a task that reserves
+// capacity goes where the largest share of processors is free, so that load
+// stays balanced, and a filler goes where the most processor time is unused.
+// A preferred rack, for data locality or for tasks that communicate, outweighs
+// that as long as a worker there has room.
 package fitter
 
 import "dotterelcart.dev/dotterelcart/internal/control/describer"
 
-// Candidate is what one worker has left.
+// Candidate is what one worker has left for further tasks.
 type Candidate struct {
-	Free         describer.Resources
+	Free         describer.Resources // neither reserved by tasks nor kept back
 	Capacity     describer.Resources
-	UnusedCPU    int64   // CPU that fillers may still ask for, millicores
-	SameImage    float64 // share of the serving tasks there that are of the task's image
-	Interference float64 // expected growth of the log tail of a serving task there by the task
+	UnusedCPU    int64   // millicores that fillers may still take
+	SameImage    float64 // share of the worker's serving tasks that run the task's image, 0 to 1
+	Interference float64 // expected increase of the log tail latency of the serving tasks there by the task
 	Rack         string
-	Closed       bool // takes no tasks
+	Closed       bool // accepts no tasks
 }
 
-// Request is what one task asks for.
+// Request is what one task needs.
 type Request struct {
-	Reserved  describer.Resources // against the worker's free room
-	FillerCPU int64               // CPU out of the unused, millicores
-	Rack      string              // preferred; empty is any
+	Reserved  describer.Resources // taken from Candidate.Free
+	FillerCPU int64               // millicores taken from Candidate.UnusedCPU
+	Rack      string              // preferred rack; empty for none
 }
 
-// Fits reports whether the task can go there.
-func (n *Request) Fits(r *Candidate) bool {
-	if r.Closed || !n.Reserved.Fits(r.Free) {
+// Fits reports whether the candidate has room for the task.
+func (r *Request) Fits(c *Candidate) bool {
+	if c.Closed || !r.Reserved.Fits(c.Free) {
 		return false
 	}
-	return n.FillerCPU <= r.UnusedCPU
+	return r.FillerCPU <= c.UnusedCPU
 }
 
-// Choose returns the index of the best room for which allowed holds, or -1.
-func Choose(rooms []Candidate, n Request, allowed func(i int) bool) int {
+// Choose returns the index of the best candidate for which allowed returns
+// true, or -1 if the request fits on none.
+func Choose(candidates []Candidate, r Request, allowed func(i int) bool) int {
 	best, bestScore := -1, 0.0
-	for i := range rooms {
-		r := &rooms[i]
-		if !n.Fits(r) || !allowed(i) {
+	for i := range candidates {
+		c := &candidates[i]
+		if !r.Fits(c) || !allowed(i) {
 			continue
 		}
-		if score := n.score(r); best < 0 || score > bestScore {
+		if score := r.score(c); best < 0 || score > bestScore {
 			best, bestScore = i, score
 		}
 	}
 	return best
 }
 
-// kinBonus draws serving tasks of one image together, so that other workers
-// have none that a filler of a certain image would disturb.
-const kinBonus = 1.5
+// sameImageWeight groups serving tasks of one image on the same workers. That
+// leaves other workers without tasks that fillers of a given image disturb.
+const sameImageWeight = 1.5
 
-// harmMalus draws a filler to workers whose tasks it does not disturb.
-const harmMalus = 3
+// interferenceWeight keeps fillers off workers whose tasks they disturb.
+const interferenceWeight = 3
 
-// rackBonus outweighs every difference of room.
+// rackBonus outweighs any difference in free capacity.
 const rackBonus = 10
 
-func (n *Request) score(r *Candidate) float64 {
-	score := share(r.Free.CPU-n.Reserved.CPU, r.Capacity.CPU)
-	if n.FillerCPU > 0 {
-		score = share(r.UnusedCPU-n.FillerCPU, r.Capacity.CPU)
+// score rates a candidate on which the task fits; higher is better.
+func (r *Request) score(c *Candidate) float64 {
+	score := share(c.Free.CPU-r.Reserved.CPU, c.Capacity.CPU)
+	if r.FillerCPU > 0 {
+		score = share(c.UnusedCPU-r.FillerCPU, c.Capacity.CPU)
 	}
-	score += kinBonus*r.SameImage - harmMalus*r.Interference
-	if n.Rack != "" && n.Rack == r.Rack {
+	score += sameImageWeight*c.SameImage - interferenceWeight*c.Interference
+	if r.Rack != "" && r.Rack == c.Rack {
 		score += rackBonus
 	}
 	return score
@@ -81,8 +85,8 @@
 	return float64(part) / float64(whole)
 }
 
-// Reserve books the task in the room.
-func (r *Candidate) Reserve(n *Request) {
-	r.Free = r.Free.Sub(n.Reserved)
-	r.UnusedCPU -= n.FillerCPU + n.Reserved.CPU
+// Reserve subtracts the task's needs from what the candidate has left.
+func (c *Candidate) Reserve(r *Request) {
+	c.Free = c.Free.Sub(r.Reserved)
+	c.UnusedCPU -= r.FillerCPU + r.Reserved.CPU
 }
