--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -38,7 +38,7 @@
 type Filler struct {
 	Pace         int     // percent
 	Interference float64 // expected growth of the logarithm of the worst tail, at full pace
-	Standing     ranker.Lateness
+	Lateness     ranker.Lateness
 }
 
 // Decide sets the paces on one worker. tail is the worst tail of its serving
@@ -69,7 +69,7 @@
 	}
 	slices.SortStableFunc(out, func(a, b int) int {
 		x, y := &fillers[a], &fillers[b]
-		return cmp.Or(compareMild(x, y), cmp.Compare(y.Standing, x.Standing), cmp.Compare(y.Interference, x.Interference))
+		return cmp.Or(compareMild(x, y), cmp.Compare(y.Lateness, x.Lateness), cmp.Compare(y.Interference, x.Interference))
 	})
 	return out
 }
--- a/internal/control/pacer/pacer_test.go
+++ b/internal/control/pacer/pacer_test.go
@@ -58,7 +58,7 @@
 	})
 
 	It("lets work that is late give way to work that can end in time", func() {
-		fillers := []Filler{{Pace: 100, Interference: 0.6}, {Pace: 100, Interference: 0.3, Standing: ranker.Late}}
+		fillers := []Filler{{Pace: 100, Interference: 0.6}, {Pace: 100, Interference: 0.3, Lateness: ranker.Late}}
 		Decide(1.1, 0, fillers)
 		Expect(fillers[0].Pace).To(Equal(100))
 		Expect(fillers[1].Pace).To(BeNumerically("<", 100))
