--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -39,8 +39,8 @@
 	ID         string // settles ties
 }
 
-// Standing is what the work can still achieve when it starts now.
-func (w *Work) Standing(now time.Time) Lateness {
+// Lateness is what the work can still achieve when it starts now.
+func (w *Work) Lateness(now time.Time) Lateness {
 	end := now.Add(w.Remaining)
 	switch {
 	case w.NoDeadline:
@@ -57,7 +57,7 @@
 func Compare(now time.Time, a, b *Work) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
-		cmp.Compare(a.Standing(now), b.Standing(now)),
+		cmp.Compare(a.Lateness(now), b.Lateness(now)),
 		a.Objective.Compare(b.Objective),
 		a.Accepted.Compare(b.Accepted),
 		cmp.Compare(a.ID, b.ID),
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -129,7 +129,7 @@
 		work := r.task.step.work()
 		fillers = append(fillers, pacer.Filler{
 			Pace: max(r.pace, 0), Interference: s.harmTo(w, r.task.step.spec.Image, r.task.step.spec.Needs.CPU),
-			Lateness: work.Standing(s.now.Add(-r.done())),
+			Lateness: work.Lateness(s.now.Add(-r.done())),
 		})
 	}
 	over := time.Duration(0)
