--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -181,7 +181,7 @@
 	for _, h := range k.hosts {
 		var bounds map[string]time.Duration
 		if p, ok := k.policy.(placer.InterferenceAware); ok {
-			bounds = p.Bounds(h.account)
+			bounds = p.LatencyBounds(h.account)
 		}
 		actions := escalator.Decide(escalator.Input{
 			Now: k.now, Worker: h.account, Services: services(k.deployment), Learner: k.learner,
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -188,9 +188,9 @@
 	return max(time.Duration(float64(base)*(1+limits.Slowdown)), busy, time.Duration(comfort))
 }
 
-// Bounds returns for each service of a worker the latency that batch tasks
+// LatencyBounds returns for each service of a worker the latency that batch tasks
 // may bring it to at its present load, where there is evidence.
-func (d InterferenceAware) Bounds(w *accountant.Worker) map[string]time.Duration {
+func (d InterferenceAware) LatencyBounds(w *accountant.Worker) map[string]time.Duration {
 	limits := d.Limits.orDefault(d.Weights)
 	bounds := make(map[string]time.Duration)
 	for _, service := range w.Host.Services {
