--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -70,7 +70,7 @@
 	Worker   *accountant.Worker
 	Services map[string]describer.Service // by name
 	Learner  *learner.Learner
-	Bounds   map[string]time.Duration // optional, by service: throttle where more is expected
+	LatencyBounds   map[string]time.Duration // optional, by service: throttle where more is expected
 	State    *State                   // of the worker, kept between calls
 	Budget   *Budget                  // shared by the shard's workers
 	Options  Options
@@ -207,7 +207,7 @@
 		return "", 0
 	}
 	shares := in.Worker.BatchShares()
-	for name, bound := range in.Bounds {
+	for name, bound := range in.LatencyBounds {
 		load := in.Worker.Reports[name].Load
 		base, known := in.Learner.Baseline(name, load)
 		if !known || bound <= 0 {
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -53,7 +53,7 @@
 		P99: time.Duration(ratio * float64(target)),
 	}}
 	actions := Decide(Input{
-		Now: b.now, Worker: b.worker, State: &b.state, Budget: b.budget, Learner: b.learner, Bounds: b.bounds,
+		Now: b.now, Worker: b.worker, State: &b.state, Budget: b.budget, Learner: b.learner, LatencyBounds: b.bounds,
 		Services: map[string]describer.Service{"desk": {Name: "desk", Target: target}},
 	})
 	for _, a := range actions {
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -185,7 +185,7 @@
 		}
 		actions := escalator.Decide(escalator.Input{
 			Now: k.now, Worker: h.account, Services: services(k.deployment), Learner: k.learner,
-			Bounds: bounds, State: k.states[h.account.Host.Name], Budget: k.budget,
+			LatencyBounds: bounds, State: k.states[h.account.Host.Name], Budget: k.budget,
 		})
 		for _, a := range actions {
 			k.carryOut(h, a)
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -93,7 +93,7 @@
 		State:    &w.escalation,
 		Budget:   h.budget,
 		Options:  h.state.policies.Escalate,
-		Bounds:   h.bounds(w),
+		LatencyBounds:   h.bounds(w),
 	})
 	for _, a := range actions {
 		h.act(w, a)
