--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -119,7 +119,7 @@
 		State:     &w.restore,
 		Options:   h.state.policies.Restore,
 	})
-	w.held = decision.Held
+	w.held = decision.BlockedBy
 	h.limit(w, !decision.Done, decision.Limit)
 	h.refresh(w)
 	if !decision.Done {
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -39,7 +39,7 @@
 	Open  bool   // requests may be sent to it
 	Limit int64  // millicores that batch tasks may hold
 	Done  bool   // has its work back
-	Held  string // what holds it back; empty when Done or when only time has to pass
+	BlockedBy  string // what holds it back; empty when Done or when only time has to pass
 }
 
 // Options tune the pace. Zero fields take defaults.
@@ -94,7 +94,7 @@
 	}
 	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.SilenceTimeout {
 		in.State.Since = in.Now // no time passes in a step for a silent worker
-		return Decision{Held: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
+		return Decision{BlockedBy: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
 	}
 	if in.State.Since.IsZero() {
 		in.State.Since = in.Now
@@ -113,7 +113,7 @@
 	return Decision{
 		Open:  true,
 		Limit: int64(share * float64(in.Worker.Host.Capacity.CPU)),
-		Held:  held,
+		BlockedBy:  held,
 	}
 }
 
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -72,7 +72,7 @@
 
 	It("says what holds it back", func() {
 		b := newBench()
-		Expect(b.report(2).Held).To(Equal("desk is at 200 % of its target, must fall below 90 %"))
+		Expect(b.report(2).BlockedBy).To(Equal("desk is at 200 % of its target, must fall below 90 %"))
 	})
 
 	It("waits at the last step for tasks that are owed", func() {
@@ -81,7 +81,7 @@
 		for range 30 {
 			b.report(0.5)
 		}
-		Expect(b.report(0.5).Held).To(HavePrefix("3 tasks wait to come back"))
+		Expect(b.report(0.5).BlockedBy).To(HavePrefix("3 tasks wait to come back"))
 		b.in.Returning = 0
 		Expect(b.report(0.5).Done).To(BeTrue())
 	})
@@ -96,7 +96,7 @@
 		b.in.Now = b.in.Now.Add(time.Hour)
 		d := Decide(b.in)
 		Expect(d.Open).To(BeFalse())
-		Expect(d.Held).To(Equal("no answer from the worker for 1h0m0s"))
+		Expect(d.BlockedBy).To(Equal("no answer from the worker for 1h0m0s"))
 		Expect(b.state.Step).To(Equal(0))
 		Expect(b.report(0.5).Limit).To(BeEquivalentTo(2000))
 		b.in.Removed = true
