--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -125,7 +125,7 @@
 		Attempts:    int(t.attempts),
 		Evictions:   int(t.evictions),
 		DrainedFrom: t.drainedOff,
-		Ran:         t.ran,
+		MayHaveRun:         t.ran,
 		Result:      t.result,
 		Reason:      t.reason,
 	}
@@ -184,7 +184,7 @@
 		attempts:   int32(in.Attempts),
 		evictions:  int32(in.Evictions),
 		state:      in.State,
-		ran:        in.Ran,
+		ran:        in.MayHaveRun,
 		phase:      adopted,
 	}
 }
