--- a/internal/control/accountant/accountant_test.go
+++ b/internal/control/accountant/accountant_test.go
@@ -24,12 +24,12 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"hold": func(t *rapid.T) {
-				_ = w.Hold(task(t), Grant{
+				_ = w.Allocate(task(t), Grant{
 					Token: token(t), Resources: size(), Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
 				})
 			},
 			"resize": func(t *rapid.T) { _ = w.Resize(task(t), token(t), size()) },
-			"drop":   func(t *rapid.T) { w.Drop(task(t), token(t)) },
+			"drop":   func(t *rapid.T) { w.Release(task(t), token(t)) },
 			"": func(t *rapid.T) {
 				var sum describer.Resources
 				classes := map[string]float64{}
@@ -39,7 +39,7 @@
 						classes[g.Class] += float64(g.Resources.CPU) / 100
 					}
 				}
-				for class, share := range w.Shares() {
+				for class, share := range w.BatchShares() {
 					if math.Abs(classes[class]-share) > 1e-9 {
 						t.Fatalf("class %s: %v, sum of grants %v", class, share, classes[class])
 					}
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/room_test.go
@@ -15,14 +15,14 @@
 	BeforeEach(func() {
 		w = &Worker{Host: describer.Host{Name: "w", Capacity: describer.Resources{CPU: 1000, Memory: 100}}}
 		grant := Grant{Token: token, Class: "c", Resources: describer.Resources{CPU: 300, Memory: 90}}
-		Expect(w.Hold(id, grant)).To(Succeed())
+		Expect(w.Allocate(id, grant)).To(Succeed())
 	})
 
 	It("keeps room within the limit of a restore", func() {
-		w.Limited, w.Limit = true, 500
-		Expect(w.Room().CPU).To(BeEquivalentTo(200))
+		w.BatchLimited, w.BatchLimit = true, 500
+		Expect(w.FreeForBatch().CPU).To(BeEquivalentTo(200))
 		w.Closed = true
-		Expect(w.Room()).To(BeZero())
+		Expect(w.FreeForBatch()).To(BeZero())
 	})
 
 	It("relieves a worker whose capacity fell", func() {
@@ -32,14 +32,14 @@
 	})
 
 	It("ignores a drop under an old token", func() {
-		w.Drop(id, describer.Token{})
+		w.Release(id, describer.Token{})
 		Expect(w.Tasks()).To(Equal([]describer.TaskID{id}))
-		Expect(w.Shares()).To(Equal(map[string]float64{"c": 0.3}))
+		Expect(w.BatchShares()).To(Equal(map[string]float64{"c": 0.3}))
 	})
 
 	It("clones grants", func() {
 		c := w.Clone()
-		c.Drop(id, token)
+		c.Release(id, token)
 		Expect(w.Grants).To(HaveLen(1))
 	})
 })
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -29,10 +29,10 @@
 // Kind is the kind of an action.
 type Kind uint8
 
-// Kinds of action, in rising cost; Raise undoes a throttle.
+// Kinds of action, in rising cost; Unthrottle undoes a throttle.
 const (
-	Raise Kind = iota
-	KeepOff
+	Unthrottle Kind = iota
+	BlockBatch
 	Throttle
 	Move
 	Stop
@@ -40,9 +40,9 @@
 
 func (k Kind) String() string {
 	switch k {
-	case Raise:
+	case Unthrottle:
 		return "raise"
-	case KeepOff:
+	case BlockBatch:
 		return "keep-off"
 	case Throttle:
 		return "throttle"
@@ -56,12 +56,12 @@
 
 // Action is one thing to do on the worker.
 type Action struct {
-	Kind  Kind
-	Task  describer.TaskID // all but KeepOff
-	Token describer.Token  // of the run
-	CPU   int64            // Raise, Throttle: new grant in millicores
-	Until time.Time        // KeepOff
-	Why   string
+	Kind   Kind
+	Task   describer.TaskID // all but KeepOff
+	Token  describer.Token  // of the run
+	CPU    int64            // Raise, Throttle: new grant in millicores
+	Until  time.Time        // KeepOff
+	Reason string
 }
 
 // Input is what a decision is made from. State and Budget are changed.
@@ -70,7 +70,7 @@
 	Worker   *accountant.Worker
 	Services map[string]describer.Service // by name
 	Learner  *learner.Learner
-	Bounds   map[string]time.Duration // optional, by service: throttle where more is expected
+	LatencyBounds   map[string]time.Duration // optional, by service: throttle where more is expected
 	State    *State                   // of the worker, kept between calls
 	Budget   *Budget                  // shared by the shard's workers
 	Options  Options
@@ -206,8 +206,8 @@
 	if in.Learner == nil {
 		return "", 0
 	}
-	shares := in.Worker.Shares()
-	for name, bound := range in.Bounds {
+	shares := in.Worker.BatchShares()
+	for name, bound := range in.LatencyBounds {
 		load := in.Worker.Reports[name].Load
 		base, known := in.Learner.Baseline(name, load)
 		if !known || bound <= 0 {
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -40,7 +40,7 @@
 	}}
 	for i := range tasks {
 		id := describer.TaskID{Job: "j", Index: i}
-		_ = b.worker.Hold(id, accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 4000}})
+		_ = b.worker.Allocate(id, accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 4000}})
 	}
 	return b
 }
@@ -53,18 +53,18 @@
 		P99: time.Duration(ratio * float64(target)),
 	}}
 	actions := Decide(Input{
-		Now: b.now, Worker: b.worker, State: &b.state, Budget: b.budget, Learner: b.learner, Bounds: b.bounds,
+		Now: b.now, Worker: b.worker, State: &b.state, Budget: b.budget, Learner: b.learner, LatencyBounds: b.bounds,
 		Services: map[string]describer.Service{"desk": {Name: "desk", Target: target}},
 	})
 	for _, a := range actions {
 		b.taken[a.Kind]++
 		b.order = append(b.order, a.Kind)
 		switch a.Kind {
-		case Raise, Throttle:
+		case Unthrottle, Throttle:
 			g := b.worker.Grants[a.Task]
 			_ = b.worker.Resize(a.Task, a.Token, describer.Resources{CPU: a.CPU, Memory: g.Resources.Memory})
 		case Move, Stop:
-			b.worker.Drop(a.Task, a.Token)
+			b.worker.Release(a.Task, a.Token)
 		}
 	}
 	return actions
@@ -84,7 +84,7 @@
 			}
 			seen[k] = true
 		}
-		Expect(first).To(Equal([]Kind{KeepOff, Throttle, Move}))
+		Expect(first).To(Equal([]Kind{BlockBatch, Throttle, Move}))
 		Expect(b.worker.Grants).To(BeEmpty())
 	})
 
@@ -113,12 +113,12 @@
 	It("does nothing but keep tasks off when batch is not to blame", func() {
 		b := newBench(0, 9)
 		small := accountant.Grant{Class: "c", Resources: describer.Resources{CPU: 200}}
-		Expect(b.worker.Hold(describer.TaskID{Job: "small"}, small)).To(Succeed())
+		Expect(b.worker.Allocate(describer.TaskID{Job: "small"}, small)).To(Succeed())
 		for range 20 {
 			b.report(3)
 		}
 		Expect(b.taken).To(HaveLen(1))
-		Expect(b.taken[KeepOff]).To(Equal(20))
+		Expect(b.taken[BlockBatch]).To(Equal(20))
 	})
 
 	It("throttles, and no more, where more than the bound is expected", func() {
@@ -144,7 +144,7 @@
 		for range 40 {
 			b.report(0.5)
 		}
-		Expect(b.taken[Raise]).To(Equal(2))
+		Expect(b.taken[Unthrottle]).To(Equal(2))
 		Expect(b.worker.BatchCPU()).To(BeEquivalentTo(8000))
 	})
 
@@ -155,7 +155,7 @@
 			wave := 0.85 + 0.15*math.Sin(float64(i)/6)
 			b.report(wave * math.Exp(0.3*r.NormFloat64()))
 		}
-		Expect(b.taken[Throttle] + b.taken[Raise]).To(BeNumerically("<=", 24))
+		Expect(b.taken[Throttle] + b.taken[Unthrottle]).To(BeNumerically("<=", 24))
 		Expect(b.taken[Move] + b.taken[Stop]).To(BeNumerically("<=", 2))
 	})
 })
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -26,9 +26,9 @@
 // escalate takes the next step.
 func escalate(in Input, service string, ratio float64) []Action {
 	actions := []Action{{
-		Kind:  KeepOff,
-		Until: in.Now.Add(2 * in.Options.Settle),
-		Why:   fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
+		Kind:   BlockBatch,
+		Until:  in.Now.Add(2 * in.Options.Settle),
+		Reason: fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
 	}}
 	if in.Now.Sub(in.State.Acted) < in.Options.Settle {
 		return actions
@@ -92,7 +92,7 @@
 		}
 	}
 	if missing == 0 {
-		in.State.Level = Raise
+		in.State.Level = Unthrottle
 		clear(in.State.Throttled)
 		return nil
 	}
@@ -103,9 +103,9 @@
 	in.State.Raised = in.Now
 	g := in.Worker.Grants[best]
 	delete(in.State.Throttled, best)
-	return in.State.acted(in.Now, Raise, []Action{{
-		Kind: Raise, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
-		Why: "services are within their targets again",
+	return in.State.acted(in.Now, Unthrottle, []Action{{
+		Kind: Unthrottle, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
+		Reason: "services are within their targets again",
 	}})
 }
 
@@ -141,7 +141,7 @@
 		}
 		mean := 0.3
 		if in.Learner != nil {
-			mean, _ = in.Learner.Estimate(service, g.Class, load)
+			mean, _ = in.Learner.Coefficient(service, g.Class, load)
 		}
 		slow := max(mean, 0) * float64(g.Resources.CPU) / capacity
 		out = append(out, suspect{task, mean, g.Resources.CPU, slow})
@@ -167,7 +167,7 @@
 		need -= s.slow * (1 - in.Options.Floor)
 		actions = append(actions, Action{
 			Kind: Throttle, Task: s.task, Token: in.Worker.Grants[s.task].Token, CPU: to,
-			Why: "slows " + service,
+			Reason: "slows " + service,
 		})
 	}
 	return actions
@@ -191,7 +191,7 @@
 		need -= s.slow
 		actions = append(actions, Action{
 			Kind: kind, Task: s.task, Token: g.Token,
-			Why: fmt.Sprintf("slows %s, and throttling was not enough", service),
+			Reason: fmt.Sprintf("slows %s, and throttling was not enough", service),
 		})
 	}
 	return actions
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -83,7 +83,7 @@
 		k.fleet.Workers[h.account.Host.Name] = h.account
 		k.byName[h.account.Host.Name] = h
 		k.states[h.account.Host.Name] = &escalator.State{}
-		k.timeline.Set(h.account.Host.Name, begin, nil)
+		k.timeline.Record(h.account.Host.Name, begin, nil)
 	}
 	k.policy = c.Policy(w.deployment, k.learner)
 	return k
@@ -91,13 +91,15 @@
 
 func (k *control) release(r *run) {
 	h := r.worker
-	h.account.Drop(r.id, h.account.Grants[r.id].Token)
+	h.account.Release(r.id, h.account.Grants[r.id].Token)
 	delete(h.runs, r.id)
 	r.worker = nil
 	k.changed(h)
 }
 
-func (k *control) changed(h *host) { k.timeline.Set(h.account.Host.Name, k.now, h.account.Shares()) }
+func (k *control) changed(h *host) {
+	k.timeline.Record(h.account.Host.Name, k.now, h.account.BatchShares())
+}
 
 // ended takes in runs that ended by themselves. A worker that fails 5 runs in
 // a row is set aside for 10 minutes, whatever the contender.
@@ -133,11 +135,11 @@
 func (k *control) hear() {
 	for _, h := range k.hosts {
 		if !h.dead {
-			h.account.Heard = k.now
+			h.account.LastInventory = k.now
 		}
 		for _, l := range k.arrived(h) {
 			h.account.Reports[l.Service] = l
-			shares, ok := k.timeline.Between(h.account.Host.Name, l.From, l.To)
+			shares, ok := k.timeline.Average(h.account.Host.Name, l.From, l.To)
 			if ok && k.contender.Full {
 				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
@@ -160,8 +162,8 @@
 		for _, task := range h.account.Tasks() {
 			g := h.account.Grants[task]
 			k.usage.Observe(g)
-			to := placer.Resize(g, h.account.Room())
-			if p, ok := k.policy.(placer.Default); ok && !p.MayGrow(h.account, g, to, k.now) {
+			to := placer.ResizeGrant(g, h.account.FreeForBatch())
+			if p, ok := k.policy.(placer.InterferenceAware); ok && !p.MayGrow(h.account, g, to, k.now) {
 				to.CPU = g.Resources.CPU
 			}
 			if to != g.Resources && h.account.Resize(task, g.Token, to) == nil {
@@ -178,12 +180,12 @@
 	}
 	for _, h := range k.hosts {
 		var bounds map[string]time.Duration
-		if p, ok := k.policy.(placer.Default); ok {
-			bounds = p.Bounds(h.account)
+		if p, ok := k.policy.(placer.InterferenceAware); ok {
+			bounds = p.LatencyBounds(h.account)
 		}
 		actions := escalator.Decide(escalator.Input{
 			Now: k.now, Worker: h.account, Services: services(k.deployment), Learner: k.learner,
-			Bounds: bounds, State: k.states[h.account.Host.Name], Budget: k.budget,
+			LatencyBounds: bounds, State: k.states[h.account.Host.Name], Budget: k.budget,
 		})
 		for _, a := range actions {
 			k.carryOut(h, a)
@@ -193,16 +195,16 @@
 
 func (k *control) carryOut(h *host, a escalator.Action) {
 	switch a.Kind {
-	case escalator.KeepOff:
-		h.account.KeepOff = a.Until
+	case escalator.BlockBatch:
+		h.account.BatchBlockedUntil = a.Until
 	case escalator.Move, escalator.Stop:
 		k.evict(h.runs[a.Task], a.Kind == escalator.Move)
 		k.evictions++
-	case escalator.Throttle, escalator.Raise:
+	case escalator.Throttle, escalator.Unthrottle:
 		g := h.account.Grants[a.Task]
-		g.Ceiling = 0
+		g.ThrottledTo = 0
 		if a.Kind == escalator.Throttle {
-			g.Ceiling = a.CPU
+			g.ThrottledTo = a.CPU
 		}
 		h.account.Grants[a.Task] = g
 		to := g.Resources
@@ -229,7 +231,7 @@
 			}
 		case drainAt + drainFor:
 			h.account.Closed = false
-			h.account.Opened = k.now
+			h.account.OpenedAt = k.now
 			k.restores[name] = &restorer.State{}
 		}
 		if state := k.restores[name]; state != nil {
@@ -243,10 +245,10 @@
 	d := restorer.Decision{Done: true}
 	if k.contender.Full {
 		d = restorer.Decide(restorer.Input{
-			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Owed: k.owed(name),
+			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Returning: k.owed(name),
 		})
 	}
-	h.account.Limited, h.account.Limit = !d.Done, d.Limit
+	h.account.BatchLimited, h.account.BatchLimit = !d.Done, d.Limit
 	if d.Done {
 		delete(k.restores, name)
 		k.restored = max(k.restored, k.now.Sub(begin)-drainAt-drainFor)
@@ -307,7 +309,7 @@
 	if r.began.IsZero() {
 		r.began = k.now
 	}
-	err := h.account.Hold(r.id, accountant.Grant{
+	err := h.account.Allocate(r.id, accountant.Grant{
 		Token: describer.Token{Epoch: 1, Sequence: k.sequence}, Class: r.job.Class, Team: r.job.Team,
 		Kind: r.job.Kind, Priority: r.job.Priority, Resources: request.Want, Since: k.now,
 	})
@@ -323,10 +325,10 @@
 func (k *control) request(r *run) placer.Request {
 	want := r.job.Declared
 	if !k.contender.Declared {
-		want = placer.Size(&k.usage, r.job, k.deployment.Size.Sub(describer.Resources{CPU: k.deployment.Size.CPU / 4}))
+		want = placer.SizeGrant(&k.usage, r.job, k.deployment.Size.Sub(describer.Resources{CPU: k.deployment.Size.CPU / 4}))
 	}
 	return placer.Request{
-		Task: r.id, Job: r.job, Want: want, HomeTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
+		Task: r.id, Job: r.job, Want: want, ReturnTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
 	}
 }
 
@@ -339,7 +341,7 @@
 		}
 	}
 	for _, h := range k.hosts {
-		if h.dead && k.now.Sub(h.account.Heard) > 15*time.Second {
+		if h.dead && k.now.Sub(h.account.LastInventory) > 15*time.Second {
 			avoid[h.account.Host.Name] = true
 		}
 	}
@@ -348,17 +350,17 @@
 
 // makeRoom throttles or evicts for an urgent task.
 func (k *control) makeRoom(r *run, request placer.Request) placer.Choice {
-	room := placer.MakeRoom(k.fleet, request, placer.Costs{}, k.budget.Left(k.now), k.now.Sub(r.arrives))
+	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Available(k.now), k.now.Sub(r.arrives))
 	if room.Worker == "" {
-		r.refused = room.Why
-		return placer.Choice{Why: room.Why}
+		r.refused = room.Reason
+		return placer.Choice{Reason: room.Reason}
 	}
 	h := k.byName[room.Worker]
 	for _, s := range room.Throttle {
 		g := h.account.Grants[s.Task]
 		g.Resources.CPU = s.To
 		if h.account.Resize(s.Task, g.Token, g.Resources) != nil {
-			return placer.Choice{Why: "throttling failed"}
+			return placer.Choice{Reason: "throttling failed"}
 		}
 	}
 	for _, task := range room.Evict {
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -40,7 +40,7 @@
 
 func hold(w *accountant.Worker, index int, cpu int64) {
 	r := request(100+index, cpu)
-	Expect(w.Hold(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
+	Expect(w.Allocate(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
 }
 
 var _ = Describe("Default", func() {
@@ -48,25 +48,25 @@
 
 	It("prefers a worker without a service", func() {
 		f := fleet(worker("a", "desk"), worker("b"))
-		policy := placer.Default{Learner: learner.New(learner.Options{}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{}), Services: target}
 		Expect(policy.Place(f, request(0, 1000), now).Worker).To(Equal("b"))
 	})
 
 	It("says why it keeps a task off", func() {
 		f := fleet(worker("a", "desk"))
-		policy := placer.Default{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		choice := policy.Place(f, request(0, 8000), now)
 		Expect(choice.Worker).To(BeEmpty())
-		Expect(choice.Why).To(HavePrefix("would slow desk by up to "))
+		Expect(choice.Reason).To(HavePrefix("would slow desk by up to "))
 	})
 
 	It("tries one small task where nothing is known", func() {
 		f := fleet(worker("a", "desk"))
-		policy := placer.Default{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
+		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		Expect(policy.Place(f, request(0, 1500), now).Worker).To(Equal("a"))
 		hold(f.Workers["a"], 0, 1500)
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(BeEmpty())
-		f.Workers["a"].Drop(request(100, 0).Task, describer.Token{})
+		f.Workers["a"].Release(request(100, 0).Task, describer.Token{})
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(Equal("a"))
 	})
 
@@ -80,7 +80,7 @@
 					Service: "desk", From: from, To: from.Add(time.Second), P99: p99, Count: 50,
 				}})
 			}
-			return placer.Default{Learner: l, Services: target}.Place(f, request(0, 4000), now).Worker
+			return placer.InterferenceAware{Learner: l, Services: target}.Place(f, request(0, 4000), now).Worker
 		}
 		Expect(place(10 * time.Millisecond)).To(Equal("a"))
 		Expect(place(60 * time.Millisecond)).To(BeEmpty())
@@ -88,9 +88,9 @@
 
 	It("keeps off while services recover, except for urgent tasks", func() {
 		f := fleet(worker("a", "desk"))
-		f.Workers["a"].KeepOff = now.Add(time.Second)
-		policy := placer.Default{Services: target}
-		Expect(policy.Place(f, request(0, 100), now).Why).To(Equal("kept off while services recover"))
+		f.Workers["a"].BatchBlockedUntil = now.Add(time.Second)
+		policy := placer.InterferenceAware{Services: target}
+		Expect(policy.Place(f, request(0, 100), now).Reason).To(Equal("kept off while services recover"))
 		urgent := request(0, 100)
 		urgent.Job.Priority = describer.Urgent
 		Expect(policy.Place(f, urgent, now).Worker).To(Equal("a"))
@@ -99,8 +99,8 @@
 	It("brings drained tasks home", func() {
 		f := fleet(worker("a"), worker("b"), worker("c"))
 		r := request(0, 1000)
-		r.HomeTo = "c"
-		Expect(placer.Default{}.Place(f, r, now).Worker).To(Equal("c"))
+		r.ReturnTo = "c"
+		Expect(placer.InterferenceAware{}.Place(f, r, now).Worker).To(Equal("c"))
 	})
 
 	It("spreads a job over racks", func() {
@@ -108,8 +108,8 @@
 		used := map[string]bool{}
 		for i := range 3 {
 			r := request(i, 1000)
-			choice := placer.Default{}.Place(f, r, now)
-			Expect(f.Workers[choice.Worker].Hold(r.Task, accountant.Grant{Resources: r.Want})).To(Succeed())
+			choice := placer.InterferenceAware{}.Place(f, r, now)
+			Expect(f.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{Resources: r.Want})).To(Succeed())
 			used[choice.Worker] = true
 		}
 		Expect(used).To(HaveLen(3))
@@ -117,9 +117,9 @@
 
 	It("stays within the limit of a restore", func() {
 		f := fleet(worker("a"))
-		f.Workers["a"].Limited, f.Workers["a"].Limit = true, 500
-		Expect(placer.Default{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
-		Expect(placer.Default{}.Place(f, request(0, 500), now).Worker).To(Equal("a"))
+		f.Workers["a"].BatchLimited, f.Workers["a"].BatchLimit = true, 500
+		Expect(placer.InterferenceAware{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
+		Expect(placer.InterferenceAware{}.Place(f, request(0, 500), now).Worker).To(Equal("a"))
 	})
 })
 
@@ -149,8 +149,8 @@
 				Used: describer.Resources{CPU: 2000, Memory: 500},
 			})
 		}
-		Expect(placer.Size(&u, job, capacity).CPU).To(BeNumerically("~", 2300, 30))
-		Expect(placer.Size(nil, job, capacity)).To(Equal(job.Declared))
+		Expect(placer.SizeGrant(&u, job, capacity).CPU).To(BeNumerically("~", 2300, 30))
+		Expect(placer.SizeGrant(nil, job, capacity)).To(Equal(job.Declared))
 	})
 
 	It("grow when use reaches the grant, within the factor that declarations may be off by", func() {
@@ -159,18 +159,18 @@
 		for range 200 {
 			grant.Used = grant.Resources
 			u.Observe(grant)
-			grant.Resources = placer.Size(&u, job, describer.Resources{CPU: 1 << 40, Memory: 1 << 40})
+			grant.Resources = placer.SizeGrant(&u, job, describer.Resources{CPU: 1 << 40, Memory: 1 << 40})
 		}
 		Expect(grant.Resources.CPU).To(BeNumerically("<=", 80000))
 		Expect(grant.Resources.CPU).To(BeNumerically(">", 16000))
-		Expect(placer.Size(&u, job, capacity).CPU).To(Equal(capacity.CPU))
+		Expect(placer.SizeGrant(&u, job, capacity).CPU).To(Equal(capacity.CPU))
 	})
 
 	It("leave a throttled task as it is", func() {
-		g := accountant.Grant{Resources: job.Declared, Used: job.Declared, Ceiling: 8000}
-		Expect(placer.Resize(g, capacity).CPU).To(BeEquivalentTo(8000))
-		g.Ceiling = 0
-		Expect(placer.Resize(g, capacity).CPU).To(BeEquivalentTo(12000))
+		g := accountant.Grant{Resources: job.Declared, Used: job.Declared, ThrottledTo: 8000}
+		Expect(placer.ResizeGrant(g, capacity).CPU).To(BeEquivalentTo(8000))
+		g.ThrottledTo = 0
+		Expect(placer.ResizeGrant(g, capacity).CPU).To(BeEquivalentTo(12000))
 	})
 })
 
@@ -185,7 +185,7 @@
 	})
 
 	It("throttles before it evicts", func() {
-		room := placer.MakeRoom(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
+		room := placer.Preempt(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
 		Expect(room.Worker).To(Equal("a"))
 		Expect(room.Evict).To(BeEmpty())
 		Expect(room.Throttle).To(HaveLen(4))
@@ -193,15 +193,15 @@
 	})
 
 	It("evicts the fewest when throttling is not enough", func() {
-		room := placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
+		room := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
 		Expect(room.Evict).To(HaveLen(1))
 	})
 
 	It("says why it refuses", func() {
-		Expect(placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Why).To(Equal("the eviction budget is used up"))
-		Expect(placer.MakeRoom(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Why).To(Equal("no open worker is large enough"))
-		late := placer.MakeRoom(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
-		Expect(late.Why).To(HavePrefix("making room takes 4.5s"))
+		Expect(placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Reason).To(Equal("the eviction budget is used up"))
+		Expect(placer.Preempt(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Reason).To(Equal("no open worker is large enough"))
+		late := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
+		Expect(late.Reason).To(HavePrefix("making room takes 4.5s"))
 	})
 })
 
@@ -213,7 +213,7 @@
 		f := fleet(worker("a"), worker("b", "desk"), worker("c"))
 		for i := range rapid.IntRange(0, 30).Draw(t, "grants") {
 			name := rapid.SampledFrom(f.Names()).Draw(t, "worker")
-			_ = f.Workers[name].Hold(describer.TaskID{Job: "x", Index: i}, accountant.Grant{
+			_ = f.Workers[name].Allocate(describer.TaskID{Job: "x", Index: i}, accountant.Grant{
 				Kind:      rapid.SampledFrom([]describer.Kind{describer.Batch, describer.LatencyCritical}).Draw(t, "kind"),
 				Priority:  rapid.SampledFrom([]describer.Priority{describer.Normal, describer.Urgent}).Draw(t, "priority"),
 				Resources: describer.Resources{CPU: rapid.Int64Range(1, 8000).Draw(t, "cpu"), Memory: rapid.Int64Range(0, 30000).Draw(t, "memory")},
@@ -223,9 +223,9 @@
 		elapsed := time.Duration(rapid.IntRange(0, 8).Draw(t, "elapsed")) * time.Second
 		r := request(0, rapid.Int64Range(1, 20000).Draw(t, "want"))
 		r.Want.Memory = rapid.Int64Range(0, 60000).Draw(t, "memory")
-		room := placer.MakeRoom(f, r, placer.Costs{}, budget, elapsed)
+		room := placer.Preempt(f, r, placer.Costs{}, budget, elapsed)
 		if room.Worker == "" {
-			if room.Why == "" {
+			if room.Reason == "" {
 				t.Fatal("refused without a reason")
 			}
 			return
@@ -236,7 +236,7 @@
 		w := f.Workers[room.Worker]
 		for _, task := range room.Evict {
 			mustGiveWay(t, w.Grants[task])
-			w.Drop(task, describer.Token{})
+			w.Release(task, describer.Token{})
 		}
 		for _, s := range room.Throttle {
 			g := w.Grants[s.Task]
@@ -246,7 +246,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := w.Hold(r.Task, accountant.Grant{Resources: r.Want}); err != nil {
+		if err := w.Allocate(r.Task, accountant.Grant{Resources: r.Want}); err != nil {
 			t.Fatal(fmt.Errorf("room was not enough: %w", err))
 		}
 	})
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -37,15 +37,15 @@
 	return c
 }
 
-// Room is how an urgent task gets its place. Worker is empty if it can't
+// Preemption is how an urgent task gets its place. Worker is empty if it can't
 // within the bound, and Why says the reason.
-type Room struct {
+type Preemption struct {
 	Worker   string
 	Throttle []Shrink            // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
-	Why      string
+	Reason   string
 }
 
 // Shrink lowers the processor grant of a run.
@@ -55,15 +55,15 @@
 	To   int64 // millicores
 }
 
-// MakeRoom finds the worker on which the request fits after the cheapest
+// Preempt finds the worker on which the request fits after the cheapest
 // change: none, throttling, or the fewest evictions, at most evictions many.
 // Only batch tasks of normal priority give way. elapsed is how long the
 // request has waited already.
-func MakeRoom(
+func Preempt(
 	fleet *accountant.Fleet, r Request, costs Costs, evictions int, elapsed time.Duration,
-) Room {
+) Preemption {
 	costs = costs.orDefault()
-	best, why := Room{}, "no open worker is large enough"
+	best, why := Preemption{}, "no open worker is large enough"
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
 		if w.Closed || r.Avoid[name] || !r.Want.Fits(w.Host.Capacity.Sub(w.Reserved)) {
@@ -83,12 +83,12 @@
 		}
 	}
 	if best.Worker == "" {
-		best.Why = why
+		best.Reason = why
 	}
 	return best
 }
 
-func cheaper(a, b Room) bool {
+func cheaper(a, b Preemption) bool {
 	if c := cmp.Compare(len(a.Evict), len(b.Evict)); c != 0 {
 		return c < 0
 	}
@@ -97,8 +97,8 @@
 
 // roomOn makes room on one worker: first by throttling, then by evicting the
 // run with the least progress, whose loss is the smallest, and so on.
-func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Room, string) {
-	room := Room{Worker: w.Host.Name, Wait: costs.Start}
+func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Preemption, string) {
+	room := Preemption{Worker: w.Host.Name, Wait: costs.Start}
 	missing := want.Sub(w.Free())
 	if isMet(missing) {
 		return room, ""
@@ -109,13 +109,13 @@
 			break
 		}
 		if len(room.Evict) == evictions {
-			return Room{}, "the eviction budget is used up"
+			return Preemption{}, "the eviction budget is used up"
 		}
 		missing = missing.Sub(w.Grants[task].Resources)
 		room.Evict = append(room.Evict, task)
 	}
 	if !isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
-		return Room{}, "latency-critical and urgent tasks hold the capacity"
+		return Preemption{}, "latency-critical and urgent tasks hold the capacity"
 	}
 	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.Floor)
 	room.Freed = want.Sub(w.Free()).Sub(missing)
--- a/internal/control/placer/size.go
+++ b/internal/control/placer/size.go
@@ -48,7 +48,7 @@
 // grant is throttled use, so it counts as a multiple of the grant; a task that
 // is throttled for a service's sake shows nothing about its need.
 func (u *Usage) Observe(g accountant.Grant) {
-	if g.Used.IsZero() || g.Ceiling > 0 {
+	if g.Used.IsZero() || g.ThrottledTo > 0 {
 		return
 	}
 	if u.Classes == nil {
@@ -65,10 +65,10 @@
 	c.Count++
 }
 
-// Size returns the grant for a task of the job: what its class was measured to
+// SizeGrant returns the grant for a task of the job: what its class was measured to
 // use with a margin, the declaration until there are enough reports, and a mix
 // between. It never exceeds capacity. Accelerators are granted as declared.
-func Size(u *Usage, job *describer.Job, capacity describer.Resources) describer.Resources {
+func SizeGrant(u *Usage, job *describer.Job, capacity describer.Resources) describer.Resources {
 	size := job.Declared
 	if u != nil {
 		if c := u.Classes[ClassKey{job.Team, job.Class}]; c != nil {
@@ -82,12 +82,12 @@
 	return size
 }
 
-// Resize returns the grant that a running task should have by its own use:
+// ResizeGrant returns the grant that a running task should have by its own use:
 // more when it uses all of it, less when it leaves most of it unused, and the
 // same otherwise, so that small changes cause no calls. It stays within free,
 // and a task that is throttled for a service's sake gets no more processors.
-func Resize(g accountant.Grant, free describer.Resources) describer.Resources {
-	if g.Ceiling > 0 {
+func ResizeGrant(g accountant.Grant, free describer.Resources) describer.Resources {
+	if g.ThrottledTo > 0 {
 		free.CPU = 0
 	}
 	to := g.Resources
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -5,7 +5,7 @@
 //
 // The owner of each shard computes [Steps] for its workers, and [Merge] joins
 // the parts into one plan. Nothing is changed by that. On confirmation the
-// steps are computed anew: if [Difference] finds one that the operator has not
+// steps are computed anew: if [NewSteps] finds one that the operator has not
 // seen, the plan is stale. Otherwise [Apply] gives the configuration to be
 // written by compare-and-swap on the plan's revision, so that of two racing
 // operators one is refused.
@@ -47,7 +47,7 @@
 		p.target()
 	case describer.Run:
 		p.run()
-	case describer.DrainOff:
+	case describer.DrainWorkers:
 		p.drain()
 	case describer.Restore:
 		p.restore()
@@ -104,8 +104,8 @@
 
 func (p *draft) target() {
 	p.add(describer.Step{
-		Verb: describer.Set,
-		Why:  fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
+		Verb:   describer.Set,
+		Reason: fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
 	})
 }
 
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -14,40 +14,40 @@
 	"time"
 )
 
-// Standing says what a piece of work can still achieve.
-type Standing uint8
+// Lateness says what a piece of work can still achieve.
+type Lateness uint8
 
 // Standings, best first.
 const (
-	OnTime Standing = iota // can meet its objective
+	OnTime Lateness = iota // can meet its objective
 	Late                   // still earns something
 	Overdue
 )
 
-func (s Standing) String() string {
+func (s Lateness) String() string {
 	return [...]string{"on-time", "late", "overdue"}[s]
 }
 
 // Work is a piece of waiting work.
 type Work struct {
-	Priority  int // 0 goes first
-	Objective time.Time
-	Grace     time.Time     // until when an end still earns something
-	Remaining time.Duration // shortest time to its end
-	Accepted  time.Time
-	Steady    bool   // never late: it earns for as long as it runs
-	ID        string // settles ties
+	Priority   int // 0 goes first
+	Objective  time.Time
+	GraceEnd   time.Time     // until when an end still earns something
+	Remaining  time.Duration // shortest time to its end
+	Accepted   time.Time
+	NoDeadline bool   // never late: it earns for as long as it runs
+	ID         string // settles ties
 }
 
-// Standing is what the work can still achieve when it starts now.
-func (w *Work) Standing(now time.Time) Standing {
+// Lateness is what the work can still achieve when it starts now.
+func (w *Work) Lateness(now time.Time) Lateness {
 	end := now.Add(w.Remaining)
 	switch {
-	case w.Steady:
+	case w.NoDeadline:
 		return OnTime
 	case !end.After(w.Objective):
 		return OnTime
-	case !end.After(w.Grace):
+	case !end.After(w.GraceEnd):
 		return Late
 	}
 	return Overdue
@@ -57,7 +57,7 @@
 func Compare(now time.Time, a, b *Work) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
-		cmp.Compare(a.Standing(now), b.Standing(now)),
+		cmp.Compare(a.Lateness(now), b.Lateness(now)),
 		a.Objective.Compare(b.Objective),
 		a.Accepted.Compare(b.Accepted),
 		cmp.Compare(a.ID, b.ID),
--- a/internal/control/reducer/book.go
+++ b/internal/control/reducer/book.go
@@ -51,9 +51,9 @@
 		sh.applyJobAccepted(r)
 	case describer.JobCancelled:
 		sh.applyJobCancelled(r)
-	case describer.WorkerSetAside:
+	case describer.WorkerQuarantined:
 		sh.quarantine(r.Worker, r.Reason)
-	case describer.WorkerTrusted:
+	case describer.WorkerReinstated:
 		delete(sh.view.quarantined, r.Worker)
 		sh.updateClosed(sh.ensureWorker(r.Worker))
 	case describer.DrainRestored:
@@ -109,7 +109,7 @@
 		}
 		return
 	}
-	if r.Kind == describer.TaskSetAside {
+	if r.Kind == describer.TaskAbandoned {
 		if t.state == describer.Pending {
 			sh.transition(t, r.Time, func() { t.state, t.reason = describer.Failed, r.Reason })
 		}
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -111,15 +111,15 @@
 	}
 	owed := sh.view.drainedPending[w.name]
 	decision := restorer.Decide(restorer.Input{
-		Now:      sh.state.now,
-		Worker:   w.account,
-		Services: sh.state.services,
-		Owed:     owed,
-		Gone:     !w.listed && sh.state.now.Sub(w.missingSince) >= missingLimit,
-		State:    &w.restoreState,
-		Options:  sh.state.policies.Restoration,
+		Now:       sh.state.now,
+		Worker:    w.account,
+		Services:  sh.state.services,
+		Returning: owed,
+		Removed:   !w.listed && sh.state.now.Sub(w.missingSince) >= missingLimit,
+		State:     &w.restoreState,
+		Options:   sh.state.policies.Restoration,
 	})
-	w.restoreHold = decision.Held
+	w.restoreHold = decision.BlockedBy
 	sh.setBatchLimit(w, !decision.Done, decision.Limit)
 	sh.updateClosed(w)
 	if !decision.Done {
@@ -136,11 +136,11 @@
 
 // limit bounds what batch tasks may hold on the worker.
 func (sh *shard) setBatchLimit(w *worker, on bool, cpu int64) {
-	if w.account.Limited != on || w.account.Limit != cpu {
+	if w.account.BatchLimited != on || w.account.BatchLimit != cpu {
 		sh.placementIdle = false
 	}
-	w.account.Limited = on
-	w.account.Limit = cpu
+	w.account.BatchLimited = on
+	w.account.BatchLimit = cpu
 }
 
 // propose asks for the configuration to show that the worker has its work
--- a/internal/control/reducer/fault.go
+++ b/internal/control/reducer/fault.go
@@ -59,7 +59,7 @@
 		return
 	}
 	sh.appendRecord(describer.Record{
-		Kind:   describer.WorkerSetAside,
+		Kind:   describer.WorkerQuarantined,
 		Worker: w.name,
 		Reason: fmt.Sprintf("failed %d jobs in a row, the last with: %s", len(w.failureStreak.jobs), reason),
 	})
@@ -69,7 +69,7 @@
 func (sh *shard) clearFailures(w *worker) {
 	w.failureStreak = failureStreak{}
 	if sh.view.quarantined[w.name] != "" {
-		sh.appendRecord(describer.Record{Kind: describer.WorkerTrusted, Worker: w.name})
+		sh.appendRecord(describer.Record{Kind: describer.WorkerReinstated, Worker: w.name})
 	}
 }
 
@@ -128,7 +128,7 @@
 }
 
 func (sh *shard) failPermanently(t *task, reason string) {
-	sh.appendRecord(describer.Record{Kind: describer.TaskSetAside, Task: t.id(), Reason: reason})
+	sh.appendRecord(describer.Record{Kind: describer.TaskAbandoned, Task: t.id(), Reason: reason})
 	t.pendingReason = ""
 	t.job.lastBatch = sh.journal.nextBatch()
 }
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -39,7 +39,7 @@
 	if t.job.Kind != describer.Batch {
 		return false
 	}
-	to := placer.Resize(w.account.Grants[r.Task], w.account.Room()).CPU
+	to := placer.ResizeGrant(w.account.Grants[r.Task], w.account.FreeForBatch()).CPU
 	switch {
 	case to < t.granted.CPU:
 		sh.shrink(t, to)
@@ -130,7 +130,7 @@
 	if w.account.Resize(id, t.token, to) != nil {
 		// In replay the worker's capacity may not be known yet.
 		g := w.account.Grants[id]
-		w.account.Drop(id, t.token)
+		w.account.Release(id, t.token)
 		g.Resources = to
 		w.account.Adopt(id, g)
 	}
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -227,7 +227,7 @@
 			wait = max(wait, w.leasesEnd.Sub(sh.state.now))
 		}
 	}
-	sh.appendRecord(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: sh.epoch}, Wait: wait})
+	sh.appendRecord(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: sh.epoch}, LeaseWait: wait})
 }
 
 // handOver emits Release once every decision has been sent to the ledger.
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -132,7 +132,7 @@
 	choice := sh.state.placer.Place(sh.fleet, sh.placementRequest(t), sh.state.now)
 	w := sh.workers[choice.Worker]
 	if w == nil || w.account.Closed || !want.Fits(roomFor(t, w.account)) {
-		t.pendingReason = choice.Why
+		t.pendingReason = choice.Reason
 		if len(t.failedOn) == 0 {
 			refused[key] = true
 		}
@@ -149,7 +149,7 @@
 		Task:     t.id(),
 		Job:      t.job.Job,
 		Want:     sh.wantedGrant(t),
-		HomeTo:   t.drainedOff,
+		ReturnTo: t.drainedOff,
 		Deadline: t.job.Deadline,
 	}
 	if sh.hasOtherWorkers(t.failedOn) {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -34,7 +34,7 @@
 	}
 	s.placer = s.policies.Placement
 	if s.placer == nil {
-		s.placer = placer.Default{
+		s.placer = placer.InterferenceAware{
 			Learner:  s.policies.Learner,
 			Services: s.services,
 			Weights:  s.config.Weights,
@@ -66,7 +66,7 @@
 		w.account.Reports = make(map[string]runner.Latency)
 	}
 	w.account.Reports[l.Service] = *l
-	if shares, ok := sh.state.timeline.Between(w.name, l.From, l.To); ok {
+	if shares, ok := sh.state.timeline.Average(w.name, l.From, l.To); ok {
 		sh.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
 	}
 	return true
@@ -86,14 +86,14 @@
 // escalate relieves the worker's services, in order of cost.
 func (sh *shard) escalate(w *worker) {
 	actions := escalator.Decide(escalator.Input{
-		Now:      sh.state.now,
-		Worker:   w.account,
-		Services: sh.state.services,
-		Learner:  sh.state.policies.Learner,
-		State:    &w.escalationState,
-		Budget:   sh.evictionBudget,
-		Options:  sh.state.policies.Escalation,
-		Bounds:   sh.latencyBounds(w),
+		Now:           sh.state.now,
+		Worker:        w.account,
+		Services:      sh.state.services,
+		Learner:       sh.state.policies.Learner,
+		State:         &w.escalationState,
+		Budget:        sh.evictionBudget,
+		Options:       sh.state.policies.Escalation,
+		LatencyBounds: sh.latencyBounds(w),
 	})
 	for _, a := range actions {
 		sh.applyAction(w, a)
@@ -126,8 +126,8 @@
 }
 
 func (sh *shard) applyAction(w *worker, a escalator.Action) {
-	if a.Kind == escalator.KeepOff {
-		w.account.KeepOff = a.Until
+	if a.Kind == escalator.BlockBatch {
+		w.account.BatchBlockedUntil = a.Until
 		return
 	}
 	t := sh.view.task(a.Task)
@@ -135,7 +135,7 @@
 		return
 	}
 	switch a.Kind {
-	case escalator.Raise:
+	case escalator.Unthrottle:
 		sh.setCeiling(t, 0)
 		sh.grow(t, a.CPU)
 	case escalator.Throttle:
@@ -152,7 +152,7 @@
 func (sh *shard) setCeiling(t *task, cpu int64) {
 	w := sh.ensureWorker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
-		g.Ceiling = cpu
+		g.ThrottledTo = cpu
 		w.account.Grants[t.id()] = g
 	}
 }
@@ -163,7 +163,7 @@
 	if t.job.Kind == describer.LatencyCritical {
 		return t.job.Declared
 	}
-	return placer.Size(&sh.state.usage, t.job.Job, unlimited)
+	return placer.SizeGrant(&sh.state.usage, t.job.Job, unlimited)
 }
 
 // unlimited is larger than any worker.
@@ -172,7 +172,7 @@
 // room returns what a new grant for the task may take on the worker.
 func roomFor(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
-		return w.Room()
+		return w.FreeForBatch()
 	}
 	return w.Free()
 }
@@ -180,7 +180,7 @@
 // interference returns the slow-down of the worker's services by the batch
 // tasks that run there, 0 is none.
 func (sh *shard) interference(w *worker) float64 {
-	shares := w.account.Shares()
+	shares := w.account.BatchShares()
 	if len(shares) == 0 {
 		return 0
 	}
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -98,12 +98,12 @@
 // release records that the task's run is known to be over.
 func (sh *shard) recordReleased(t *task, r runEnd) {
 	sh.appendRecord(describer.Record{
-		Kind:       describer.TaskReleased,
-		Task:       t.id(),
-		Token:      t.token,
-		Reason:     r.reason,
-		Checkpoint: r.checkpoint,
-		DrainedOff: r.drainedOff,
+		Kind:        describer.TaskReleased,
+		Task:        t.id(),
+		Token:       t.token,
+		Reason:      r.reason,
+		Checkpoint:  r.checkpoint,
+		DrainedFrom: r.drainedOff,
 	})
 }
 
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -116,18 +116,18 @@
 
 func (t *task) save() describer.Task {
 	return describer.Task{
-		ID:         t.id(),
-		State:      t.state,
-		Worker:     t.worker,
-		Token:      t.token,
-		Granted:    t.granted,
-		Checkpoint: t.checkpoint,
-		Attempts:   int(t.attempts),
-		Evictions:  int(t.evictions),
-		DrainedOff: t.drainedOff,
-		Ran:        t.ran,
-		Result:     t.result,
-		Reason:     t.reason,
+		ID:          t.id(),
+		State:       t.state,
+		Worker:      t.worker,
+		Token:       t.token,
+		Granted:     t.granted,
+		Checkpoint:  t.checkpoint,
+		Attempts:    int(t.attempts),
+		Evictions:   int(t.evictions),
+		DrainedFrom: t.drainedOff,
+		MayHaveRun:  t.ran,
+		Result:      t.result,
+		Reason:      t.reason,
 	}
 }
 
@@ -177,14 +177,14 @@
 		token:      in.Token,
 		granted:    in.Granted,
 		checkpoint: in.Checkpoint,
-		drainedOff: in.DrainedOff,
+		drainedOff: in.DrainedFrom,
 		reason:     in.Reason,
 		result:     in.Result,
 		index:      int32(in.ID.Index),
 		attempts:   int32(in.Attempts),
 		evictions:  int32(in.Evictions),
 		state:      in.State,
-		ran:        in.Ran,
+		ran:        in.MayHaveRun,
 		startPhase: startAdopted,
 	}
 }
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -192,7 +192,7 @@
 	if !e.Synced.Capacity.IsZero() {
 		w.account.Host.Capacity = e.Synced.Capacity
 	}
-	w.account.Heard = e.SentAt
+	w.account.LastInventory = e.SentAt
 	sh.reconcileRunning(w, e.Synced.Running)
 	sh.reconcileFinished(w, e.Synced.Finished)
 	sh.reconcileMissing(w)
--- a/internal/control/reducer/urgent.go
+++ b/internal/control/reducer/urgent.go
@@ -29,10 +29,10 @@
 	if t.ran {
 		elapsed = 0 // the bound is on its first start
 	}
-	r := placer.MakeRoom(sh.fleet, sh.placementRequest(t), placer.Costs{}, sh.evictionBudget.Left(sh.state.now), elapsed)
+	r := placer.Preempt(sh.fleet, sh.placementRequest(t), placer.Costs{}, sh.evictionBudget.Available(sh.state.now), elapsed)
 	w := sh.workers[r.Worker]
 	if w == nil {
-		t.pendingReason = r.Why
+		t.pendingReason = r.Reason
 		return
 	}
 	t.pendingReason = "room is being made on " + w.name
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -115,7 +115,7 @@
 // gave the shard up to this owner said how long its leases last.
 func (sh *shard) formerLeasesEnd() time.Time {
 	if sh.releaseRecord.Token.Epoch == sh.epoch-1 && sh.releaseRecord.Kind == describer.ShardReleased {
-		return sh.claimedAt.Add(sh.releaseRecord.Wait)
+		return sh.claimedAt.Add(sh.releaseRecord.LeaseWait)
 	}
 	return sh.claimedAt.Add(sh.state.options.OutageLimit + sh.state.options.TaskLease)
 }
@@ -152,7 +152,7 @@
 	}
 	closed := sh.closedReason(w) != ""
 	if w.account.Closed && !closed {
-		w.account.Opened = sh.state.now
+		w.account.OpenedAt = sh.state.now
 		sh.placementIdle = false
 	}
 	if w.account.Closed != closed {
@@ -194,10 +194,10 @@
 		Kind:      t.job.Kind,
 		Priority:  t.job.Priority,
 		Resources: t.granted,
-		HomeTo:    t.drainedOff,
+		ReturnTo:  t.drainedOff,
 		Since:     sh.state.now,
 	}
-	if w.account.Hold(t.id(), g) != nil {
+	if w.account.Allocate(t.id(), g) != nil {
 		w.account.Adopt(t.id(), g)
 	}
 	t.slot = int32(len(w.runs))
@@ -210,13 +210,13 @@
 // noteShares keeps what runs on the worker for late reports.
 func (sh *shard) recordShares(w *worker) {
 	if len(w.account.Host.Services) > 0 {
-		sh.state.timeline.Set(w.name, sh.state.now, w.account.Shares())
+		sh.state.timeline.Record(w.name, sh.state.now, w.account.BatchShares())
 	}
 }
 
 func (sh *shard) removeRun(t *task) {
 	w := sh.ensureWorker(t.worker)
-	w.account.Drop(t.id(), t.token)
+	w.account.Release(t.id(), t.token)
 	last := len(w.runs) - 1
 	w.runs[t.slot] = w.runs[last]
 	w.runs[t.slot].slot = t.slot
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -25,13 +25,13 @@
 
 // Input is what a decision is made from. State is changed.
 type Input struct {
-	Now      time.Time
-	Worker   *accountant.Worker
-	Services map[string]describer.Service // by name
-	Owed     int                          // tasks drained off this worker that wait to run
-	Gone     bool                         // the worker has left the host list for good
-	State    *State                       // of this worker and drain
-	Options  Options
+	Now       time.Time
+	Worker    *accountant.Worker
+	Services  map[string]describer.Service // by name
+	Returning int                          // tasks drained off this worker that wait to run
+	Removed   bool                         // the worker has left the host list for good
+	State     *State                       // of this worker and drain
+	Options   Options
 }
 
 // Decision is what the worker may take now.
@@ -39,18 +39,18 @@
 	Open  bool   // requests may be sent to it
 	Limit int64  // millicores that batch tasks may hold
 	Done  bool   // has its work back
-	Held  string // what holds it back; empty when Done or when only time has to pass
+	BlockedBy  string // what holds it back; empty when Done or when only time has to pass
 }
 
 // Options tune the pace. Zero fields take defaults.
 type Options struct {
-	Steps    []float64     // rising shares of the worker's processors, the last one 1
-	Settle   time.Duration // shortest time of a step, longer than the lag of reports
-	Patience time.Duration // longest time of a step
-	Silence  time.Duration // without inventory the worker counts as silent
-	Hot      float64       // share of a service's target above which a step is held back
-	Cool     float64       // share below which it is no longer
-	Weight   float64       // of the newest report in the smoothed latency
+	Steps          []float64     // rising shares of the worker's processors, the last one 1
+	MinStep        time.Duration // shortest time of a step, longer than the lag of reports
+	MaxStep        time.Duration // longest time of a step
+	SilenceTimeout time.Duration // without inventory the worker counts as silent
+	Hot            float64       // share of a service's target above which a step is held back
+	Cool           float64       // share below which it is no longer
+	Weight         float64       // of the newest report in the smoothed latency
 }
 
 func (o Options) orDefault() Options {
@@ -62,9 +62,9 @@
 			*v = otherwise
 		}
 	}
-	duration(&o.Settle, time.Minute)
-	duration(&o.Patience, 5*time.Minute)
-	duration(&o.Silence, time.Minute)
+	duration(&o.MinStep, time.Minute)
+	duration(&o.MaxStep, 5*time.Minute)
+	duration(&o.SilenceTimeout, time.Minute)
 	number := func(v *float64, otherwise float64) {
 		if *v == 0 {
 			*v = otherwise
@@ -89,12 +89,12 @@
 // Decide returns what the worker may take now.
 func Decide(in Input) Decision {
 	o := in.Options.orDefault()
-	if in.Gone {
+	if in.Removed {
 		return Decision{Done: true}
 	}
-	if silent := in.Now.Sub(in.Worker.Heard); silent > o.Silence {
+	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.SilenceTimeout {
 		in.State.Since = in.Now // no time passes in a step for a silent worker
-		return Decision{Held: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
+		return Decision{BlockedBy: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
 	}
 	if in.State.Since.IsZero() {
 		in.State.Since = in.Now
@@ -102,7 +102,7 @@
 	service, ratio := in.State.take(in, o)
 	passed := in.Now.Sub(in.State.Since)
 	held := in.State.held(in, o, service, ratio)
-	if passed >= o.Patience || passed >= o.Settle && held == "" {
+	if passed >= o.MaxStep || passed >= o.MinStep && held == "" {
 		if in.State.Step == len(o.Steps)-1 {
 			return Decision{Open: true, Limit: in.Worker.Host.Capacity.CPU, Done: true}
 		}
@@ -113,7 +113,7 @@
 	return Decision{
 		Open:  true,
 		Limit: int64(share * float64(in.Worker.Host.Capacity.CPU)),
-		Held:  held,
+		BlockedBy:  held,
 	}
 }
 
@@ -123,8 +123,8 @@
 		return fmt.Sprintf("%s is at %.0f %% of its target, must fall below %.0f %%",
 			service, 100*ratio, 100*o.Cool)
 	}
-	if s.Step == len(o.Steps)-1 && in.Owed > 0 {
-		return fmt.Sprintf("%d tasks wait to come back", in.Owed)
+	if s.Step == len(o.Steps)-1 && in.Returning > 0 {
+		return fmt.Sprintf("%d tasks wait to come back", in.Returning)
 	}
 	return ""
 }
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -28,8 +28,8 @@
 	b.in = Input{
 		Now: start, State: &b.state,
 		Worker: &accountant.Worker{
-			Host:  describer.Host{Name: "w", Capacity: describer.Resources{CPU: 16000}, Services: []string{"desk"}},
-			Heard: start,
+			Host:          describer.Host{Name: "w", Capacity: describer.Resources{CPU: 16000}, Services: []string{"desk"}},
+			LastInventory: start,
 		},
 		Services: map[string]describer.Service{"desk": {Name: "desk", Target: target}},
 	}
@@ -39,7 +39,7 @@
 // report lets 10 s pass with a latency as a share of the target.
 func (b *bench) report(ratio float64) Decision {
 	b.in.Now = b.in.Now.Add(10 * time.Second)
-	b.in.Worker.Heard = b.in.Now
+	b.in.Worker.LastInventory = b.in.Now
 	b.in.Worker.Reports = map[string]runner.Latency{"desk": {
 		Service: "desk", To: b.in.Now, Count: 300, P99: time.Duration(ratio * float64(target)),
 	}}
@@ -72,17 +72,17 @@
 
 	It("says what holds it back", func() {
 		b := newBench()
-		Expect(b.report(2).Held).To(Equal("desk is at 200 % of its target, must fall below 90 %"))
+		Expect(b.report(2).BlockedBy).To(Equal("desk is at 200 % of its target, must fall below 90 %"))
 	})
 
 	It("waits at the last step for tasks that are owed", func() {
 		b := newBench()
-		b.in.Owed = 3
+		b.in.Returning = 3
 		for range 30 {
 			b.report(0.5)
 		}
-		Expect(b.report(0.5).Held).To(HavePrefix("3 tasks wait to come back"))
-		b.in.Owed = 0
+		Expect(b.report(0.5).BlockedBy).To(HavePrefix("3 tasks wait to come back"))
+		b.in.Returning = 0
 		Expect(b.report(0.5).Done).To(BeTrue())
 	})
 
@@ -96,10 +96,10 @@
 		b.in.Now = b.in.Now.Add(time.Hour)
 		d := Decide(b.in)
 		Expect(d.Open).To(BeFalse())
-		Expect(d.Held).To(Equal("no answer from the worker for 1h0m0s"))
+		Expect(d.BlockedBy).To(Equal("no answer from the worker for 1h0m0s"))
 		Expect(b.state.Step).To(Equal(0))
 		Expect(b.report(0.5).Limit).To(BeEquivalentTo(2000))
-		b.in.Gone = true
+		b.in.Removed = true
 		Expect(Decide(b.in).Done).To(BeTrue())
 	})
 })
@@ -111,7 +111,7 @@
 		b := newBench()
 		ratios := rapid.SliceOfN(rapid.Float64Range(0.05, 8), 1, 40).Draw(t, "ratios")
 		wave := rapid.Float64Range(0, 0.5).Draw(t, "wave")
-		b.in.Owed = rapid.IntRange(0, 3).Draw(t, "owed")
+		b.in.Returning = rapid.IntRange(0, 3).Draw(t, "owed")
 		var limit int64
 		for i := range 200 {
 			d := b.report(ratios[i%len(ratios)] * (1 + wave*math.Sin(float64(i))))
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -16,12 +16,12 @@
 	s        *Shard
 	settled  bool // see isSettled
 	workers  []*worker
-	rooms    []fitter.Room
-	reserved int         // workers kept free for work that has waited for long
-	largest  fitter.Room // the most that any worker has of each kind, when the round began
-	lasting  int64       // CPU that lasting tasks reserve, millicores
-	limit    int64       // the most of it while other tasks need room
-	promised int64       // CPU of all lasting tasks of jobs that stay in the shard, millicores
+	rooms    []fitter.Candidate
+	reserved int              // workers kept free for work that has waited for long
+	largest  fitter.Candidate // the most that any worker has of each kind, when the round began
+	lasting  int64            // CPU that lasting tasks reserve, millicores
+	limit    int64            // the most of it while other tasks need room
+	promised int64            // CPU of all lasting tasks of jobs that stay in the shard, millicores
 }
 
 // place starts waiting tasks, in their order, where there is room.
@@ -73,17 +73,17 @@
 func (st *step) work() ranker.Work {
 	j := st.job
 	w := ranker.Work{
-		Priority: j.queue.Priority, Objective: j.objective, Grace: j.grace,
+		Priority: j.queue.Priority, Objective: j.objective, GraceEnd: j.grace,
 		Remaining: st.spec.Estimate, Accepted: j.spec.Accepted, ID: j.spec.ID,
 	}
 	if !st.due.IsZero() {
 		shift := st.due.Sub(j.spec.Accepted)
 		w.Objective = w.Objective.Add(shift)
-		w.Grace = w.Grace.Add(shift)
+		w.GraceEnd = w.GraceEnd.Add(shift)
 	}
 	if st.spec.Lasting {
 		// A lasting task earns for as long as it runs, however late it begins.
-		w.Steady = true
+		w.NoDeadline = true
 		w.Objective = st.waitingSince().Add(lastingWait)
 	}
 	return w
@@ -113,7 +113,7 @@
 }
 
 func (s *Shard) newPlacement() *placement {
-	p := &placement{s: s, settled: s.isSettled(), workers: make([]*worker, 0, len(s.roster)), rooms: make([]fitter.Room, 0, len(s.roster))}
+	p := &placement{s: s, settled: s.isSettled(), workers: make([]*worker, 0, len(s.roster)), rooms: make([]fitter.Candidate, 0, len(s.roster))}
 	capacity := int64(0)
 	for _, w := range s.roster {
 		if !w.isUsable(s.now) {
@@ -127,7 +127,7 @@
 		p.largest.Free.CPU = max(p.largest.Free.CPU, room.Free.CPU)
 		p.largest.Free.Memory = max(p.largest.Free.Memory, room.Free.Memory)
 		p.largest.Free.Accelerators = max(p.largest.Free.Accelerators, room.Free.Accelerators)
-		p.largest.Unused = max(p.largest.Unused, room.Unused)
+		p.largest.UnusedCPU = max(p.largest.UnusedCPU, room.UnusedCPU)
 	}
 	p.limit = s.lastingLimit(capacity)
 	if s.options.Domain != "" {
@@ -151,13 +151,13 @@
 }
 
 // room is what the worker has left.
-func (w *worker) room() fitter.Room {
+func (w *worker) room() fitter.Candidate {
 	expected := w.used.counted.CPU - w.used.lasting + int64(servingShare*float64(w.used.lasting))
-	return fitter.Room{
-		Free:     w.reg.Capacity.Sub(w.used.counted),
-		Capacity: w.reg.Capacity,
-		Unused:   w.reg.Capacity.CPU - expected - w.fillerUse(),
-		Rack:     w.rack,
+	return fitter.Candidate{
+		Free:      w.reg.Capacity.Sub(w.used.counted),
+		Capacity:  w.reg.Capacity,
+		UnusedCPU: w.reg.Capacity.CPU - expected - w.fillerUse(),
+		Rack:      w.rack,
 	}
 }
 
@@ -175,8 +175,8 @@
 	return w.use
 }
 
-func (st *step) fitterNeed() fitter.Need {
-	return fitter.Need{Counted: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.Rack}
+func (st *step) fitterNeed() fitter.Request {
+	return fitter.Request{Reserved: st.needs.counted, FillerCPU: st.needs.filler, Rack: st.spec.Rack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
@@ -202,7 +202,7 @@
 		if st.spec.Tight && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
-		p.rooms[i].Take(&need)
+		p.rooms[i].Reserve(&need)
 		p.lasting += st.needs.lasting
 		p.s.start(t, p.workers[i], t.nextRun(p.s.options.Epoch))
 		if p.isYielding(st) {
@@ -243,24 +243,24 @@
 // relate fills in what the workers' tasks mean for those of the step.
 func (p *placement) relate(st *step) {
 	for i, w := range p.workers {
-		p.rooms[i].Kin, p.rooms[i].Harm = 0, 0
+		p.rooms[i].SameImage, p.rooms[i].Interference = 0, 0
 		switch {
 		case st.spec.Filler:
-			p.rooms[i].Harm = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
+			p.rooms[i].Interference = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
 		case st.spec.Target > 0:
-			p.rooms[i].Kin = w.servingOf(st.spec.Image)
+			p.rooms[i].SameImage = w.servingOf(st.spec.Image)
 		}
 	}
 }
 
 // choose finds a worker for a task, preferably not the one where it failed last.
-func (p *placement) choose(st *step, t *task, need fitter.Need) int {
+func (p *placement) choose(st *step, t *task, need fitter.Request) int {
 	allowed := func(i int) bool {
 		w := p.workers[i]
 		if !w.reg.HasLabel(st.spec.Label) || w.runs[t.id()] != nil {
 			return false
 		}
-		if st.spec.Filler && w.wouldHarm(p.rooms[i].Harm) || !p.isAdvised(st, w) {
+		if st.spec.Filler && w.wouldHarm(p.rooms[i].Interference) || !p.isAdvised(st, w) {
 			return false
 		}
 		return st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread
@@ -310,7 +310,7 @@
 		if st.spec.Tight && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
-		rooms[i].Take(&need)
+		rooms[i].Reserve(&need)
 		count[i]++
 		chosen = append(chosen, i)
 	}
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -61,14 +61,14 @@
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, Lasting: s.Load.Lasting, Limit: s.Load.Limit,
+			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
 				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
 			}),
 		})
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
-	to := admitter.ChooseLasting(e.Lasting, shards, m.options.Random)
+	to := admitter.ChooseLongRunning(e.Lasting, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
 		s.Load.Lasting += e.Lasting
 		m.view.Shards[to] = s
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -63,12 +63,12 @@
 // shard is the load of one shard, with what was accepted here since.
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
-		Name: name, Near: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
-		Workers: s.Load.Workers, Free: s.Load.Free, Lasting: s.Load.Lasting, Limit: s.Load.Limit,
-		Turning: s.Load.Turning, Unused: s.Load.Unused, Fillers: s.Load.Fillers, HasLabel: true,
+		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
+		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
+		ReclaimableCPU: s.Load.Turning, UnusedCPU: s.Load.Unused, FillerCPU: s.Load.Fillers, HasLabel: true,
 	}
-	if !out.Near {
-		out.Distance = afarDistance
+	if !out.SameDomain {
+		out.RoundTrip = afarDistance
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
@@ -76,17 +76,17 @@
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
-			out.Counted += b.Counted
-			out.Filler += b.Filler
+			out.ReservedBacklog += b.Counted
+			out.FillerBacklog += b.Filler
 		}
 	}
 	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
 	r.accepted[name] = recent
 	for _, a := range recent {
-		out.Counted += a.work.Counted
-		out.Filler += a.work.Filler
-		out.Free.CPU -= a.work.Lasting
-		out.Lasting += a.work.Lasting
+		out.ReservedBacklog += a.work.ReservedWork
+		out.FillerBacklog += a.work.FillerWork
+		out.Free.CPU -= a.work.LongRunningCPU
+		out.LongRunningCPU += a.work.LongRunningCPU
 	}
 	return out
 }
@@ -106,11 +106,11 @@
 		work := cpu * int64(step.Estimate) / int64(time.Second) * int64(job.Occurrences())
 		switch {
 		case step.Lasting:
-			w.Lasting += cpu
+			w.LongRunningCPU += cpu
 		case step.Filler:
-			w.Filler += work
+			w.FillerWork += work
 		default:
-			w.Counted += work
+			w.ReservedWork += work
 		}
 		w.NeedsRack = w.NeedsRack || step.Rack != ""
 	}
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if changes := planner.Difference(plan.Steps, renewed.Steps); len(changes) > 0 {
+	if changes := planner.NewSteps(plan.Steps, renewed.Steps); len(changes) > 0 {
 		return 0, stale(changes)
 	}
 	if intent.Action == describer.Run {
@@ -137,7 +137,7 @@
 		return describer.Plan{}, err
 	}
 	plan.Intent = intent
-	plan.Made = time.Now().UTC()
+	plan.Created = time.Now().UTC()
 	return plan, nil
 }
 
@@ -185,7 +185,7 @@
 // holdsIntent reports whether the configuration already shows the intent.
 func holdsIntent(c describer.Configuration, intent describer.Intent) bool {
 	switch intent.Action {
-	case describer.DrainOff:
+	case describer.DrainWorkers:
 		return slices.ContainsFunc(c.Drains, func(d describer.Drain) bool { return d.ID == intent.ID })
 	case describer.SetTarget:
 		return slices.ContainsFunc(c.Services, func(s describer.Service) bool { return s.Intent == intent.ID })
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -104,8 +104,8 @@
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
 	}, reducer.Policies{Restoration: restorer.Options{
-		Settle:   time.Duration(s.Settings.Restore.Settle),
-		Patience: time.Duration(s.Settings.Restore.Patience),
+		MinStep: time.Duration(s.Settings.Restore.Settle),
+		MaxStep: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
 		State:    state,
@@ -115,7 +115,7 @@
 		Publish:  s.publish,
 		Interval: tickInterval,
 		Timeout:  s.timeout(),
-		Calls:    workerCalls,
+		MaxCalls: workerCalls,
 		Scope:    s.metrics.Scope,
 		Log:      s.log.With().Str("part", "control").Logger(),
 	})
