--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -323,7 +323,7 @@
 		f.mu.Lock()
 		f.cut = map[string]int64{"w1": f.token["w1"]} // the successor does not reach w1
 		f.mu.Unlock()
-		owner.store.SetFault(func(c faker.Call) faker.Fate {
+		owner.store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "renew" || c.Operation == "grant" {
 				return faker.Drop
 			}
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -118,7 +118,7 @@
 
 func TestUnknownOutcomeIsSaid(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
-		store.SetFault(func(c faker.Call) faker.Fate {
+		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" {
 				return faker.Drop
 			}
@@ -135,7 +135,7 @@
 func TestLostAnswerIsNoSecondJob(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
 		lost := false
-		store.SetFault(func(c faker.Call) faker.Fate {
+		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && !lost {
 				lost = true
 				return faker.LoseAnswer
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -104,7 +104,7 @@
 		whole := map[string]any{"revision": 3, "whole": map[string]any{"revision": 3}}
 		Expect(old.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
 		for _, h := range f.hosts {
-			h.client.SetFault(func(faker.Call) faker.Fate { return faker.Stale })
+			h.client.SetFault(func(faker.Call) faker.Outcome { return faker.Stale })
 		}
 		f.meet()
 		time.Sleep(time.Minute)
@@ -158,7 +158,7 @@
 		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
 		client := f.hosts["a/1"].client
 		client.SetDown(false)
-		client.SetFault(func(c faker.Call) faker.Fate {
+		client.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "swap" {
 				go client.SetDown(true)
 				return faker.LoseAnswer
@@ -183,10 +183,10 @@
 func (f *fleet) race(seed uint64) {
 	GinkgoHelper()
 	f.start("a/1", "a/2", "b/1")
-	fates := []faker.Fate{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
 	for _, name := range []string{"a/1", "a/2", "b/1"} {
 		random := rand.New(rand.NewPCG(seed, uint64(len(name))))
-		f.hosts[name].client.SetFault(func(faker.Call) faker.Fate {
+		f.hosts[name].client.SetFault(func(faker.Call) faker.Outcome {
 			if random.Float64() < 0.3 {
 				return fates[random.IntN(len(fates))]
 			}
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -25,18 +25,18 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Fate is what becomes of a call.
-type Fate uint8
+// Outcome is what becomes of a call.
+type Outcome uint8
 
 // Fates of calls.
 const (
-	Answer     Fate = iota
-	Drop            // no effect, and the client cannot tell
-	LoseAnswer      // carried out, and the client cannot tell
-	Stale           // a read answers with the value before the latest change
+	Answer     Outcome = iota
+	Drop               // no effect, and the client cannot tell
+	LoseAnswer         // carried out, and the client cannot tell
+	Stale              // a read answers with the value before the latest change
 )
 
-func (f Fate) String() string {
+func (f Outcome) String() string {
 	return [...]string{"answer", "drop", "lose-answer", "stale"}[f]
 }
 
@@ -146,7 +146,7 @@
 	store *Store
 
 	mu    sync.Mutex
-	fault func(Call) Fate
+	fault func(Call) Outcome
 	delay func(Call) time.Duration
 	down  bool
 	count map[string]int64
@@ -157,7 +157,7 @@
 
 // SetFault sets what decides the fate of each call; nil answers every call.
 // The function is called by one goroutine at a time.
-func (c *Client) SetFault(f func(Call) Fate) {
+func (c *Client) SetFault(f func(Call) Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
@@ -193,7 +193,7 @@
 	return &classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "refused", Err: err}
 }
 
-func (c *Client) fate(call Call) Fate {
+func (c *Client) fate(call Call) Outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -60,7 +60,7 @@
 		f := New("menus", "a", a)
 		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
 		lost := 0
-		a.SetFault(func(c faker.Call) faker.Fate {
+		a.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && lost < 2 {
 				lost++
 				return faker.LoseAnswer
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -131,7 +131,7 @@
 	It("leaves no owner record behind when a claim fails", bubble(func() {
 		var broken atomic.Bool
 		broken.Store(true)
-		a.client.SetFault(func(c faker.Call) faker.Fate {
+		a.client.SetFault(func(c faker.Call) faker.Outcome {
 			switch {
 			case strings.HasSuffix(c.Key, "owner") && c.Operation == "swap":
 				return faker.LoseAnswer
@@ -208,10 +208,10 @@
 // churn moves a shard to and fro between holders in trouble.
 func churn(random *rand.Rand, daemons ...*daemon) {
 	GinkgoHelper()
-	fates := []faker.Fate{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
 	for _, d := range daemons {
 		random := rand.New(rand.NewPCG(random.Uint64(), 1))
-		d.client.SetFault(func(faker.Call) faker.Fate {
+		d.client.SetFault(func(faker.Call) faker.Outcome {
 			if random.Float64() < 0.2 {
 				return fates[random.IntN(len(fates))]
 			}
--- a/internal/state/journaler/history_test.go
+++ b/internal/state/journaler/history_test.go
@@ -157,9 +157,9 @@
 	return out
 }
 
-func trouble(random *rand.Rand) func(faker.Call) faker.Fate {
-	fates := []faker.Fate{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
-	return func(faker.Call) faker.Fate {
+func trouble(random *rand.Rand) func(faker.Call) faker.Outcome {
+	fates := []faker.Outcome{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
+	return func(faker.Call) faker.Outcome {
 		if random.Float64() < 0.2 {
 			return fates[random.IntN(len(fates))]
 		}
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -176,7 +176,7 @@
 	}))
 
 	DescribeTable("loses and doubles nothing when answers are lost or old",
-		func(share float64, fates ...faker.Fate) {
+		func(share float64, fates ...faker.Outcome) {
 			for seed := range uint64(20) {
 				virtual(func() { survive(rand.New(rand.NewPCG(seed, seed)), share, fates) })()
 			}
@@ -209,7 +209,7 @@
 		client := store.Client("a")
 		a := open(client)
 		segments := 0
-		client.SetFault(func(c faker.Call) faker.Fate {
+		client.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "swap" {
 				segments++
 			}
@@ -236,7 +236,7 @@
 		a.write(1, 2, 3)
 		a.stop()
 		client := store.Client("b")
-		client.SetFault(func(c faker.Call) faker.Fate {
+		client.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "list" {
 				return faker.Drop
 			}
@@ -250,7 +250,7 @@
 	It("leaves no chunks of unfinished snapshots behind", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
-		client.SetFault(func(c faker.Call) faker.Fate {
+		client.SetFault(func(c faker.Call) faker.Outcome {
 			if strings.HasSuffix(c.Key, "head") {
 				return faker.Drop
 			}
@@ -270,7 +270,7 @@
 })
 
 // survive appends and saves while the given share of calls meets a fate.
-func survive(random *rand.Rand, share float64, fates []faker.Fate) {
+func survive(random *rand.Rand, share float64, fates []faker.Outcome) {
 	GinkgoHelper()
 	store := faker.New()
 	former := open(store.Client("z"))
@@ -279,7 +279,7 @@
 	former.Finish()
 	<-former.Done
 	client := store.Client("a")
-	client.SetFault(func(faker.Call) faker.Fate {
+	client.SetFault(func(faker.Call) faker.Outcome {
 		if random.Float64() < share {
 			return fates[random.IntN(len(fates))]
 		}
