--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -138,7 +138,7 @@
 		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && !lost {
 				lost = true
-				return faker.LoseAnswer
+				return faker.LoseResponse
 			}
 			return faker.Answer
 		})
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -161,7 +161,7 @@
 		client.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "swap" {
 				go client.SetDown(true)
-				return faker.LoseAnswer
+				return faker.LoseResponse
 			}
 			return faker.Answer
 		})
@@ -183,7 +183,7 @@
 func (f *fleet) race(seed uint64) {
 	GinkgoHelper()
 	f.start("a/1", "a/2", "b/1")
-	fates := []faker.Outcome{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.Stale}
 	for _, name := range []string{"a/1", "a/2", "b/1"} {
 		random := rand.New(rand.NewPCG(seed, uint64(len(name))))
 		f.hosts[name].client.SetFault(func(faker.Call) faker.Outcome {
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -30,10 +30,10 @@
 
 // Fates of calls.
 const (
-	Answer     Outcome = iota
-	Drop               // no effect, and the client cannot tell
-	LoseAnswer         // carried out, and the client cannot tell
-	Stale              // a read answers with the value before the latest change
+	Answer       Outcome = iota
+	Drop                 // no effect, and the client cannot tell
+	LoseResponse         // carried out, and the client cannot tell
+	Stale                // a read answers with the value before the latest change
 )
 
 func (f Outcome) String() string {
@@ -226,7 +226,7 @@
 	c.store.expire()
 	err := f(c.store, fate == Stale)
 	c.store.mu.Unlock()
-	if fate == LoseAnswer {
+	if fate == LoseResponse {
 		return lost()
 	}
 	if ctx.Err() != nil {
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -63,7 +63,7 @@
 		a.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && lost < 2 {
 				lost++
-				return faker.LoseAnswer
+				return faker.LoseResponse
 			}
 			return faker.Answer
 		})
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -181,11 +181,11 @@
 				virtual(func() { survive(rand.New(rand.NewPCG(seed, seed)), share, fates) })()
 			}
 		},
-		Entry("lost now and then", 0.2, faker.LoseAnswer),
-		Entry("lost mostly", 0.7, faker.LoseAnswer),
+		Entry("lost now and then", 0.2, faker.LoseResponse),
+		Entry("lost mostly", 0.7, faker.LoseResponse),
 		Entry("dropped mostly", 0.7, faker.Drop),
 		Entry("old now and then", 0.2, faker.Stale),
-		Entry("of every kind", 0.7, faker.LoseAnswer, faker.Drop, faker.Stale),
+		Entry("of every kind", 0.7, faker.LoseResponse, faker.Drop, faker.Stale),
 		Entry("old mostly", 0.7, faker.Stale),
 	)
 
