--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -327,7 +327,7 @@
 			if c.Operation == "renew" || c.Operation == "grant" {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -122,7 +122,7 @@
 			if c.Operation == "commit" {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		began := time.Now()
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
@@ -140,7 +140,7 @@
 				lost = true
 				return faker.LoseResponse
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		g.Expect(r.Submit(context.Background(), queue, testJob())).To(Succeed())
 		g.Expect(store.Count("commit")).To(Equal(int64(2)))
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -163,7 +163,7 @@
 				go client.SetDown(true)
 				return faker.LoseResponse
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		short, cancel := contextFor(10 * time.Second)
 		defer cancel()
@@ -190,7 +190,7 @@
 			if random.Float64() < 0.3 {
 				return fates[random.IntN(len(fates))]
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 	}
 	var all sync.WaitGroup
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -30,7 +30,7 @@
 
 // Fates of calls.
 const (
-	Answer       Outcome = iota
+	Succeed      Outcome = iota
 	Drop                 // no effect, and the client cannot tell
 	LoseResponse         // carried out, and the client cannot tell
 	Stale                // a read answers with the value before the latest change
@@ -202,7 +202,7 @@
 	case c.fault != nil:
 		return c.fault(call)
 	}
-	return Answer
+	return Succeed
 }
 
 // do runs f on the store according to the call's fate.
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -65,7 +65,7 @@
 				lost++
 				return faker.LoseResponse
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
 		g.Expect(f.Write(ctx, nil, put("2"), nil)).To(Succeed())
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -138,7 +138,7 @@
 			case strings.HasSuffix(c.Key, "owner") && broken.Load():
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		a.Do(reducer.Claim{Shard: shard})
 		time.Sleep(minute)
@@ -215,7 +215,7 @@
 			if random.Float64() < 0.2 {
 				return fates[random.IntN(len(fates))]
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 	}
 	kept := []string{}
--- a/internal/state/journaler/history_test.go
+++ b/internal/state/journaler/history_test.go
@@ -163,7 +163,7 @@
 		if random.Float64() < 0.2 {
 			return fates[random.IntN(len(fates))]
 		}
-		return faker.Answer
+		return faker.Succeed
 	}
 }
 
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -216,7 +216,7 @@
 			if segments > 2 {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		a.write(1)
 		big := describer.Record{Reason: strings.Repeat("x", 2_500_000)}
@@ -240,7 +240,7 @@
 			if c.Operation == "list" {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		b := open(client)
 		defer b.stop()
@@ -254,7 +254,7 @@
 			if strings.HasSuffix(c.Key, "head") {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		a.Save(1, []byte("never in force"))
 		time.Sleep(time.Second)
@@ -283,7 +283,7 @@
 		if random.Float64() < share {
 			return fates[random.IntN(len(fates))]
 		}
-		return faker.Answer
+		return faker.Succeed
 	})
 	a := open(client)
 	for i := range int64(30) {
