--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -104,7 +104,7 @@
 		whole := map[string]any{"revision": 3, "whole": map[string]any{"revision": 3}}
 		Expect(old.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
 		for _, h := range f.hosts {
-			h.client.SetFault(func(faker.Call) faker.Outcome { return faker.Stale })
+			h.client.SetFault(func(faker.Call) faker.Outcome { return faker.StaleRead })
 		}
 		f.meet()
 		time.Sleep(time.Minute)
@@ -183,7 +183,7 @@
 func (f *fleet) race(seed uint64) {
 	GinkgoHelper()
 	f.start("a/1", "a/2", "b/1")
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	for _, name := range []string{"a/1", "a/2", "b/1"} {
 		random := rand.New(rand.NewPCG(seed, uint64(len(name))))
 		f.hosts[name].client.SetFault(func(faker.Call) faker.Outcome {
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -33,7 +33,7 @@
 	Succeed      Outcome = iota
 	Drop                 // no effect, and the client cannot tell
 	LoseResponse         // carried out, and the client cannot tell
-	Stale                // a read answers with the value before the latest change
+	StaleRead            // a read answers with the value before the latest change
 )
 
 func (f Outcome) String() string {
@@ -224,7 +224,7 @@
 	}
 	c.store.mu.Lock()
 	c.store.expire()
-	err := f(c.store, fate == Stale)
+	err := f(c.store, fate == StaleRead)
 	c.store.mu.Unlock()
 	if fate == LoseResponse {
 		return lost()
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -208,7 +208,7 @@
 // churn moves a shard to and fro between holders in trouble.
 func churn(random *rand.Rand, daemons ...*daemon) {
 	GinkgoHelper()
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	for _, d := range daemons {
 		random := rand.New(rand.NewPCG(random.Uint64(), 1))
 		d.client.SetFault(func(faker.Call) faker.Outcome {
--- a/internal/state/journaler/history_test.go
+++ b/internal/state/journaler/history_test.go
@@ -158,7 +158,7 @@
 }
 
 func trouble(random *rand.Rand) func(faker.Call) faker.Outcome {
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	return func(faker.Call) faker.Outcome {
 		if random.Float64() < 0.2 {
 			return fates[random.IntN(len(fates))]
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -184,9 +184,9 @@
 		Entry("lost now and then", 0.2, faker.LoseResponse),
 		Entry("lost mostly", 0.7, faker.LoseResponse),
 		Entry("dropped mostly", 0.7, faker.Drop),
-		Entry("old now and then", 0.2, faker.Stale),
-		Entry("of every kind", 0.7, faker.LoseResponse, faker.Drop, faker.Stale),
-		Entry("old mostly", 0.7, faker.Stale),
+		Entry("old now and then", 0.2, faker.StaleRead),
+		Entry("of every kind", 0.7, faker.LoseResponse, faker.Drop, faker.StaleRead),
+		Entry("old mostly", 0.7, faker.StaleRead),
 	)
 
 	It("splits a snapshot and a batch above the store's limit", virtual(func() {
