--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -36,8 +36,8 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// Key is the key of the document in the store.
-const Key = "configuration"
+// DocumentKey is the key of the document in the store.
+const DocumentKey = "configuration"
 
 // Store is the part of the store that a distributor uses.
 type Store interface {
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -147,7 +147,7 @@
 		f.propose("a/2", "one")
 		time.Sleep(5 * time.Second)
 		Expect(f.revisions()).To(HaveEach(int64(2)))
-		Expect(len(f.store.Items(distributor.Key)[0].Value)).To(BeNumerically("<", 1000))
+		Expect(len(f.store.Items(distributor.DocumentKey)[0].Value)).To(BeNumerically("<", 1000))
 	}))
 
 	It("says MayHaveRun when the outcome cannot be read back, and NotRun when nothing was written", bubble(func() {
--- a/internal/state/distributor/follow.go
+++ b/internal/state/distributor/follow.go
@@ -98,18 +98,18 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(d.ctx, d.options.Wait+d.options.Timeout)
 	defer cancel()
-	items, next, err := d.store.Watch(ctx, Key, *cursor, d.options.Wait)
+	items, next, err := d.store.Watch(ctx, DocumentKey, *cursor, d.options.Wait)
 	if err != nil {
 		return err
 	}
-	i := slices.IndexFunc(items, func(i storer.Item) bool { return i.Key == Key && !i.Deleted })
+	i := slices.IndexFunc(items, func(i storer.Item) bool { return i.Key == DocumentKey && !i.Deleted })
 	if i < 0 {
 		*cursor = max(*cursor, next)
 		return nil
 	}
 	// The last one, should the store deliver every change.
 	for j := range items {
-		if items[j].Key == Key && !items[j].Deleted && items[j].Revision > items[i].Revision {
+		if items[j].Key == DocumentKey && !items[j].Deleted && items[j].Revision > items[i].Revision {
 			i = j
 		}
 	}
--- a/internal/state/distributor/propose.go
+++ b/internal/state/distributor/propose.go
@@ -161,7 +161,7 @@
 func (p *proposal) swap(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
 	defer cancel()
-	_, err := p.distributor.store.Swap(ctx, Key, p.value, p.expected, 0)
+	_, err := p.distributor.store.Swap(ctx, DocumentKey, p.value, p.expected, 0)
 	return err
 }
 
@@ -241,7 +241,7 @@
 }
 
 func (d *Distributor) read(ctx context.Context) (document, int64, error) {
-	item, err := d.store.Get(ctx, Key)
+	item, err := d.store.Get(ctx, DocumentKey)
 	if errors.Is(err, storer.ErrNotFound) {
 		return document{}, 0, nil
 	}
--- a/internal/state/distributor/target_test.go
+++ b/internal/state/distributor/target_test.go
@@ -95,7 +95,7 @@
 		largest := 0
 		for i := range changes {
 			f.propose("d0/0", fmt.Sprint("team ", i))
-			largest = max(largest, len(f.store.Items(distributor.Key)[0].Value))
+			largest = max(largest, len(f.store.Items(distributor.DocumentKey)[0].Value))
 			time.Sleep(5 * time.Second)
 		}
 		most := 0.0
