--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -64,13 +64,13 @@
 
 // Options configure a Distributor. Zero values take the defaults.
 type Options struct {
-	Daemon  string        // name in membership
-	Domain  string        // failure domain
-	Wait    time.Duration // of one watch call
-	Poll    time.Duration // between reads by the stand-by of the watcher
-	Pace    time.Duration // shortest time between two reads of changes
-	Timeout time.Duration // of one call
-	Log     zerolog.Logger
+	Daemon       string        // name in membership
+	Domain       string        // failure domain
+	WatchTimeout time.Duration // of one watch call
+	Poll         time.Duration // between reads by the stand-by of the watcher
+	Pace         time.Duration // shortest time between two reads of changes
+	Timeout      time.Duration // of one call
+	Log          zerolog.Logger
 }
 
 // Distributor holds the configuration in force. It is safe for concurrent use.
@@ -241,7 +241,7 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&o.Wait, DefaultWait},
+		{&o.WatchTimeout, DefaultWait},
 		{&o.Poll, DefaultPoll},
 		{&o.Pace, DefaultPace},
 		{&o.Timeout, DefaultTimeout},
--- a/internal/state/distributor/follow.go
+++ b/internal/state/distributor/follow.go
@@ -47,7 +47,7 @@
 		return d.fetch(cursor)
 	}
 	*cursor = 0
-	d.pause(d.options.Wait, d.wake)
+	d.pause(d.options.WatchTimeout, d.wake)
 	return nil
 }
 
@@ -96,9 +96,9 @@
 // one.
 func (d *Distributor) watch(cursor *int64) error {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(d.ctx, d.options.Wait+d.options.Timeout)
+	ctx, cancel := context.WithTimeout(d.ctx, d.options.WatchTimeout+d.options.Timeout)
 	defer cancel()
-	items, next, err := d.store.Watch(ctx, DocumentKey, *cursor, d.options.Wait)
+	items, next, err := d.store.Watch(ctx, DocumentKey, *cursor, d.options.WatchTimeout)
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 func (d *Distributor) catchUp() {
 	for {
 		d.pullAhead()
-		wait := d.options.Wait
+		wait := d.options.WatchTimeout
 		if !d.IsReady() {
 			wait = d.options.Pace
 			d.pullAny()
