--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -67,7 +67,7 @@
 	Daemon       string        // name in membership
 	Domain       string        // failure domain
 	WatchTimeout time.Duration // of one watch call
-	Poll         time.Duration // between reads by the stand-by of the watcher
+	PollInterval time.Duration // between reads by the stand-by of the watcher
 	Pace         time.Duration // shortest time between two reads of changes
 	Timeout      time.Duration // of one call
 	Log          zerolog.Logger
@@ -242,7 +242,7 @@
 		value time.Duration
 	}{
 		{&o.WatchTimeout, DefaultWait},
-		{&o.Poll, DefaultPoll},
+		{&o.PollInterval, DefaultPoll},
 		{&o.Pace, DefaultPace},
 		{&o.Timeout, DefaultTimeout},
 	} {
--- a/internal/state/distributor/follow.go
+++ b/internal/state/distributor/follow.go
@@ -41,7 +41,7 @@
 		return d.watch(cursor)
 	case rank == 1:
 		// Makes up for a watcher that is alive but cut off from the store.
-		if !d.pause(d.options.Poll, d.wake) {
+		if !d.pause(d.options.PollInterval, d.wake) {
 			return nil
 		}
 		return d.fetch(cursor)
