--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -64,13 +64,13 @@
 
 // Options configure a Distributor. Zero values take the defaults.
 type Options struct {
-	Daemon       string        // name in membership
-	Domain       string        // failure domain
-	WatchTimeout time.Duration // of one watch call
-	PollInterval time.Duration // between reads by the stand-by of the watcher
-	Pace         time.Duration // shortest time between two reads of changes
-	Timeout      time.Duration // of one call
-	Log          zerolog.Logger
+	Daemon          string        // name in membership
+	Domain          string        // failure domain
+	WatchTimeout    time.Duration // of one watch call
+	PollInterval    time.Duration // between reads by the stand-by of the watcher
+	MinReadInterval time.Duration // shortest time between two reads of changes
+	Timeout         time.Duration // of one call
+	Log             zerolog.Logger
 }
 
 // Distributor holds the configuration in force. It is safe for concurrent use.
@@ -243,7 +243,7 @@
 	}{
 		{&o.WatchTimeout, DefaultWait},
 		{&o.PollInterval, DefaultPoll},
-		{&o.Pace, DefaultPace},
+		{&o.MinReadInterval, DefaultPace},
 		{&o.Timeout, DefaultTimeout},
 	} {
 		if *f.field <= 0 {
--- a/internal/state/distributor/follow.go
+++ b/internal/state/distributor/follow.go
@@ -82,7 +82,7 @@
 	}
 	if revision == 0 {
 		// Nobody has configured this deployment yet.
-		d.pause(d.options.Pace, d.wake)
+		d.pause(d.options.MinReadInterval, d.wake)
 		return nil
 	}
 	if err := d.use(ctx, doc); err != nil {
@@ -121,7 +121,7 @@
 		return err
 	}
 	*cursor = max(*cursor, next)
-	if rest := d.options.Pace - time.Since(began); rest > 0 {
+	if rest := d.options.MinReadInterval - time.Since(began); rest > 0 {
 		d.pause(rest, nil)
 	}
 	return nil
@@ -145,7 +145,7 @@
 		d.pullAhead()
 		wait := d.options.WatchTimeout
 		if !d.IsReady() {
-			wait = d.options.Pace
+			wait = d.options.MinReadInterval
 			d.pullAny()
 		}
 		if !d.pause(wait, d.behind) {
