--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -88,7 +88,7 @@
 		Name: s.Settings.Name, Domain: s.Settings.Domain, Region: s.Settings.Region, Address: s.Settings.Listen.Peers,
 	}
 	s.members = gossiper.New(gossiper.Options{
-		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.Seen, Log: s.log,
+		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.ObserveRevision, Log: s.log,
 	}, s.node, func(alive []reducer.Peer) {
 		s.config.SetPeers(alive)
 		post(reducer.PeersChanged{Alive: alive})
--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -155,8 +155,8 @@
 	signal(d.behind)
 }
 
-// Seen tells that the peer at address has a configuration of this revision.
-func (d *Distributor) Seen(address string, revision int64) {
+// ObserveRevision tells that the peer at address has a configuration of this revision.
+func (d *Distributor) ObserveRevision(address string, revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if revision <= d.current.Revision {
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -21,7 +21,7 @@
 func (f *fleet) heartbeats() {
 	for _, h := range f.hosts {
 		for name, other := range f.hosts {
-			h.Seen(name, other.Current().Revision)
+			h.ObserveRevision(name, other.Current().Revision)
 		}
 	}
 	time.Sleep(time.Second)
