--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -56,10 +56,10 @@
 
 // Defaults of Options.
 const (
-	DefaultWait    = 25 * time.Second
-	DefaultPoll    = 8 * time.Second
-	DefaultPace    = 2 * time.Second
-	DefaultTimeout = 5 * time.Second
+	DefaultWatchTimeout = 25 * time.Second
+	DefaultPoll         = 8 * time.Second
+	DefaultPace         = 2 * time.Second
+	DefaultTimeout      = 5 * time.Second
 )
 
 // Options configure a Distributor. Zero values take the defaults.
@@ -241,7 +241,7 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&o.WatchTimeout, DefaultWait},
+		{&o.WatchTimeout, DefaultWatchTimeout},
 		{&o.PollInterval, DefaultPoll},
 		{&o.MinReadInterval, DefaultPace},
 		{&o.Timeout, DefaultTimeout},
