--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -57,7 +57,7 @@
 // Defaults of Options.
 const (
 	DefaultWatchTimeout = 25 * time.Second
-	DefaultPoll         = 8 * time.Second
+	DefaultPollInterval = 8 * time.Second
 	DefaultPace         = 2 * time.Second
 	DefaultTimeout      = 5 * time.Second
 )
@@ -242,7 +242,7 @@
 		value time.Duration
 	}{
 		{&o.WatchTimeout, DefaultWatchTimeout},
-		{&o.PollInterval, DefaultPoll},
+		{&o.PollInterval, DefaultPollInterval},
 		{&o.MinReadInterval, DefaultPace},
 		{&o.Timeout, DefaultTimeout},
 	} {
