--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -56,10 +56,10 @@
 
 // Defaults of Options.
 const (
-	DefaultWatchTimeout = 25 * time.Second
-	DefaultPollInterval = 8 * time.Second
-	DefaultPace         = 2 * time.Second
-	DefaultTimeout      = 5 * time.Second
+	DefaultWatchTimeout    = 25 * time.Second
+	DefaultPollInterval    = 8 * time.Second
+	DefaultMinReadInterval = 2 * time.Second
+	DefaultTimeout         = 5 * time.Second
 )
 
 // Options configure a Distributor. Zero values take the defaults.
@@ -243,7 +243,7 @@
 	}{
 		{&o.WatchTimeout, DefaultWatchTimeout},
 		{&o.PollInterval, DefaultPollInterval},
-		{&o.MinReadInterval, DefaultPace},
+		{&o.MinReadInterval, DefaultMinReadInterval},
 		{&o.Timeout, DefaultTimeout},
 	} {
 		if *f.field <= 0 {
