--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -25,7 +25,7 @@
 	from, job := o.target.name, e.Job
 	job.Former = append(slices.Clone(job.Former), from)
 	entry := recorder.Entry{Shard: to, Queue: job.Queue, State: specifier.Queued}
-	err := o.fence.Move(ctx, storer.Transaction{
+	err := o.fence.Commit(ctx, storer.Transaction{
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
 		Put: []storer.Write{
 			{Key: recorder.JobKey(to, job.ID), Value: recorder.Encode(job)},
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -172,9 +172,9 @@
 	return f.offer(ctx, f.record(), storer.Transaction{Put: puts, Remove: removes})
 }
 
-// Move makes a transaction durable, or returns ErrRefused if a condition of its
+// Commit makes a transaction durable, or returns ErrRefused if a condition of its
 // own does not hold.
-func (f *Fence) Move(ctx context.Context, tx storer.Transaction) error {
+func (f *Fence) Commit(ctx context.Context, tx storer.Transaction) error {
 	leave, err := f.enter(ctx)
 	if err != nil {
 		return err
