--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -286,7 +286,7 @@
 		limited, cancel := context.WithTimeout(ctx, loadTime)
 		owner, err := m.ownerWrite(limited, o.target.name)
 		if err == nil {
-			err = o.fence.Renew(limited, owner)
+			err = o.fence.RestoreOwner(limited, owner)
 		}
 		cancel()
 		switch {
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -147,8 +147,8 @@
 	return item.Revision, nil
 }
 
-// Renew writes the owner's record anew after its lease was lost.
-func (f *Fence) Renew(ctx context.Context, owner storer.Write) error {
+// RestoreOwner writes the owner's record anew after its lease was lost.
+func (f *Fence) RestoreOwner(ctx context.Context, owner storer.Write) error {
 	leave, err := f.enter(ctx)
 	if err != nil {
 		return err
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -82,7 +82,7 @@
 		a.SetDown(true)
 		time.AfterFunc(30*time.Second, func() { a.SetDown(false) })
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
-		g.Expect(f.Renew(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(f.RestoreOwner(ctx, owner(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(valueOf(ctx, g, a)).To(Equal("1"))
 	})
 }
