--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -36,7 +36,7 @@
 	switch {
 	case err == nil:
 		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.Lasting).Msg("job moved")
-	case errors.Is(err, fencer.ErrRefused):
+	case errors.Is(err, fencer.ErrConditionFailed):
 		o.log.Info().Str("job", job.ID).Msg("job not moved: it is being cancelled")
 	case errors.Is(err, fencer.ErrFenced):
 		o.lose("another owner has written")
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -31,9 +31,9 @@
 var (
 	ErrFenced = errors.New("fencer: the shard has another owner")
 	ErrOwned  = errors.New("fencer: the owner's record exists")
-	// ErrRefused is returned when the owner's transaction has a condition that
+	// ErrConditionFailed is returned when the owner's transaction has a condition that
 	// does not hold.
-	ErrRefused = errors.New("fencer: a condition does not hold")
+	ErrConditionFailed = errors.New("fencer: a condition does not hold")
 )
 
 // Delays between offers of one write.
@@ -182,7 +182,7 @@
 	defer leave()
 	err = f.offer(ctx, f.record(), tx)
 	if errors.Is(err, ErrOwned) {
-		return ErrRefused
+		return ErrConditionFailed
 	}
 	return err
 }
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -116,7 +116,7 @@
 		f := New("menus", "a", a)
 		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
-		g.Expect(f.Commit(ctx, storer.Transaction{If: []storer.Condition{{Key: "k"}}, Put: put("2")})).To(MatchError(ErrRefused))
+		g.Expect(f.Commit(ctx, storer.Transaction{If: []storer.Condition{{Key: "k"}}, Put: put("2")})).To(MatchError(ErrConditionFailed))
 		g.Expect(valueOf(ctx, g, a)).To(Equal("1"))
 		g.Expect(f.Commit(ctx, storer.Transaction{If: []storer.Condition{{Key: "other"}}, Put: put("3")})).To(Succeed())
 		g.Expect(valueOf(ctx, g, a)).To(Equal("3"))
