--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -29,8 +29,8 @@
 
 // Errors of a Fence, found with errors.Is.
 var (
-	ErrFenced = errors.New("fencer: the shard has another owner")
-	ErrOwned  = errors.New("fencer: the owner's record exists")
+	ErrFenced       = errors.New("fencer: the shard has another owner")
+	ErrAlreadyOwned = errors.New("fencer: the owner's record exists")
 	// ErrConditionFailed is returned when the owner's transaction has a condition that
 	// does not hold.
 	ErrConditionFailed = errors.New("fencer: a condition does not hold")
@@ -142,7 +142,7 @@
 		return 0, err
 	}
 	if owner.Daemon != f.Daemon {
-		return 0, ErrOwned
+		return 0, ErrAlreadyOwned
 	}
 	return item.Revision, nil
 }
@@ -181,7 +181,7 @@
 	}
 	defer leave()
 	err = f.offer(ctx, f.record(), tx)
-	if errors.Is(err, ErrOwned) {
+	if errors.Is(err, ErrAlreadyOwned) {
 		return ErrConditionFailed
 	}
 	return err
@@ -223,7 +223,7 @@
 		}
 		if errors.Is(err, storer.ErrConflict) {
 			err = f.settle(ctx, key, fence.Write)
-			if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, ErrOwned) {
+			if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, ErrAlreadyOwned) {
 				return err
 			}
 		}
@@ -253,7 +253,7 @@
 		item = storer.Item{}
 	}
 	if item.Revision == f.revision {
-		return ErrOwned
+		return ErrAlreadyOwned
 	}
 	var present recorder.Fence
 	if err := recorder.Decode(item.Value, &present); err != nil {
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -42,7 +42,7 @@
 		first, second := New("menus", "a", a), New("menus", "b", b)
 		g.Expect(first.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(first.Write(ctx, []string{"w1"}, put("1"), nil)).To(Succeed())
-		g.Expect(second.Claim(ctx, owner(ctx, g, b, "b"))).To(MatchError(ErrOwned))
+		g.Expect(second.Claim(ctx, owner(ctx, g, b, "b"))).To(MatchError(ErrAlreadyOwned))
 		time.Sleep(4 * time.Second) // the first owner's lease lapses
 		g.Expect(second.Claim(ctx, owner(ctx, g, b, "b"))).To(Succeed())
 		g.Expect(second.Epoch).To(Equal(int64(1)))
