--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -235,7 +235,7 @@
 			failing = false
 			m.takeWorkers(list, took)
 		}
-		waiter.Pause(ctx, listInterval)
+		waiter.Sleep(ctx, listInterval)
 	}
 }
 
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -39,7 +39,7 @@
 
 // reviewOwnership claims shards without an owner until ctx ends.
 func (m *Manager) reviewOwnership(ctx context.Context) {
-	for waiter.Pause(ctx, reviewInterval) {
+	for waiter.Sleep(ctx, reviewInterval) {
 		if m.leaving.Load() || m.Catalog().Version == 0 {
 			continue
 		}
@@ -66,7 +66,7 @@
 	if err == nil {
 		return
 	}
-	waiter.Pause(ctx, renewRetry) // the view will show whether another daemon has written it
+	waiter.Sleep(ctx, renewRetry) // the view will show whether another daemon has written it
 }
 
 // claimable lists the shards that this daemon should claim now, and the
@@ -173,7 +173,7 @@
 			return
 		}
 		m.log.Warn().Err(err).Str("shard", t.name).Msg("shard's jobs not loaded")
-		waiter.Pause(limited, renewRetry)
+		waiter.Sleep(limited, renewRetry)
 	}
 	m.log.Warn().Str("shard", t.name).Msg("shard given up: its jobs were not loaded in time")
 	m.removeOwner(ctx, fence)
@@ -299,7 +299,7 @@
 			return
 		}
 		m.log.Warn().Err(err).Str("shard", o.target.name).Msg("ownership not confirmed")
-		waiter.Pause(ctx, renewRetry)
+		waiter.Sleep(ctx, renewRetry)
 	}
 }
 
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -121,7 +121,7 @@
 				f.m.log.Warn().Err(err).Str("prefix", f.prefix).Msg("store not followed")
 			}
 			failing = true
-			waiter.Pause(ctx, delays.NextBackOff())
+			waiter.Sleep(ctx, delays.NextBackOff())
 			continue
 		}
 		delays.Reset()
@@ -132,7 +132,7 @@
 		f.m.reached()
 		take(items, whole)
 		if len(items) > 0 && f.pause > 0 {
-			waiter.Pause(ctx, f.pause)
+			waiter.Sleep(ctx, f.pause)
 		}
 	}
 }
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -221,7 +221,7 @@
 		}
 		r.noteFailure()
 		uncertain = uncertain || classifier.Of(err) != classifier.NotRun
-		if !uncertain || !waiter.Pause(ctx, delays.NextBackOff()) {
+		if !uncertain || !waiter.Sleep(ctx, delays.NextBackOff()) {
 			if uncertain {
 				err = &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no answer", Err: err}
 			}
@@ -248,7 +248,7 @@
 func (r *Receiver) entry(ctx context.Context, id string) (recorder.Entry, int64, error) {
 	delays := newDelays()
 	item, err := r.store.Get(ctx, recorder.JobIndex(id))
-	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Pause(ctx, delays.NextBackOff()) {
+	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Sleep(ctx, delays.NextBackOff()) {
 		item, err = r.store.Get(ctx, recorder.JobIndex(id))
 	}
 	if errors.Is(err, storer.ErrNotFound) {
@@ -286,7 +286,7 @@
 		}
 		if !errors.Is(err, storer.ErrConflict) {
 			r.log.Warn().Err(err).Str("job", id).Msg("cancellation not accepted")
-			if !waiter.Pause(ctx, delays.NextBackOff()) {
+			if !waiter.Sleep(ctx, delays.NextBackOff()) {
 				return r.unreachable(err)
 			}
 		}
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -165,7 +165,7 @@
 		if s.metrics.Ready.Swap(ready) != ready {
 			s.log.Info().Str("part", "server").Bool("ready", ready).Msg("readiness changed")
 		}
-		waiter.Pause(ctx, tickInterval)
+		waiter.Sleep(ctx, tickInterval)
 	}
 }
 
@@ -183,7 +183,7 @@
 			s.members.UpdateHosts(list)
 			s.control.Post(reducer.HostsListed{Hosts: list})
 		}
-		waiter.Pause(ctx, hostsInterval)
+		waiter.Sleep(ctx, hostsInterval)
 	}
 }
 
--- a/internal/operator/server/stop.go
+++ b/internal/operator/server/stop.go
@@ -23,7 +23,7 @@
 		s.metrics.Ready.Store(false)
 		s.members.Leave()
 		s.control.Post(reducer.StopRequested{})
-		waiter.Pause(ctx, balancerTime)
+		waiter.Sleep(ctx, balancerTime)
 		cut = s.forwarder.Drain(ctx)
 		if err := s.callers.Shutdown(ctx); err != nil {
 			s.log.Warn().Str("part", "server").Err(err).Msg("callers cut off")
@@ -73,6 +73,6 @@
 	limited, cancel := context.WithTimeout(ctx, releaseTime)
 	defer cancel()
 	for len(s.table.Load().Owned) > 0 && limited.Err() == nil {
-		waiter.Pause(limited, releasePoll)
+		waiter.Sleep(limited, releasePoll)
 	}
 }
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -227,7 +227,7 @@
 				return err
 			}
 		}
-		if !waiter.Pause(ctx, delays.NextBackOff()) {
+		if !waiter.Sleep(ctx, delays.NextBackOff()) {
 			return err
 		}
 	}
--- a/internal/state/waiter/waiter.go
+++ b/internal/state/waiter/waiter.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Pause waits for d. It reports false when ctx ended first.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d. It reports false when ctx ended first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
