--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -78,7 +78,7 @@
 		Timeout: s.timeout(),
 		Log:     s.log,
 	}, store, s.node, func(c describer.Configuration) {
-		s.holder.SetShards(len(c.Shards))
+		s.holder.SetShardCount(len(c.Shards))
 		post(reducer.Configured{Configuration: c})
 	})
 }
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -151,9 +151,9 @@
 	return true
 }
 
-// SetShards tells the number of shards in the fleet, by which the write budget
+// SetShardCount tells the number of shards in the fleet, by which the write budget
 // is divided.
-func (h *Holder) SetShards(n int) { h.shards.Store(int64(n)) }
+func (h *Holder) SetShardCount(n int) { h.shards.Store(int64(n)) }
 
 // IsValid reports whether the store lease holds for certain, so that nobody
 // else can have claimed this daemon's shards.
--- a/internal/state/holder/target_test.go
+++ b/internal/state/holder/target_test.go
@@ -25,7 +25,7 @@
 		s := faker.New()
 		a := start(s, "a")
 		defer a.stop()
-		a.SetShards(fleetShards)
+		a.SetShardCount(fleetShards)
 		a.client.SetDelay(func(faker.Call) time.Duration { return 5 * time.Millisecond })
 		a.claim()
 		before := a.Calls()
