--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -37,19 +37,19 @@
 
 	It("keeps its shards through an outage and catches up after it", bubble(func() {
 		a.claim()
-		Expect(a.IsValid()).To(BeTrue())
+		Expect(a.IsLeaseValid()).To(BeTrue())
 		a.client.SetDown(true)
 		b.client.SetDown(true)
 		a.append(1, 1, "one")
 		time.Sleep(5 * minute)
 		Expect(a.take()).To(BeEmpty())
-		Expect(a.IsValid()).To(BeFalse())
+		Expect(a.IsLeaseValid()).To(BeFalse())
 		a.append(1, 2, "two")
 		a.client.SetDown(false)
 		b.client.SetDown(false)
 		time.Sleep(10 * time.Second)
 		Expect(a.take()).To(Equal([]reducer.Event{appended(1, 1), appended(1, 2)}))
-		Expect(a.IsValid()).To(BeTrue())
+		Expect(a.IsLeaseValid()).To(BeTrue())
 		Expect(b.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 	}))
 
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -155,9 +155,9 @@
 // is divided.
 func (h *Holder) SetShardCount(n int) { h.shards.Store(int64(n)) }
 
-// IsValid reports whether the store lease holds for certain, so that nobody
+// IsLeaseValid reports whether the store lease holds for certain, so that nobody
 // else can have claimed this daemon's shards.
-func (h *Holder) IsValid() bool { return h.lease.IsValid() }
+func (h *Holder) IsLeaseValid() bool { return h.lease.IsValid() }
 
 // Calls returns the store calls made so far, by operation.
 func (h *Holder) Calls() map[string]int64 { return h.store.calls() }
