--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -159,8 +159,8 @@
 // else can have claimed this daemon's shards.
 func (h *Holder) IsLeaseValid() bool { return h.lease.IsValid() }
 
-// Calls returns the store calls made so far, by operation.
-func (h *Holder) Calls() map[string]int64 { return h.store.calls() }
+// StoreCalls returns the store calls made so far, by operation.
+func (h *Holder) StoreCalls() map[string]int64 { return h.store.calls() }
 
 // Close ends the holder and revokes its lease, so that others can claim at
 // once. Appends that wait are dropped; Release shards first to keep them.
--- a/internal/state/holder/target_test.go
+++ b/internal/state/holder/target_test.go
@@ -28,7 +28,7 @@
 		a.SetShardCount(fleetShards)
 		a.client.SetDelay(func(faker.Call) time.Duration { return 5 * time.Millisecond })
 		a.claim()
-		before := a.Calls()
+		before := a.StoreCalls()
 		rate := startRate / fleetShards
 		batches := int64(rate * seconds * perStart)
 		for i := range batches {
@@ -37,7 +37,7 @@
 		}
 		time.Sleep(time.Second)
 		Expect(a.take()).To(HaveLen(int(batches)))
-		calls := a.Calls()
+		calls := a.StoreCalls()
 		swaps := float64(calls["swap"]-before["swap"]) / seconds * fleetShards
 		renewals := float64(calls["renew"]-before["renew"]) / seconds * fleetShards
 		reads := float64(calls["get"]-before["get"]) / seconds * fleetShards
