--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -51,13 +51,13 @@
 
 // Options configure a Holder. Zero values take the defaults.
 type Options struct {
-	Daemon  string        // name in membership
-	Address string        // for peers, ip:port
-	TTL     time.Duration // of the store lease
-	Margin  time.Duration // for clock drift; 0 is a tenth of TTL
-	Timeout time.Duration // of one store call
-	Budget  float64       // segment writes a second of the whole fleet
-	Log     zerolog.Logger
+	Daemon      string        // name in membership
+	Address     string        // for peers, ip:port
+	TTL         time.Duration // of the store lease
+	Margin      time.Duration // for clock drift; 0 is a tenth of TTL
+	Timeout     time.Duration // of one store call
+	WriteBudget float64       // segment writes a second of the whole fleet
+	Log         zerolog.Logger
 }
 
 // Holder owns shards. Do never blocks; events come from one goroutine, in
@@ -190,7 +190,7 @@
 		n = int64(len(h.seats))
 		h.mu.Unlock()
 	}
-	return time.Duration(float64(n) / h.options.Budget * float64(time.Second))
+	return time.Duration(float64(n) / h.options.WriteBudget * float64(time.Second))
 }
 
 // post queues an event; h.mu is held.
@@ -229,7 +229,7 @@
 	if o.Timeout <= 0 {
 		o.Timeout = DefaultTimeout
 	}
-	if o.Budget <= 0 {
-		o.Budget = DefaultBudget
+	if o.WriteBudget <= 0 {
+		o.WriteBudget = DefaultBudget
 	}
 }
