--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -44,9 +44,9 @@
 
 // Defaults of Options.
 const (
-	DefaultTTL     = 10 * time.Second
-	DefaultBudget  = 250.0
-	DefaultTimeout = 5 * time.Second
+	DefaultTTL         = 10 * time.Second
+	DefaultWriteBudget = 250.0
+	DefaultTimeout     = 5 * time.Second
 )
 
 // Options configure a Holder. Zero values take the defaults.
@@ -230,6 +230,6 @@
 		o.Timeout = DefaultTimeout
 	}
 	if o.WriteBudget <= 0 {
-		o.WriteBudget = DefaultBudget
+		o.WriteBudget = DefaultWriteBudget
 	}
 }
