--- a/internal/state/holder/owner.go
+++ b/internal/state/holder/owner.go
@@ -22,7 +22,7 @@
 
 func (e *takenError) Error() string { return "holder: shard is owned by " + e.owner }
 
-func ownerKey(shard string) string { return journaler.Key(shard, "owner") }
+func ownerKey(shard string) string { return journaler.ShardKey(shard, "owner") }
 
 // take writes the owner record under a lease and returns its revision. A
 // record of this very instance, left by a lost answer or bound to an earlier
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -265,7 +265,7 @@
 			b.Save(i, []byte("state"))
 			synctest.Wait()
 		}
-		Expect(store.Items(journaler.Key(shard, "snapshot/"))).To(HaveLen(1))
+		Expect(store.Items(journaler.ShardKey(shard, "snapshot/"))).To(HaveLen(1))
 	}))
 })
 
--- a/internal/state/journaler/layout.go
+++ b/internal/state/journaler/layout.go
@@ -9,17 +9,17 @@
 // Prefix is the common prefix of all keys of shards.
 const Prefix = "shards/"
 
-// Key returns the key of a shard with the given name below it, such as the
+// ShardKey returns the key of a shard with the given name below it, such as the
 // owner record that the holder keeps.
-func Key(shard, name string) string { return Prefix + url.PathEscape(shard) + "/" + name }
+func ShardKey(shard, name string) string { return Prefix + url.PathEscape(shard) + "/" + name }
 
-func headKey(shard string) string { return Key(shard, "head") }
+func headKey(shard string) string { return ShardKey(shard, "head") }
 
-func slotPrefix(shard string) string { return Key(shard, "log/") }
+func slotPrefix(shard string) string { return ShardKey(shard, "log/") }
 
 func slotKey(shard string, slot int) string { return slotPrefix(shard) + strconv.Itoa(slot) }
 
-func snapshotPrefix(shard string) string { return Key(shard, "snapshot/") }
+func snapshotPrefix(shard string) string { return ShardKey(shard, "snapshot/") }
 
 func chunkKey(shard, name string, chunk int) string {
 	return fmt.Sprintf("%s%s/%d", snapshotPrefix(shard), name, chunk)
