--- a/internal/state/journaler/layout.go
+++ b/internal/state/journaler/layout.go
@@ -6,12 +6,12 @@
 	"strconv"
 )
 
-// Prefix is the common prefix of all keys of shards.
-const Prefix = "shards/"
+// KeyPrefix is the common prefix of all keys of shards.
+const KeyPrefix = "shards/"
 
 // ShardKey returns the key of a shard with the given name below it, such as the
 // owner record that the holder keeps.
-func ShardKey(shard, name string) string { return Prefix + url.PathEscape(shard) + "/" + name }
+func ShardKey(shard, name string) string { return KeyPrefix + url.PathEscape(shard) + "/" + name }
 
 func headKey(shard string) string { return ShardKey(shard, "head") }
 
