--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -49,7 +49,7 @@
 			c.seen[name] = revision
 		},
 		Log: zerolog.Nop(),
-	}, c.network.Node(name), func([]reducer.Peer) {})
+	}, c.network.AddNode(name), func([]reducer.Peer) {})
 	c.hosts[name] = g
 	return g
 }
@@ -141,7 +141,7 @@
 
 	It("reports nothing when the shards stay the same", virtual(func() {
 		network, reports := faker.NewNetwork(), 0
-		g := gossiper.New(gossiper.Options{Self: reducer.Peer{Name: "a"}, Log: zerolog.Nop()}, network.Node("a"),
+		g := gossiper.New(gossiper.Options{Self: reducer.Peer{Name: "a"}, Log: zerolog.Nop()}, network.AddNode("a"),
 			func([]reducer.Peer) { reports++ })
 		defer g.Close()
 		for range 3 {
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -60,7 +60,7 @@
 		h.client.SetDown(down)
 		h.Distributor = distributor.New(
 			distributor.Options{Daemon: name, Domain: domain, Log: zerolog.New(GinkgoWriter).With().Str("host", name).Logger()},
-			h.client, f.network.Node(name), func(c describer.Configuration) {
+			h.client, f.network.AddNode(name), func(c describer.Configuration) {
 				h.mu.Lock()
 				defer h.mu.Unlock()
 				h.revisions = append(h.revisions, c.Revision)
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -100,7 +100,7 @@
 			f.propose("a/1", fmt.Sprint("team ", i))
 		}
 		time.Sleep(5 * time.Second)
-		old := f.network.Node("old")
+		old := f.network.AddNode("old")
 		whole := map[string]any{"revision": 3, "whole": map[string]any{"revision": 3}}
 		Expect(old.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
 		for _, h := range f.hosts {
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -21,8 +21,8 @@
 	return &Network{nodes: map[string]*Node{}, cut: map[[2]string]bool{}}
 }
 
-// Node returns the node at an address, a new one in place of an older.
-func (n *Network) Node(address string) *Node {
+// AddNode returns the node at an address, a new one in place of an older.
+func (n *Network) AddNode(address string) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	node := &Node{Address: address, network: n, handlers: map[string]messenger.Handler{}}
