--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -61,7 +61,7 @@
 }
 
 func (c *cluster) stop(name string) {
-	c.network.Remove(name)
+	c.network.RemoveNode(name)
 	c.hosts[name].Close()
 	<-c.hosts[name].Done
 	c.gone += c.hosts[name].Sent()
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -84,7 +84,7 @@
 
 func (f *fleet) stop(names ...string) {
 	for _, name := range names {
-		f.network.Remove(name)
+		f.network.RemoveNode(name)
 		f.hosts[name].Close()
 		<-f.hosts[name].Done
 		delete(f.hosts, name)
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -30,8 +30,8 @@
 	return node
 }
 
-// Remove ends the node at an address; calls to it fail at once with NotRun.
-func (n *Network) Remove(address string) {
+// RemoveNode ends the node at an address; calls to it fail at once with NotRun.
+func (n *Network) RemoveNode(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, address)
