--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -122,8 +122,8 @@
 	return json.Unmarshal(b, result)
 }
 
-// At returns the node at an address, or nil.
-func (n *Network) At(address string) *Node {
+// NodeAt returns the node at an address, or nil.
+func (n *Network) NodeAt(address string) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[address]
