--- a/internal/peer/gossiper/failure_test.go
+++ b/internal/peer/gossiper/failure_test.go
@@ -33,7 +33,7 @@
 	It("keeps a member that only some hosts cannot reach", bubble(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
-		c.network.Cut("d0/0", "d1/1", true)
+		c.network.SetPartitioned("d0/0", "d1/1", true)
 		for range 60 {
 			time.Sleep(time.Second)
 			Expect(c.views()).To(HaveEach(all))
@@ -46,7 +46,7 @@
 		cut := func(cut bool) {
 			for _, a := range []string{"d0/0", "d0/3"} {
 				for _, b := range []string{"d1/1", "d2/2"} {
-					c.network.Cut(a, b, cut)
+					c.network.SetPartitioned(a, b, cut)
 				}
 			}
 		}
@@ -63,7 +63,7 @@
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
-			c.network.Cut("d1/1", other, true)
+			c.network.SetPartitioned("d1/1", other, true)
 		}
 		time.Sleep(10 * time.Second)
 		Expect(c.views()).To(HaveKeyWithValue("d1/1", all))
--- a/internal/peer/gossiper/refute_test.go
+++ b/internal/peer/gossiper/refute_test.go
@@ -19,11 +19,11 @@
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
-			c.network.Cut("d1/1", other, true)
+			c.network.SetPartitioned("d1/1", other, true)
 		}
 		time.Sleep(4 * time.Second) // suspected, not dead yet
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
-			c.network.Cut("d1/1", other, false)
+			c.network.SetPartitioned("d1/1", other, false)
 		}
 		for range 30 {
 			time.Sleep(time.Second)
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -57,12 +57,12 @@
 		f.start("a/1", "a/2")
 		f.propose("a/1", "one")
 		time.Sleep(5 * time.Second)
-		f.network.Cut("a/3", "a/1", true)
-		f.network.Cut("a/3", "a/2", true)
+		f.network.SetPartitioned("a/3", "a/1", true)
+		f.network.SetPartitioned("a/3", "a/2", true)
 		f.startDown("a/3")
 		time.Sleep(time.Minute)
 		Expect(f.hosts["a/3"].IsReady()).To(BeFalse())
-		f.network.Cut("a/3", "a/2", false)
+		f.network.SetPartitioned("a/3", "a/2", false)
 		time.Sleep(10 * time.Second)
 		Expect(f.hosts["a/3"].IsReady()).To(BeTrue())
 		Expect(f.revisions()).To(HaveEach(int64(1)))
@@ -114,18 +114,18 @@
 
 	It("brings a host that missed many changes up to date with the whole", bubble(func() {
 		f.start("a/1", "a/2")
-		f.network.Cut("a/1", "a/2", true)
+		f.network.SetPartitioned("a/1", "a/2", true)
 		f.setDown(true, "a/2")
 		for i := range 100 {
 			f.propose("a/1", fmt.Sprint("team ", i))
 		}
-		f.network.Cut("a/1", "a/2", false)
+		f.network.SetPartitioned("a/1", "a/2", false)
 		f.heartbeats()
 		time.Sleep(5 * time.Second)
 		Expect(f.revisions()).To(HaveEach(int64(100)))
 		Expect(f.hosts["a/2"].Current()).To(Equal(f.hosts["a/1"].Current()))
 		for _, name := range []string{"a/1", "a/2"} {
-			f.network.Cut("b/1", name, true)
+			f.network.SetPartitioned("b/1", name, true)
 		}
 		f.start("b/1")
 		time.Sleep(5 * time.Second)
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -37,9 +37,9 @@
 	delete(n.nodes, address)
 }
 
-// Cut separates two addresses or joins them again. Calls between separated
+// SetPartitioned separates two addresses or joins them again. Calls between separated
 // addresses end with their context.
-func (n *Network) Cut(a, b string, cut bool) {
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}] = cut
