--- a/internal/state/distributor/target_test.go
+++ b/internal/state/distributor/target_test.go
@@ -113,7 +113,7 @@
 	synctest.Wait()
 	out := map[string]int64{}
 	for name := range f.hosts {
-		out[name] = f.network.NodeAt(name).Sent()
+		out[name] = f.network.NodeAt(name).SentBytes()
 	}
 	return out
 }
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -69,8 +69,8 @@
 	n.handlers[method] = h
 }
 
-// Sent returns the bytes of params and answers sent.
-func (n *Node) Sent() int64 {
+// SentBytes returns the bytes of params and answers sent.
+func (n *Node) SentBytes() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
