--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -17,7 +17,7 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 // cluster is a set of gossipers, named by their addresses domain/number.
 type cluster struct {
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -20,7 +20,7 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 var ctx = context.Background()
 
--- a/internal/state/faker/bubble.go
+++ b/internal/state/faker/bubble.go
@@ -5,9 +5,9 @@
 	"testing/synctest"
 )
 
-// Virtual wraps the body of a spec so that it runs in a bubble with virtual
+// WithVirtualTime wraps the body of a spec so that it runs in a bubble with virtual
 // time. A failed expectation panics, which is carried out of the bubble.
-func Virtual(t **testing.T, f func()) func() {
+func WithVirtualTime(t **testing.T, f func()) func() {
 	return func() {
 		var failure any
 		synctest.Test(*t, func(*testing.T) {
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -110,7 +110,7 @@
 	return out
 }
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 var _ = Describe("Holder", func() {
 	It("claims, appends and hands over", virtual(func() {
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -23,7 +23,7 @@
 
 var ctx = context.Background()
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 // writer is an open ledger with what it reported.
 type writer struct {
--- a/internal/state/leaser/leaser_test.go
+++ b/internal/state/leaser/leaser_test.go
@@ -24,7 +24,7 @@
 	var ended *atomic.Int32
 
 	bubble := func(f func()) func() {
-		return faker.Virtual(&current, func() {
+		return faker.WithVirtualTime(&current, func() {
 			client, ended = faker.New().Client("a"), &atomic.Int32{}
 			lease = leaser.New(leaser.Options{
 				TTL: ttl, Margin: margin, Log: zerolog.Nop(),
