--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -143,7 +143,7 @@
 			return faker.Succeed
 		})
 		g.Expect(r.Submit(context.Background(), queue, testJob())).To(Succeed())
-		g.Expect(store.Count("commit")).To(Equal(int64(2)))
+		g.Expect(store.CallCount("commit")).To(Equal(int64(2)))
 	})
 }
 
@@ -154,7 +154,7 @@
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
-		g.Expect(store.Count("commit")).To(BeZero())
+		g.Expect(store.CallCount("commit")).To(BeZero())
 	})
 }
 
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -132,7 +132,7 @@
 		Expect(f.revisions()).To(HaveEach(int64(2)))
 		watching := 0
 		for _, h := range f.hosts {
-			if h.client.Count("watch") > 0 {
+			if h.client.CallCount("watch") > 0 {
 				watching++
 			}
 		}
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -85,7 +85,7 @@
 		f.propose("b/1", "one")
 		time.Sleep(5 * time.Second)
 		for name, h := range f.hosts {
-			if strings.HasPrefix(name, "a/") && h.client.Count("watch") > 0 {
+			if strings.HasPrefix(name, "a/") && h.client.CallCount("watch") > 0 {
 				h.client.SetDown(true)
 			}
 		}
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -178,8 +178,8 @@
 	c.down = down
 }
 
-// Count returns the calls made, by operation.
-func (c *Client) Count(operation string) int64 {
+// CallCount returns the calls made, by operation.
+func (c *Client) CallCount(operation string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count[operation]
--- a/internal/state/leaser/leaser_test.go
+++ b/internal/state/leaser/leaser_test.go
@@ -49,7 +49,7 @@
 		time.Sleep(time.Minute)
 		Expect(lease.IsValid()).To(BeTrue())
 		Expect(acquire()).To(Equal(id))
-		Expect(client.Count("renew")).To(BeNumerically("<=", 21))
+		Expect(client.CallCount("renew")).To(BeNumerically("<=", 21))
 	}))
 
 	It("counts from the time at which the renewal was sent", bubble(func() {
