--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -1,17 +1,19 @@
-// Package fencer orders the writes of a shard's owners.
+// Package fencer makes sure that only the current owner of a shard can write
+// the shard's state to the store.
 //
 // # Model
 //
-// A shard has a fence: a key that every write of its owner replaces, together
-// with what is written. Each write expects the revision that the one before
-// left behind. A claim is such a write too, so the first write of a new owner
-// ends those of the former one. A write is offered until its outcome is known:
-// after a lost answer the same transaction is offered again, which cannot take
-// effect twice, and a conflict is settled by reading the fence back.
+// Each shard has a fence, a key that every write of the owner replaces in the
+// same transaction as the data. The transaction requires the revision that the
+// owner's previous write gave the fence. A claim replaces the fence too, so
+// from then on all writes of the previous owner fail. A transaction is retried
+// until its outcome is known: after a lost response the same transaction is
+// sent again, which cannot take effect twice, and after a conflict the fence is
+// read to find out which write replaced it.
 //
 //	f := fencer.New("menus/seq-bne", "bne-1", store)
-//	if err := f.Claim(ctx, ownerWrite); err != nil { ... } // ErrOwned, ErrFenced
-//	err := f.Write(ctx, workers, puts, removes)            // ErrFenced: another owner
+//	if err := f.Claim(ctx, ownerWrite); err != nil { ... } // ErrAlreadyOwned, ErrFenced
+//	err := f.Write(ctx, workers, puts, removes)            // ErrFenced: another owner has claimed the shard
 package fencer
 
 import (
@@ -27,109 +29,120 @@
 	"dotterelcart.dev/dotterelcart/internal/state/waiter"
 )
 
-// Errors of a Fence, found with errors.Is.
+// Errors returned by a Fence, to be tested with errors.Is.
 var (
-	ErrFenced       = errors.New("fencer: the shard has another owner")
-	ErrAlreadyOwned = errors.New("fencer: the owner's record exists")
-	// ErrConditionFailed is returned when the owner's transaction has a condition that
-	// does not hold.
-	ErrConditionFailed = errors.New("fencer: a condition does not hold")
+	// ErrFenced is returned when another owner has claimed the shard.
+	ErrFenced = errors.New("fencer: shard has another owner")
+	// ErrAlreadyOwned is returned when the owner record of the shard exists.
+	ErrAlreadyOwned = errors.New("fencer: owner record already exists")
+	// ErrConditionFailed is returned by Commit when a condition of the
+	// caller's transaction does not hold.
+	ErrConditionFailed = errors.New("fencer: transaction condition does not hold")
 )
 
-// Delays between offers of one write.
 const (
-	firstRetry = 50 * time.Millisecond
-	maxRetry   = time.Second
-	offerTime  = 1500 * time.Millisecond // for one call; an answer may be lost for good
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
+
+	// attemptTimeout bounds one store call, since its response may never come.
+	attemptTimeout = 1500 * time.Millisecond
 )
 
-// Store is the part of the store that a fence uses.
+// Store is the subset of the store operations that a fence uses.
 type Store interface {
 	storer.Committer
 	Get(ctx context.Context, key string) (storer.Item, error)
 }
 
-// Fence is the fence of one shard as one daemon sees it.
+// Fence is a daemon's access to the fence of one shard. Its methods may be
+// called concurrently. Claim sets the fields below Daemon, and Write replaces
+// Workers.
 type Fence struct {
 	Shard  string
 	Daemon string
-	Token  int64 // revision of the claim; rises over all owners of all shards
-	Epoch  int64 // claims before this one
+	Token  int64 // fencing token: store revision of the claim, increases across all shards
+	Epoch  int64 // number of earlier claims of the shard
 
-	// Workers are those that may have runs; the claim fills it with those of
-	// the former owner.
+	// Workers are the workers that may have runs of the shard. Claim sets it to
+	// those that the previous owner recorded.
 	Workers []string
 
-	Released  bool                // the former owner had stopped as planned when this one claimed
-	Leftovers []recorder.Leftover // after such a stop: for how long leases on Workers may go on
+	// Released reports whether the previous owner released the shard in a
+	// planned stop. Leftovers then says how long leases may still be valid on
+	// each of Workers.
+	Released  bool
+	Leftovers []recorder.Leftover
 
-	store    Store
-	turn     chan struct{} // held by the goroutine that writes
-	revision int64
+	store     Store
+	writeLock chan struct{} // holds one value while a write is in progress
+	revision  int64         // store revision of the fence after the last write
 }
 
-// New returns a fence that is not claimed.
+// New returns a fence of the shard for the daemon. The shard is not claimed yet.
 func New(shard, daemon string, store Store) *Fence {
-	return &Fence{Shard: shard, Daemon: daemon, store: store, turn: make(chan struct{}, 1)}
+	return &Fence{Shard: shard, Daemon: daemon, store: store, writeLock: make(chan struct{}, 1)}
 }
 
-// enter waits for the writes before this one. The result ends the turn.
-func (f *Fence) enter(ctx context.Context) (leave func(), err error) {
+// lock waits until no other write is in progress, or ctx ends.
+func (f *Fence) lock(ctx context.Context) (unlock func(), err error) {
 	select {
-	case f.turn <- struct{}{}:
-		return func() { <-f.turn }, nil
+	case f.writeLock <- struct{}{}:
+		return func() { <-f.writeLock }, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Claim makes the daemon the owner, unless another's record exists. A record
-// of the daemon's own name is that of its former life, which has ended.
+// Claim makes the daemon the owner of the shard by writing the owner record. It
+// returns ErrAlreadyOwned if another daemon's owner record exists. A record
+// with the daemon's own name is replaced: an earlier process of the daemon
+// wrote it, and that process has ended.
 func (f *Fence) Claim(ctx context.Context, owner storer.Write) error {
-	leave, err := f.enter(ctx)
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer unlock()
 	item, err := f.store.Get(ctx, recorder.FenceKey(f.Shard))
-	var former recorder.Fence
+	var previous recorder.Fence
 	switch {
 	case errors.Is(err, storer.ErrNotFound):
-		former.Epoch = -1
+		previous.Epoch = -1
 	case err != nil:
 		return err
 	default:
-		if err := recorder.Decode(item.Value, &former); err != nil {
+		if err := recorder.Decode(item.Value, &previous); err != nil {
 			return err
 		}
 	}
 	f.revision = item.Revision
-	f.Epoch = former.Epoch + 1
-	f.Workers, f.Released, f.Leftovers = former.Workers, former.Released, former.Leftovers
+	f.Epoch = previous.Epoch + 1
+	f.Workers, f.Released, f.Leftovers = previous.Workers, previous.Released, previous.Leftovers
 	for _, left := range f.Leftovers {
 		f.Workers = append(f.Workers, left.Worker)
 	}
-	revision, err := f.formerRecord(ctx, owner.Key)
+	ownerRevision, err := f.replaceableRevision(ctx, owner.Key)
 	if err != nil {
 		return err
 	}
 	tx := storer.Transaction{
-		If: []storer.Condition{{Key: owner.Key, Revision: revision}},
+		If: []storer.Condition{{Key: owner.Key, Revision: ownerRevision}},
 		Put: []storer.Write{owner, {
 			Key:   recorder.ClaimKey(f.Shard),
 			Value: recorder.Encode(recorder.Claim{Daemon: f.Daemon, Epoch: f.Epoch}),
 		}},
 	}
-	if err := f.offer(ctx, f.record(), tx); err != nil {
+	if err := f.commitWithRetry(ctx, f.newRecord(), tx); err != nil {
 		return err
 	}
 	f.Token = f.revision
 	return nil
 }
 
-// formerRecord is the revision of the owner's record if it is that of a former
-// life of this daemon, otherwise 0.
-func (f *Fence) formerRecord(ctx context.Context, key string) (int64, error) {
+// replaceableRevision returns the revision of the owner record if an earlier
+// process of this daemon wrote it, and 0 if there is no owner record. It
+// returns ErrAlreadyOwned if the record is another daemon's.
+func (f *Fence) replaceableRevision(ctx context.Context, key string) (int64, error) {
 	item, err := f.store.Get(ctx, key)
 	if errors.Is(err, storer.ErrNotFound) {
 		return 0, nil
@@ -147,73 +160,78 @@
 	return item.Revision, nil
 }
 
-// RestoreOwner writes the owner's record anew after its lease was lost.
+// RestoreOwner writes the owner record again after the store deleted it along
+// with its lease. It returns ErrAlreadyOwned if the record exists.
 func (f *Fence) RestoreOwner(ctx context.Context, owner storer.Write) error {
-	leave, err := f.enter(ctx)
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	return f.offer(ctx, f.record(), storer.Transaction{
+	defer unlock()
+	return f.commitWithRetry(ctx, f.newRecord(), storer.Transaction{
 		If:  []storer.Condition{{Key: owner.Key}},
 		Put: []storer.Write{owner},
 	})
 }
 
-// Write makes puts and removes durable. It returns when the outcome is known,
-// or when ctx ends.
+// Write stores puts, deletes the keys in removes and records workers as those
+// that may have runs. It returns when the outcome is known, or when ctx ends.
 func (f *Fence) Write(ctx context.Context, workers []string, puts []storer.Write, removes []string) error {
-	leave, err := f.enter(ctx)
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer unlock()
 	f.Workers = workers
-	return f.offer(ctx, f.record(), storer.Transaction{Put: puts, Remove: removes})
+	return f.commitWithRetry(ctx, f.newRecord(), storer.Transaction{Put: puts, Remove: removes})
 }
 
-// Commit makes a transaction durable, or returns ErrRefused if a condition of its
-// own does not hold.
+// Commit applies tx if this daemon still owns the shard. It returns
+// ErrConditionFailed if a condition in tx does not hold.
 func (f *Fence) Commit(ctx context.Context, tx storer.Transaction) error {
-	leave, err := f.enter(ctx)
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	err = f.offer(ctx, f.record(), tx)
+	defer unlock()
+	err = f.commitWithRetry(ctx, f.newRecord(), tx)
 	if errors.Is(err, ErrAlreadyOwned) {
 		return ErrConditionFailed
 	}
 	return err
 }
 
-// Release takes the owner's record away, so that another may claim at once.
-// The next owner learns of the workers that may have runs.
-func (f *Fence) Release(ctx context.Context, owner string, left []recorder.Leftover) error {
-	leave, err := f.enter(ctx)
+// Release deletes the owner record at ownerKey, so that another daemon can
+// claim the shard at once. The next owner reads leftovers, the workers that may
+// still have runs, from the fence.
+func (f *Fence) Release(ctx context.Context, ownerKey string, leftovers []recorder.Leftover) error {
+	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	record := f.record()
-	record.Workers, record.Released, record.Leftovers = nil, true, left
-	return f.offer(ctx, record, storer.Transaction{Remove: []string{owner}})
+	defer unlock()
+	record := f.newRecord()
+	record.Workers, record.Released, record.Leftovers = nil, true, leftovers
+	return f.commitWithRetry(ctx, record, storer.Transaction{Remove: []string{ownerKey}})
 }
 
-func (f *Fence) record() recorder.Fence {
+// newRecord returns the value of the fence for the next write. The random id in
+// Write tells this write from all others.
+func (f *Fence) newRecord() recorder.Fence {
 	return recorder.Fence{Owner: f.Daemon, Epoch: f.Epoch, Write: uuid.NewString(), Workers: f.Workers}
 }
 
-// offer repeats a write until its outcome is known.
-func (f *Fence) offer(ctx context.Context, fence recorder.Fence, tx storer.Transaction) error {
+// commitWithRetry adds the fence to tx and retries the transaction until its
+// outcome is known or ctx ends.
+func (f *Fence) commitWithRetry(ctx context.Context, fence recorder.Fence, tx storer.Transaction) error {
 	key := recorder.FenceKey(f.Shard)
 	tx.If = append([]storer.Condition{{Key: key, Revision: f.revision}}, tx.If...)
 	tx.Put = append([]storer.Write{{Key: key, Value: recorder.Encode(fence)}}, tx.Put...)
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval = firstRetry
-	delays.MaxInterval = maxRetry
+	delays.InitialInterval = initialRetryDelay
+	delays.MaxInterval = maxRetryDelay
 	for {
-		revision, err := f.commit(ctx, tx)
+		revision, err := f.tryCommit(ctx, tx)
 		if err == nil {
 			f.revision = revision
 			return nil
@@ -222,7 +240,7 @@
 			return err
 		}
 		if errors.Is(err, storer.ErrConflict) {
-			err = f.settle(ctx, key, fence.Write)
+			err = f.resolveConflict(ctx, key, fence.Write)
 			if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, ErrAlreadyOwned) {
 				return err
 			}
@@ -233,19 +251,21 @@
 	}
 }
 
-// commit makes one offer.
-func (f *Fence) commit(ctx context.Context, tx storer.Transaction) (int64, error) {
-	limited, cancel := context.WithTimeout(ctx, offerTime)
+// tryCommit sends the transaction once.
+func (f *Fence) tryCommit(ctx context.Context, tx storer.Transaction) (int64, error) {
+	callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return f.store.Commit(limited, tx)
+	return f.store.Commit(callCtx, tx)
 }
 
-// settle reads the fence back after a conflict: the write may be an earlier
-// offer's, or the fence may be unchanged and the other condition have failed.
-func (f *Fence) settle(ctx context.Context, key, write string) error {
-	limited, cancel := context.WithTimeout(ctx, offerTime)
+// resolveConflict reads the fence after a conflict. It returns nil if an
+// earlier attempt of this write took effect, ErrAlreadyOwned if the fence is
+// unchanged, so that another condition of the transaction failed, and ErrFenced
+// if another owner has replaced the fence.
+func (f *Fence) resolveConflict(ctx context.Context, key, writeID string) error {
+	callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	item, err := f.store.Get(limited, key)
+	item, err := f.store.Get(callCtx, key)
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return err
 	}
@@ -255,11 +275,11 @@
 	if item.Revision == f.revision {
 		return ErrAlreadyOwned
 	}
-	var present recorder.Fence
-	if err := recorder.Decode(item.Value, &present); err != nil {
+	var current recorder.Fence
+	if err := recorder.Decode(item.Value, &current); err != nil {
 		return err
 	}
-	if present.Write == write {
+	if current.Write == writeID {
 		f.revision = item.Revision
 		return nil
 	}
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -13,13 +13,14 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// inBubble runs a spec in virtual time.
+// inBubble runs a test in a synctest bubble, which has virtual time.
 func inBubble(t *testing.T, spec func(t *testing.T, g Gomega, store *faker.Store)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { spec(t, NewWithT(t), faker.New()) })
 }
 
-func owner(ctx context.Context, g Gomega, client *faker.Client, daemon string) storer.Write {
+// ownerWrite returns a write of the owner record, bound to a new lease of 3 s.
+func ownerWrite(ctx context.Context, g Gomega, client *faker.Client, daemon string) storer.Write {
 	lease, err := client.Grant(ctx, 3*time.Second)
 	g.Expect(err).NotTo(HaveOccurred())
 	return storer.Write{
@@ -27,8 +28,10 @@
 	}
 }
 
+// put returns a write of text to the key "k".
 func put(text string) []storer.Write { return []storer.Write{{Key: "k", Value: []byte(text)}} }
 
+// valueOf returns the text at the key "k".
 func valueOf(ctx context.Context, g Gomega, client *faker.Client) string {
 	item, err := client.Get(ctx, "k")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -40,11 +43,11 @@
 		ctx := t.Context()
 		a, b := store.Client("a"), store.Client("b")
 		first, second := New("menus", "a", a), New("menus", "b", b)
-		g.Expect(first.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(first.Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(first.Write(ctx, []string{"w1"}, put("1"), nil)).To(Succeed())
-		g.Expect(second.Claim(ctx, owner(ctx, g, b, "b"))).To(MatchError(ErrAlreadyOwned))
-		time.Sleep(4 * time.Second) // the first owner's lease lapses
-		g.Expect(second.Claim(ctx, owner(ctx, g, b, "b"))).To(Succeed())
+		g.Expect(second.Claim(ctx, ownerWrite(ctx, g, b, "b"))).To(MatchError(ErrAlreadyOwned))
+		time.Sleep(4 * time.Second) // the first owner's lease expires
+		g.Expect(second.Claim(ctx, ownerWrite(ctx, g, b, "b"))).To(Succeed())
 		g.Expect(second.Epoch).To(Equal(int64(1)))
 		g.Expect(second.Token).To(BeNumerically(">", first.Token))
 		g.Expect(second.Workers).To(Equal([]string{"w1"}))
@@ -58,7 +61,7 @@
 		ctx := t.Context()
 		a := store.Client("a")
 		f := New("menus", "a", a)
-		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(f.Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 		lost := 0
 		a.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && lost < 2 {
@@ -78,32 +81,33 @@
 		ctx := t.Context()
 		a := store.Client("a")
 		f := New("menus", "a", a)
-		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(f.Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 		a.SetDown(true)
 		time.AfterFunc(30*time.Second, func() { a.SetDown(false) })
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
-		g.Expect(f.RestoreOwner(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(f.RestoreOwner(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(valueOf(ctx, g, a)).To(Equal("1"))
 	})
 }
 
-// TestReleaseIsForTheNextOwnerOnly hands over how long the leases go on; an
-// owner that then dies has not said so of its own.
+// A release tells the next owner how long leases may still be valid. If that
+// owner then dies without a release, the owner after it must not take the old
+// release for one of its predecessor.
 func TestReleaseIsForTheNextOwnerOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
 		client := store.Client("a")
 		key := recorder.OwnerKey("menus")
 		first, second, third := New("menus", "a", client), New("menus", "b", client), New("menus", "c", client)
-		g.Expect(first.Claim(ctx, owner(ctx, g, client, "a"))).To(Succeed())
+		g.Expect(first.Claim(ctx, ownerWrite(ctx, g, client, "a"))).To(Succeed())
 		left := []recorder.Leftover{{Worker: "w1", Lapse: 6 * time.Second}}
 		g.Expect(first.Release(ctx, key, left)).To(Succeed())
-		g.Expect(second.Claim(ctx, owner(ctx, g, client, "b"))).To(Succeed())
+		g.Expect(second.Claim(ctx, ownerWrite(ctx, g, client, "b"))).To(Succeed())
 		g.Expect(second.Released).To(BeTrue())
 		g.Expect(second.Leftovers).To(Equal(left))
 		g.Expect(second.Workers).To(Equal([]string{"w1"}))
-		time.Sleep(4 * time.Second) // the second owner's lease lapses
-		g.Expect(third.Claim(ctx, owner(ctx, g, client, "c"))).To(Succeed())
+		time.Sleep(4 * time.Second) // the second owner's lease expires
+		g.Expect(third.Claim(ctx, ownerWrite(ctx, g, client, "c"))).To(Succeed())
 		g.Expect(third.Released).To(BeFalse())
 		g.Expect(third.Workers).To(Equal([]string{"w1"}))
 	})
@@ -114,7 +118,7 @@
 		ctx := t.Context()
 		a := store.Client("a")
 		f := New("menus", "a", a)
-		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(f.Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
 		g.Expect(f.Commit(ctx, storer.Transaction{If: []storer.Condition{{Key: "k"}}, Put: put("2")})).To(MatchError(ErrConditionFailed))
 		g.Expect(valueOf(ctx, g, a)).To(Equal("1"))
@@ -127,15 +131,15 @@
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
 		a := store.Client("a")
-		g.Expect(New("menus", "a", a).Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
-		g.Expect(New("menus", "a", a).Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(New("menus", "a", a).Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
+		g.Expect(New("menus", "a", a).Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
 	})
 }
 
 func TestClaimEndsWithItsContext(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		a := store.Client("a")
-		write := owner(t.Context(), g, a, "a")
+		write := ownerWrite(t.Context(), g, a, "a")
 		a.SetDown(true)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -143,16 +147,16 @@
 	})
 }
 
-// mute is a store that carries out the first write and never answers it.
-type mute struct {
+// silentStore applies the first transaction but never responds to it.
+type silentStore struct {
 	*faker.Client
-	written bool
+	applied bool
 }
 
-func (m *mute) Commit(ctx context.Context, tx storer.Transaction) (int64, error) {
-	revision, err := m.Client.Commit(ctx, tx)
-	if !m.written {
-		m.written = true
+func (s *silentStore) Commit(ctx context.Context, tx storer.Transaction) (int64, error) {
+	revision, err := s.Client.Commit(ctx, tx)
+	if !s.applied {
+		s.applied = true
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
@@ -165,11 +169,11 @@
 		defer cancel()
 		a := store.Client("a")
 		f := New("menus", "a", a)
-		g.Expect(f.Claim(ctx, owner(ctx, g, a, "a"))).To(Succeed())
-		f.store = &mute{Client: a}
+		g.Expect(f.Claim(ctx, ownerWrite(ctx, g, a, "a"))).To(Succeed())
+		f.store = &silentStore{Client: a}
 		began := time.Now()
 		g.Expect(f.Write(ctx, nil, put("1"), nil)).To(Succeed())
-		g.Expect(time.Since(began)).To(BeNumerically("<", 2*offerTime))
+		g.Expect(time.Since(began)).To(BeNumerically("<", 2*attemptTimeout))
 		g.Expect(valueOf(ctx, g, a)).To(Equal("1"))
 	})
 }
