--- a/internal/state/journaler/codec_test.go
+++ b/internal/state/journaler/codec_test.go
@@ -25,15 +25,15 @@
 			t.Fatal(err)
 		}
 		twice, err := decodeSegment(again)
-		if err != nil || twice.Sequence != s.Sequence || twice.Next != s.Next || !bytes.Equal(twice.payload, s.payload) {
-			t.Fatalf("%q is read back as %q: %v", value, again, err)
+		if err != nil || twice.Sequence != s.Sequence || twice.NextSlot != s.NextSlot || !bytes.Equal(twice.payload, s.payload) {
+			t.Fatalf("%q: encoded again as %q, which decodes differently: %v", value, again, err)
 		}
 		_, _ = decodeBatches(s.payload)
 	})
 }
 
 func FuzzDecodeHead(f *testing.F) {
-	good, _ := head{Epoch: 1, Nonce: "n", Sequence: 1}.encode()
+	good, _ := head{Epoch: 1, Nonce: "n", FirstSequence: 1}.encode()
 	f.Add(good)
 	f.Add([]byte(`{"epoch":1,"nonce":"n","sequence":1,"snapshot":{"name":"x","chunks":9223372036854775807,"size":9223372036854775807}}`))
 	f.Fuzz(func(t *testing.T, value []byte) {
@@ -42,13 +42,13 @@
 			return
 		}
 		if h.Snapshot.Size > int64(h.Snapshot.Chunks)*MaxPayload {
-			t.Fatalf("%q: size beyond its chunks", value)
+			t.Fatalf("%q: snapshot size exceeds its number of chunks", value)
 		}
 	})
 }
 
-// start is a typical record.
-var start = describer.Record{
+// taskStarted is a record of typical size.
+var taskStarted = describer.Record{
 	Kind:    describer.TaskStarted,
 	Time:    time.Unix(1_700_000_000, 0),
 	Task:    describer.TaskID{Job: "precinct-wave-0123456789", Index: 42},
@@ -57,23 +57,23 @@
 	Granted: describer.Resources{CPU: 2000, Memory: 4096},
 }
 
-// allocations is the bound for one encoded batch of one record.
-const allocations = 6
+// maxAllocations is the limit for encoding one batch of one record.
+const maxAllocations = 6
 
 func TestEncodeBatchAllocations(t *testing.T) {
-	records := []describer.Record{start}
+	records := []describer.Record{taskStarted}
 	got := testing.AllocsPerRun(100, func() {
 		if _, err := encodeBatch(1, records); err != nil {
 			t.Fatal(err)
 		}
 	})
-	if got > allocations {
-		t.Fatalf("%.0f allocations for a batch, want at most %d", got, allocations)
+	if got > maxAllocations {
+		t.Fatalf("%.0f allocations for a batch, want at most %d", got, maxAllocations)
 	}
 }
 
 func BenchmarkEncodeBatch(b *testing.B) {
-	records := []describer.Record{start}
+	records := []describer.Record{taskStarted}
 	line, _ := encodeBatch(1, records)
 	b.ReportMetric(float64(len(line)), "B/record")
 	b.ReportAllocs()
@@ -88,7 +88,7 @@
 	const count = 10_000
 	var payload []byte
 	for i := range int64(count) {
-		line, _ := encodeBatch(i, []describer.Record{start})
+		line, _ := encodeBatch(i, []describer.Record{taskStarted})
 		payload = append(payload, line...)
 	}
 	b.ReportAllocs()
--- a/internal/state/journaler/flush.go
+++ b/internal/state/journaler/flush.go
@@ -8,26 +8,28 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// run writes what is queued until ctx ends, Finish, or the ledger is fenced.
+// run writes the queue until ctx ends, the ledger is finished, or a write fails
+// for good.
 func (l *Ledger) run(ctx context.Context) {
-	var last time.Time
+	var lastWrite time.Time
 	for {
-		if !l.await(ctx) {
+		if !l.waitForWork(ctx) {
 			return
 		}
-		if !l.pace(ctx, last) {
+		if !l.throttle(ctx, lastWrite) {
 			return
 		}
-		last = time.Now()
-		if err := l.step(ctx); err != nil {
-			l.end(ctx, err)
+		lastWrite = time.Now()
+		if err := l.writeNext(ctx); err != nil {
+			l.reportLost(ctx, err)
 			return
 		}
 	}
 }
 
-// await waits for work; it returns false when there will be none.
-func (l *Ledger) await(ctx context.Context) bool {
+// waitForWork waits until the queue has an entry. It returns false when ctx has
+// ended, or when the ledger is finished and the queue is empty.
+func (l *Ledger) waitForWork(ctx context.Context) bool {
 	for {
 		l.mu.Lock()
 		queued, finished := len(l.queue) > 0, l.finished
@@ -48,12 +50,14 @@
 	}
 }
 
-// pace holds the flush back for its share of the fleet's write budget.
-func (l *Ledger) pace(ctx context.Context, last time.Time) bool {
-	if l.options.Pace == nil || last.IsZero() {
+// throttle waits until Options.Pace has passed since the last write, which
+// keeps the fleet within its write budget. It returns false when ctx ends
+// first.
+func (l *Ledger) throttle(ctx context.Context, lastWrite time.Time) bool {
+	if l.options.Pace == nil || lastWrite.IsZero() {
 		return true
 	}
-	wait := time.Until(last.Add(l.options.Pace()))
+	wait := time.Until(lastWrite.Add(l.options.Pace()))
 	if wait <= 0 {
 		return true
 	}
@@ -65,47 +69,49 @@
 	}
 }
 
-func (l *Ledger) end(ctx context.Context, err error) {
+// reportLost reports a write that failed for good, unless ctx has ended.
+func (l *Ledger) reportLost(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	l.log.Warn().Err(err).Int64("epoch", l.Epoch).Msg("Ledger lost.")
+	l.log.Warn().Err(err).Int64("epoch", l.Epoch).Msg("ledger lost")
 	if l.options.Lost != nil {
 		l.options.Lost()
 	}
 }
 
-// step writes one snapshot or one group of batches.
-func (l *Ledger) step(ctx context.Context) error {
-	group, payload, save := l.take()
-	if save != nil {
-		return l.save(ctx, save.batch, save.data)
+// writeNext writes one snapshot, or one group of batches.
+func (l *Ledger) writeNext(ctx context.Context) error {
+	batches, payload, snap := l.dequeue()
+	if snap != nil {
+		return l.save(ctx, snap.batch, snap.snapshotData)
 	}
-	if err := l.commit(ctx, payload, group[len(group)-1]); err != nil {
+	if err := l.writeGroup(ctx, payload, batches[len(batches)-1]); err != nil {
 		return err
 	}
-	for _, batch := range group {
+	for _, number := range batches {
 		if l.options.Appended != nil {
-			l.options.Appended(batch)
+			l.options.Appended(number)
 		}
 	}
 	return nil
 }
 
-// take removes a group of batches from the queue, or one snapshot.
-func (l *Ledger) take() (group []int64, payload []byte, save *entry) {
+// dequeue removes a snapshot from the queue, or as many batches as fit into one
+// segment, at least one.
+func (l *Ledger) dequeue() (batches []int64, payload []byte, snap *queueEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.queue[0]; e.snapshot {
+	if e := l.queue[0]; e.isSnapshot {
 		l.queue = l.queue[1:]
 		return nil, nil, &e
 	}
 	n := 0
 	for _, e := range l.queue {
-		if e.snapshot || n > 0 && len(payload)+len(e.line) > MaxPayload {
+		if e.isSnapshot || n > 0 && len(payload)+len(e.line) > MaxPayload {
 			break
 		}
-		group = append(group, e.batch)
+		batches = append(batches, e.batch)
 		payload = append(payload, e.line...)
 		n++
 	}
@@ -114,21 +120,22 @@
 	if len(l.queue) == 0 {
 		l.queue = nil
 	}
-	return group, payload, nil
+	return batches, payload, nil
 }
 
-// commit writes a payload as one segment, or as several when it is large.
-func (l *Ledger) commit(ctx context.Context, payload []byte, batch int64) error {
+// writeGroup writes the payload of a group commit as one segment, or as several
+// if it exceeds MaxPayload. lastBatch is the last batch in the payload.
+func (l *Ledger) writeGroup(ctx context.Context, payload []byte, lastBatch int64) error {
 	for {
-		piece := payload[:min(len(payload), MaxPayload)]
-		payload = payload[len(piece):]
-		s := l.chain.next(l.Epoch, l.nonce)
+		part := payload[:min(len(payload), MaxPayload)]
+		payload = payload[len(part):]
+		s := l.state.newSegment(l.Epoch, l.nonce)
 		s.More = len(payload) > 0
-		s.payload = piece
+		s.payload = part
 		if err := l.writeSegment(ctx, s); err != nil {
 			return err
 		}
-		l.chain.live[len(l.chain.live)-1].last = position{l.Epoch, batch}
+		l.state.segments[len(l.state.segments)-1].lastBatch = batchID{l.Epoch, lastBatch}
 		if len(payload) == 0 {
 			return nil
 		}
@@ -140,48 +147,49 @@
 	if err != nil {
 		return err
 	}
-	w := l.segmentWrite()
-	w.key = slotKey(l.options.Shard, l.chain.end)
+	w := l.newWrite()
+	w.key = slotKey(l.options.Shard, l.state.nextSlot)
 	w.value = value
-	w.expected, w.known = l.chain.revisions[l.chain.end], false
-	if _, ok := l.chain.revisions[l.chain.end]; ok || l.isFresh(l.chain.end) {
-		w.known = true
+	w.expected, w.expectedKnown = l.state.slotRevisions[l.state.nextSlot], false
+	if _, ok := l.state.slotRevisions[l.state.nextSlot]; ok || l.isPresumedUnused(l.state.nextSlot) {
+		w.expectedKnown = true
 	}
-	w.judge = func(item storer.Item) (judgement, error) { return l.judgeSegment(item, s.Sequence) }
+	w.classify = func(item storer.Item) (itemOrigin, error) { return l.classifySegment(item, s.Sequence) }
 	revision, err := w.do(ctx, l.options.Timeout)
 	if err != nil {
 		return err
 	}
-	l.chain.extend(s, revision)
+	l.state.add(s, revision)
 	return nil
 }
 
-func (l *Ledger) segmentWrite() *write { return &write{store: l.store} }
+func (l *Ledger) newWrite() *conditionalWrite { return &conditionalWrite{store: l.store} }
 
-// isFresh guesses that a slot above all others was never written. A wrong
-// guess costs one read.
-func (l *Ledger) isFresh(slot int) bool {
-	for _, k := range l.chain.live {
-		if k.slot >= slot {
+// isPresumedUnused reports whether a slot is above all known segments, so that
+// it was probably never written. If it was, the write costs one read more.
+func (l *Ledger) isPresumedUnused(slot int) bool {
+	for _, ref := range l.state.segments {
+		if ref.slot >= slot {
 			return false
 		}
 	}
 	return true
 }
 
-// judgeSegment compares what stands in the slot with the segment that should.
-// Content of a lower sequence is left over: a successor's barrier would have
-// this very sequence, and whatever came after it a greater one.
-func (l *Ledger) judgeSegment(item storer.Item, sequence int64) (judgement, error) {
+// classifySegment compares the item in a slot with the segment that is to be
+// written there. A lower sequence is an old segment that may be overwritten: if
+// another owner had claimed the ledger, its barrier segment would have the same
+// sequence, and later segments in this slot greater ones.
+func (l *Ledger) classifySegment(item storer.Item, sequence int64) (itemOrigin, error) {
 	s, err := decodeSegment(item.Value)
 	if err != nil {
 		return foreign, errors.Join(errCorrupt, err)
 	}
 	switch {
 	case s.Sequence < sequence:
-		return older, nil
+		return replaceable, nil
 	case s.Sequence == sequence && s.Nonce == l.nonce:
-		return mine, nil
+		return ownWrite, nil
 	}
 	return foreign, nil
 }
--- a/internal/state/journaler/history_test.go
+++ b/internal/state/journaler/history_test.go
@@ -23,9 +23,10 @@
 	"dotterelcart.dev/dotterelcart/internal/state/journaler"
 )
 
-var seeds = flag.Int("seeds", 40, "histories to check")
+var seeds = flag.Int("seeds", 40, "number of random histories to check")
 
-// listModel is a list with append and read.
+// listModel is the sequential specification of a ledger: a list with append and
+// read. The input is the name to append, or empty for a read.
 var listModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -38,38 +39,39 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, " -> ", output) },
 }
 
-// history collects the operations of all writers. Its clock is a counter, as
-// virtual time stands still between many of them.
+// history records the operations of all writers. Its clock is a counter, since
+// many operations happen at the same virtual time.
 type history struct {
-	clock atomic.Int64
-	mu    sync.Mutex
-	done  []porcupine.Operation
+	clock      atomic.Int64
+	mu         sync.Mutex
+	operations []porcupine.Operation
 }
 
-// begin notes the call of an append or, with an empty name, a read. The
-// returned function notes its end; without it the outcome stays open.
+// begin records the start of an append or, with an empty name, of a read. The
+// returned function records its end; until it is called, the outcome is unknown.
 func (h *history) begin(client int, name string) func(output string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	i := len(h.done)
-	h.done = append(h.done, porcupine.Operation{
+	i := len(h.operations)
+	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: client, Input: name, Call: h.clock.Add(1), Output: "", Return: math.MaxInt64,
 	})
 	return func(output string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.done[i].Output, h.done[i].Return = output, h.clock.Add(1)
+		h.operations[i].Output, h.operations[i].Return = output, h.clock.Add(1)
 	}
 }
 
-// session opens the ledger once, appends and leaves without a word.
+// session opens the ledger, appends, saves snapshots and closes the ledger
+// without waiting for the queue to be written.
 func (h *history) session(client int, c *faker.Client, random *rand.Rand) {
-	limited, cancel := context.WithTimeout(ctx, 30*time.Second)
+	openCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
 	var mu sync.Mutex
 	ends := map[int64]func(string){}
 	read := h.begin(client, "")
-	ledger, content, err := journaler.Open(limited, journaler.Options{
+	ledger, content, err := journaler.Open(openCtx, journaler.Options{
 		Shard: shard, Owner: c.Name, Timeout: time.Second, Log: zerolog.Nop(),
 		Appended: func(batch int64) {
 			mu.Lock()
@@ -114,31 +116,32 @@
 	return strings.Join(names, " ") + " "
 }
 
-// run lets several writers loose on one ledger under random faults.
-func run(seed uint64) []porcupine.Operation {
+// runWriters runs several concurrent writers on one ledger under random faults.
+func runWriters(seed uint64) []porcupine.Operation {
 	store, h := faker.New(), &history{}
 	var writers sync.WaitGroup
 	for client := range 4 {
 		writers.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(client)))
 			c := store.Client(fmt.Sprint(client))
-			c.SetFault(trouble(rand.New(rand.NewPCG(seed, uint64(client+100)))))
-			c.SetDelay(pauses(rand.New(rand.NewPCG(seed, uint64(client+200)))))
+			c.SetFault(randomFaults(rand.New(rand.NewPCG(seed, uint64(client+100)))))
+			c.SetDelay(randomDelays(rand.New(rand.NewPCG(seed, uint64(client+200)))))
 			for range 4 {
 				h.session(client, c, random)
 			}
 		})
 	}
 	writers.Wait()
-	time.Sleep(time.Minute) // for late effects
+	time.Sleep(time.Minute) // delayed calls have taken effect by then
 	h.session(9, store.Client("last"), rand.New(rand.NewPCG(seed, 9)))
-	return settle(h.done)
+	return boundOpenAppends(h.operations)
 }
 
-// settle bounds the appends without answer, which keeps the search small. One
-// that some read shows had its effect before the end of that read; one that no
-// read shows may be taken to have its effect after them all.
-func settle(all []porcupine.Operation) []porcupine.Operation {
+// boundOpenAppends gives appends with unknown outcome an end, which keeps the
+// search of the checker small. An append whose name a read returned took effect
+// before the end of that read. An append that no read returned is left out, as
+// it may have taken effect after all reads.
+func boundOpenAppends(all []porcupine.Operation) []porcupine.Operation {
 	all = slices.DeleteFunc(all, func(o porcupine.Operation) bool { return o.Output == "failed" })
 	var out []porcupine.Operation
 	for _, o := range all {
@@ -157,19 +160,20 @@
 	return out
 }
 
-func trouble(random *rand.Rand) func(faker.Call) faker.Outcome {
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
+// randomFaults makes a fifth of the calls fail or return outdated values.
+func randomFaults(random *rand.Rand) func(faker.Call) faker.Outcome {
+	outcomes := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	return func(faker.Call) faker.Outcome {
 		if random.Float64() < 0.2 {
-			return fates[random.IntN(len(fates))]
+			return outcomes[random.IntN(len(outcomes))]
 		}
 		return faker.Succeed
 	}
 }
 
-// pauses delays calls, sometimes beyond their timeout, so that they have their
-// effect when the caller no longer waits.
-func pauses(random *rand.Rand) func(faker.Call) time.Duration {
+// randomDelays delays calls, sometimes beyond their timeout, so that they take
+// effect after the caller has stopped waiting.
+func randomDelays(random *rand.Rand) func(faker.Call) time.Duration {
 	return func(faker.Call) time.Duration {
 		switch random.IntN(20) {
 		case 0:
@@ -185,7 +189,7 @@
 	It("is linearizable as a list", func() {
 		for seed := range uint64(*seeds) {
 			var operations []porcupine.Operation
-			virtual(func() { operations = run(seed) })()
+			virtual(func() { operations = runWriters(seed) })()
 			result := porcupine.CheckOperationsTimeout(listModel, operations, 20*time.Second)
 			Expect(result).To(Equal(porcupine.Ok), "seed %d", seed)
 		}
--- a/internal/state/journaler/journaler.go
+++ b/internal/state/journaler/journaler.go
@@ -1,23 +1,24 @@
-// Package journaler keeps the ledger of a shard in the platform's store.
+// Package journaler stores the ledger of a shard, an append-only log of records
+// with one writer, in a key-value store with compare-and-swap.
 //
 // # Model
 //
-// A ledger is a snapshot followed by a chain of segments. Each segment holds
-// one group commit and sits in a numbered slot, which is a key of the store.
-// It names the slot of the segment after it, so that the place of the next
-// append is a fact of the ledger and not a choice of its writer:
+// A ledger is a snapshot followed by a linked list of segments. Each segment
+// holds one group commit and is stored in a numbered slot, which is a key of
+// the store. A segment names the slot of the segment after it, so the place of
+// the next append is given by the stored ledger and not chosen by its writer:
 //
 //	head ──> slot 0        slot 1        slot 2
-//	         sequence 7    sequence 8    sequence 3, left over
+//	         sequence 7    sequence 8    sequence 3, unused
 //	         next: 1       next: 2
 //
-// Here the next append is sequence 9 in slot 2, by compare-and-swap against
-// the revision of the left-over content. [Open] claims a greater epoch in the
-// head and then writes a segment of its own, the barrier, at exactly that
-// place. The former owner's next append is for the same sequence in the same
-// slot, so it fails, however long it was paused. Slots are overwritten and
-// never deleted: there is no late delete to fear and no moment at which the
-// place is free again.
+// Here the next append is sequence 9 in slot 2, by compare-and-swap against the
+// revision of the old segment there. [Open] claims the next epoch in the head
+// and then writes an empty segment, the barrier, to the same slot. The next
+// append of the previous owner is also for sequence 9 in slot 2, so it fails,
+// however long that owner was paused. Slots are overwritten but never deleted:
+// a delete that takes effect late could remove a newer segment, and an append
+// to an empty slot could succeed again.
 //
 //	ledger, content, err := journaler.Open(ctx, options, store)
 //	state.Load(content.Snapshot, content.Records)
@@ -36,10 +37,10 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// ErrFenced says that another writer has claimed the ledger.
+// ErrFenced is returned when another writer has claimed the ledger.
 var ErrFenced = errors.New("journaler: another owner has claimed the ledger")
 
-// Store is the part of the store that a ledger uses.
+// Store is the subset of the store operations that a ledger uses.
 type Store interface {
 	Get(ctx context.Context, key string) (storer.Item, error)
 	List(ctx context.Context, prefix string) ([]storer.Item, int64, error)
@@ -47,86 +48,100 @@
 	Delete(ctx context.Context, key string, expected int64) error
 }
 
-// DefaultTimeout bounds one store call.
+// DefaultTimeout is the default of Options.Timeout.
 const DefaultTimeout = 5 * time.Second
 
 // Options configure a Ledger.
 type Options struct {
-	Shard    string
-	Owner    string               // daemon's name, for people
-	Pace     func() time.Duration // shortest time between two flushes; nil means none
-	Timeout  time.Duration        // of one store call, 0 is DefaultTimeout
-	Log      zerolog.Logger
-	Appended func(batch int64) // called in order of the batches
-	Lost     func()            // called once, when the ledger turns out to be fenced
+	Shard string
+	Owner string // name of the daemon, stored for information only
+
+	// Pace returns the shortest time between two writes of segments or
+	// snapshots. It is called before each write; nil means no limit.
+	Pace func() time.Duration
+
+	Timeout time.Duration // limit of one store call; 0 means DefaultTimeout
+	Log     zerolog.Logger
+
+	// Appended is called in order for each batch that has become durable.
+	Appended func(batch int64)
+	// Lost is called once if the ledger can no longer be written, because
+	// another writer has claimed it or because it is corrupt.
+	Lost func()
 }
 
-// Content is what a ledger held when it was opened.
+// Content is the content of a ledger at the time when it was opened.
 type Content struct {
-	Epoch    int64
-	Snapshot []byte // nil if there is none
-	Records  []describer.Record
+	Epoch    int64              // epoch of the new claim
+	Snapshot []byte             // nil if there is none
+	Records  []describer.Record // records after the snapshot, oldest first
 }
 
-// Ledger is an open ledger. Append and Save do not block; a goroutine writes
-// in their order and tries again until the store answers.
+// Ledger is an open ledger. Append and Save put their data in a queue and do
+// not block; a goroutine writes the queue in order and retries until the store
+// responds. Its methods may be called concurrently.
 type Ledger struct {
-	Epoch int64
-	Done  chan struct{} // closed when nothing will be written any more
+	Epoch int64         // number of this claim, increases with each claim
+	Done  chan struct{} // closed when the ledger will not write any more
 
 	options Options
 	store   Store
 	log     zerolog.Logger
-	nonce   string // of this instance; a segment is told by nonce and sequence
+	nonce   string // random id of this instance; identifies a segment together with its sequence
 	cancel  context.CancelFunc
 
-	// Of the writing goroutine.
-	chain   chain
-	chunks  []chunk // of the snapshot in force
-	cleaned bool    // chunks are the only ones below the prefix
+	// Used by the writing goroutine only, after Open.
+	state         logState
+	chunks        []chunk // chunks of the snapshot in the head
+	noOtherChunks bool    // the store holds no chunks of the ledger other than chunks
 
 	mu       sync.Mutex
-	queue    []entry
+	queue    []queueEntry
 	finished bool
 	wake     chan struct{}
 }
 
-// entry is a batch of records, or a snapshot when data is set.
-type entry struct {
-	batch    int64
-	line     []byte // encoded records
-	data     []byte
-	snapshot bool
+// queueEntry is a batch of records or a snapshot that waits to be written.
+type queueEntry struct {
+	batch        int64  // number of the batch, or the last batch in the snapshot
+	line         []byte // encoded batch
+	snapshotData []byte
+	isSnapshot   bool
 }
 
-// Append makes records durable as one batch. Batches are numbered upwards.
+// Append queues records to be written as one batch. The number of the batch
+// must be greater than those of all earlier batches of the same epoch. The
+// error says that the records cannot be encoded; Options.Appended reports that
+// the batch is durable.
 func (l *Ledger) Append(batch int64, records []describer.Record) error {
 	line, err := encodeBatch(batch, records)
 	if err != nil {
 		return err
 	}
-	l.put(entry{batch: batch, line: line})
+	l.enqueue(queueEntry{batch: batch, line: line})
 	return nil
 }
 
-// Save replaces all batches up to and including batch by data, once the
-// batches queued before are durable.
+// Save queues a snapshot that replaces all batches up to and including batch.
+// It is written after the batches queued before. The caller must not change
+// data afterwards. A snapshot that is too large is logged and dropped.
 func (l *Ledger) Save(batch int64, data []byte) {
-	l.put(entry{batch: batch, data: data, snapshot: true})
+	l.enqueue(queueEntry{batch: batch, snapshotData: data, isSnapshot: true})
 }
 
-// Finish ends the ledger after what is queued has been written.
+// Finish ends the ledger after the queue has been written. It does not wait;
+// see Done.
 func (l *Ledger) Finish() {
 	l.mu.Lock()
 	l.finished = true
 	l.mu.Unlock()
-	l.signal()
+	l.wakeWriter()
 }
 
-// Close ends the ledger without writing what is queued.
+// Close ends the ledger without writing the queue. It does not wait; see Done.
 func (l *Ledger) Close() { l.cancel() }
 
-// Check reads the head and returns ErrFenced if it names another claim.
+// Check reads the head and returns ErrFenced if it has a later epoch.
 func (l *Ledger) Check(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timeout)
 	defer cancel()
@@ -144,14 +159,15 @@
 	return nil
 }
 
-func (l *Ledger) put(e entry) {
+func (l *Ledger) enqueue(e queueEntry) {
 	l.mu.Lock()
 	l.queue = append(l.queue, e)
 	l.mu.Unlock()
-	l.signal()
+	l.wakeWriter()
 }
 
-func (l *Ledger) signal() {
+// wakeWriter wakes the writing goroutine if it waits for work.
+func (l *Ledger) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -23,16 +23,17 @@
 
 var ctx = context.Background()
 
+// virtual returns a function that runs f in virtual time.
 func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
-// writer is an open ledger with what it reported.
+// writer is an open ledger that collects what its callbacks report.
 type writer struct {
 	*journaler.Ledger
 	content journaler.Content
 
-	mu    sync.Mutex
-	acked []int64
-	lost  bool
+	mu       sync.Mutex
+	appended []int64 // batches reported as durable
+	lost     bool
 }
 
 func open(c *faker.Client) *writer {
@@ -46,7 +47,7 @@
 		Appended: func(batch int64) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.acked = append(w.acked, batch)
+			w.appended = append(w.appended, batch)
 		},
 		Lost: func() {
 			w.mu.Lock()
@@ -63,22 +64,26 @@
 	<-w.Done
 }
 
-// write appends batches of one record each, named by epoch and batch.
+// write appends batches of one record each. The name of a record is its epoch
+// and batch number.
 func (w *writer) write(batches ...int64) {
 	for _, b := range batches {
 		name := fmt.Sprintf("%d.%d", w.Epoch, b)
 		Expect(w.Append(b, []describer.Record{{Kind: describer.JobCancelled, JobID: name}})).To(Succeed())
-		synctest.Wait() // no group commit, for a longer chain
+		synctest.Wait() // each batch becomes a segment of its own
 	}
 }
 
-func (w *writer) state() (acked []int64, lost bool) {
+// state returns the reports so far, once all goroutines are idle.
+func (w *writer) state() (appended []int64, lost bool) {
 	synctest.Wait()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.acked, w.lost
+	return w.appended, w.lost
 }
 
+// records returns the names of the records that the ledger held when it was
+// opened.
 func (w *writer) records() string {
 	var out []string
 	for _, r := range w.content.Records {
@@ -92,7 +97,7 @@
 
 	BeforeEach(func() { store = faker.New() })
 
-	It("replays what was appended, and what follows a snapshot", virtual(func() {
+	It("replays the snapshot and the records after it", virtual(func() {
 		a := open(store.Client("a"))
 		a.write(1, 2, 3)
 		a.Save(2, []byte("two"))
@@ -106,7 +111,7 @@
 		Expect(b.records()).To(Equal("1.3 1.4"))
 	}))
 
-	It("fences an owner that was paused while its successor compacted the ledger", virtual(func() {
+	It("fences a paused owner whose successor has compacted the ledger", virtual(func() {
 		a := open(store.Client("a"))
 		defer a.stop()
 		a.write(1, 2, 3)
@@ -118,22 +123,22 @@
 		}
 		a.write(4)
 		time.Sleep(time.Second)
-		acked, lost := a.state()
-		Expect(acked).To(Equal([]int64{1, 2, 3}))
+		appended, lost := a.state()
+		Expect(appended).To(Equal([]int64{1, 2, 3}))
 		Expect(lost).To(BeTrue())
 		c := open(store.Client("c"))
 		defer c.stop()
 		Expect(c.records()).To(BeEmpty())
 	}))
 
-	It("removes old snapshots late without harm to the successor's", virtual(func() {
+	It("keeps the successor's snapshot when the previous owner deletes old ones late", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
 		defer a.stop()
 		a.write(1)
 		client.SetDelay(func(c faker.Call) time.Duration {
 			if c.Operation == "list" {
-				return time.Second // a is paused between its snapshot and the removal of old ones
+				return time.Second // pauses a between its snapshot and the deletion of old ones
 			}
 			return 0
 		})
@@ -150,7 +155,7 @@
 		Expect(string(c.content.Snapshot)).To(Equal("successor"))
 	}))
 
-	It("takes in an append that lands during the claim", virtual(func() {
+	It("replays an append that takes effect during the claim", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
 		defer a.stop()
@@ -160,36 +165,36 @@
 		slow := store.Client("b")
 		slow.SetDelay(func(c faker.Call) time.Duration {
 			if c.Operation == "swap" && strings.Contains(c.Key, "log/") {
-				return time.Second // after the end of the chain was read
+				return time.Second // the barrier is written after the last segment was read
 			}
 			return 0
 		})
 		b := open(slow)
 		defer b.stop()
-		acked, _ := a.state()
-		Expect(acked).To(Equal([]int64{1, 2}))
+		appended, _ := a.state()
+		Expect(appended).To(Equal([]int64{1, 2}))
 		a.write(3)
 		time.Sleep(time.Second)
-		acked, lost := a.state()
-		Expect(acked).To(Equal([]int64{1, 2}))
+		appended, lost := a.state()
+		Expect(appended).To(Equal([]int64{1, 2}))
 		Expect(lost).To(BeTrue())
 	}))
 
-	DescribeTable("loses and doubles nothing when answers are lost or old",
-		func(share float64, fates ...faker.Outcome) {
+	DescribeTable("neither loses nor duplicates batches when responses are lost or outdated",
+		func(share float64, outcomes ...faker.Outcome) {
 			for seed := range uint64(20) {
-				virtual(func() { survive(rand.New(rand.NewPCG(seed, seed)), share, fates) })()
+				virtual(func() { appendUnderFaults(rand.New(rand.NewPCG(seed, seed)), share, outcomes) })()
 			}
 		},
-		Entry("lost now and then", 0.2, faker.LoseResponse),
-		Entry("lost mostly", 0.7, faker.LoseResponse),
-		Entry("dropped mostly", 0.7, faker.Drop),
-		Entry("old now and then", 0.2, faker.StaleRead),
-		Entry("of every kind", 0.7, faker.LoseResponse, faker.Drop, faker.StaleRead),
-		Entry("old mostly", 0.7, faker.StaleRead),
+		Entry("a fifth of the responses lost", 0.2, faker.LoseResponse),
+		Entry("most responses lost", 0.7, faker.LoseResponse),
+		Entry("most calls dropped", 0.7, faker.Drop),
+		Entry("a fifth of the reads outdated", 0.2, faker.StaleRead),
+		Entry("faults of every kind", 0.7, faker.LoseResponse, faker.Drop, faker.StaleRead),
+		Entry("most reads outdated", 0.7, faker.StaleRead),
 	)
 
-	It("splits a snapshot and a batch above the store's limit", virtual(func() {
+	It("splits a snapshot and a batch that exceed the store's value limit", virtual(func() {
 		a := open(store.Client("a"))
 		data := bytes.Repeat([]byte("0123456789"), 300_000)
 		a.write(1)
@@ -205,7 +210,7 @@
 		Expect(b.content.Records[0].Reason).To(HaveLen(2_500_000))
 	}))
 
-	It("drops a large batch of which only a part was written", virtual(func() {
+	It("drops a large batch that was written only in part", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
 		segments := 0
@@ -231,7 +236,7 @@
 		Expect(c.records()).To(Equal("1.1 2.1"))
 	}))
 
-	It("reads segments one by one when they cannot be listed", virtual(func() {
+	It("reads segments one by one when listing them fails", virtual(func() {
 		a := open(store.Client("a"))
 		a.write(1, 2, 3)
 		a.stop()
@@ -247,7 +252,7 @@
 		Expect(b.records()).To(Equal("1.1 1.2 1.3"))
 	}))
 
-	It("leaves no chunks of unfinished snapshots behind", virtual(func() {
+	It("deletes the chunks of unfinished snapshots", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
 		client.SetFault(func(c faker.Call) faker.Outcome {
@@ -269,8 +274,9 @@
 	}))
 })
 
-// survive appends and saves while the given share of calls meets a fate.
-func survive(random *rand.Rand, share float64, fates []faker.Outcome) {
+// appendUnderFaults appends and saves snapshots while the given share of calls
+// fails with one of the outcomes, and checks the replay.
+func appendUnderFaults(random *rand.Rand, share float64, outcomes []faker.Outcome) {
 	GinkgoHelper()
 	store := faker.New()
 	former := open(store.Client("z"))
@@ -281,7 +287,7 @@
 	client := store.Client("a")
 	client.SetFault(func(faker.Call) faker.Outcome {
 		if random.Float64() < share {
-			return fates[random.IntN(len(fates))]
+			return outcomes[random.IntN(len(outcomes))]
 		}
 		return faker.Succeed
 	})
@@ -294,9 +300,9 @@
 	}
 	a.Finish()
 	<-a.Done
-	acked, lost := a.state()
+	appended, lost := a.state()
 	Expect(lost).To(BeFalse())
-	Expect(acked).To(HaveLen(30))
+	Expect(appended).To(HaveLen(30))
 	b := open(store.Client("b"))
 	defer b.stop()
 	Expect(string(b.content.Snapshot)).To(Equal("state 27"))
--- a/internal/state/journaler/layout.go
+++ b/internal/state/journaler/layout.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// KeyPrefix is the common prefix of all keys of shards.
+// KeyPrefix is the common prefix of the store keys of all shards.
 const KeyPrefix = "shards/"
 
-// ShardKey returns the key of a shard with the given name below it, such as the
-// owner record that the holder keeps.
+// ShardKey returns the store key called name of a shard. Other packages use it
+// as well, such as for the owner record that the holder keeps.
 func ShardKey(shard, name string) string { return KeyPrefix + url.PathEscape(shard) + "/" + name }
 
 func headKey(shard string) string { return ShardKey(shard, "head") }
--- a/internal/state/journaler/open.go
+++ b/internal/state/journaler/open.go
@@ -12,9 +12,10 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// Open claims the ledger under a greater epoch, fences the former owner and
-// reads the content. It keeps trying until ctx ends; ErrFenced means that
-// another claim overtook this one. ctx does not bound the open ledger.
+// Open claims the ledger under the next epoch, which fences the previous owner,
+// and reads the content. It retries until ctx ends, and returns ErrFenced if
+// another writer claimed the ledger in the meantime. The end of ctx does not
+// end the open ledger.
 func Open(ctx context.Context, o Options, store Store) (*Ledger, Content, error) {
 	if o.Timeout <= 0 {
 		o.Timeout = DefaultTimeout
@@ -34,29 +35,29 @@
 	if err != nil {
 		return nil, Content{}, err
 	}
-	run, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	l.cancel = cancel
 	go func() {
 		defer close(l.Done)
 		defer cancel()
-		l.run(run)
+		l.run(runCtx)
 	}()
 	return l, content, nil
 }
 
-// claim raises the epoch in the head.
+// claim writes a head with the next epoch and this instance as the owner.
 func (l *Ledger) claim(ctx context.Context) error {
-	var tried int64 // epoch of an earlier attempt, whose answer may be lost
+	var triedEpoch int64 // epoch of the last attempt, whose response may have been lost
 	return retry(ctx, l.options.Timeout, func(ctx context.Context) error {
 		h, revision, err := l.readHead(ctx)
 		if err != nil {
 			return err
 		}
 		if h.Nonce == l.nonce {
-			l.adopt(h, revision)
+			l.setHead(h, revision)
 			return nil
 		}
-		if tried != 0 && h.Epoch >= tried {
+		if triedEpoch != 0 && h.Epoch >= triedEpoch {
 			return ErrFenced
 		}
 		next := h
@@ -65,25 +66,27 @@
 		if err != nil {
 			return err
 		}
-		tried = next.Epoch
+		triedEpoch = next.Epoch
 		revision, err = l.store.Swap(ctx, headKey(l.options.Shard), value, revision, 0)
 		if err != nil {
 			return err
 		}
-		l.adopt(next, revision)
+		l.setHead(next, revision)
 		return nil
 	})
 }
 
-func (l *Ledger) adopt(h head, revision int64) {
+// setHead initializes the state from the head that this instance has written.
+func (l *Ledger) setHead(h head, revision int64) {
 	l.Epoch = h.Epoch
-	l.chain = newChain(h, revision)
+	l.state = newLogState(h, revision)
 }
 
+// readHead returns the head and its store revision, which is 0 for a new ledger.
 func (l *Ledger) readHead(ctx context.Context) (head, int64, error) {
 	item, err := l.store.Get(ctx, headKey(l.options.Shard))
 	if errors.Is(err, storer.ErrNotFound) {
-		return head{Sequence: 1}, 0, nil
+		return head{FirstSequence: 1}, 0, nil
 	}
 	if err != nil {
 		return head{}, 0, err
@@ -95,34 +98,35 @@
 	return h, item.Revision, nil
 }
 
-// replay reads the snapshot and the chain, and writes the barrier at its end.
+// replay reads the snapshot and all segments after it, and writes a barrier
+// segment at the end, so that the previous owner cannot append any more.
 func (l *Ledger) replay(ctx context.Context) (Content, error) {
 	data, err := l.readSnapshot(ctx)
 	if err != nil {
 		return Content{}, err
 	}
-	ahead := l.readAhead(ctx)
-	r := replayer{snapshot: l.chain.head.Snapshot}
-	w := l.segmentWrite()
+	prefetched := l.prefetchSlots(ctx)
+	r := replayer{snapshot: l.state.head.Snapshot}
+	w := l.newWrite()
 	for {
-		item, s, err := l.nextSlot(ctx, ahead)
+		item, s, err := l.readNextSlot(ctx, prefetched)
 		if err != nil {
 			return Content{}, err
 		}
-		if s.Sequence == l.chain.sequence {
+		if s.Sequence == l.state.nextSequence {
 			if s.Epoch > l.Epoch {
 				return Content{}, ErrFenced
 			}
 			if err := r.add(s); err != nil {
 				return Content{}, fmt.Errorf("%w: %w", errCorrupt, err)
 			}
-			l.chain.extend(s, item.Revision)
+			l.state.add(s, item.Revision)
 			continue
 		}
-		if s.Sequence > l.chain.sequence {
+		if s.Sequence > l.state.nextSequence {
 			return Content{}, ErrFenced
 		}
-		done, err := l.barrier(ctx, w, item.Revision)
+		done, err := l.writeBarrier(ctx, w, item.Revision)
 		if err != nil {
 			return Content{}, err
 		}
@@ -132,44 +136,46 @@
 	}
 }
 
-// barrier tries to write an empty segment at the end of the chain. It returns
-// false when the former owner's last append got there first.
-func (l *Ledger) barrier(ctx context.Context, w *write, expected int64) (bool, error) {
-	s := l.chain.next(l.Epoch, l.nonce)
+// writeBarrier writes an empty segment to the next slot. It returns false when
+// another segment was written there first, such as the previous owner's last
+// append.
+func (l *Ledger) writeBarrier(ctx context.Context, w *conditionalWrite, expected int64) (bool, error) {
+	s := l.state.newSegment(l.Epoch, l.nonce)
 	var err error
 	if w.value, err = s.encode(); err != nil {
 		return false, err
 	}
-	w.key = slotKey(l.options.Shard, l.chain.end)
-	w.expected, w.known = expected, true
-	taken := false
-	w.judge = func(item storer.Item) (judgement, error) {
-		j, err := l.judgeSegment(item, s.Sequence)
-		if j == foreign {
-			taken = true
+	w.key = slotKey(l.options.Shard, l.state.nextSlot)
+	w.expected, w.expectedKnown = expected, true
+	slotTaken := false
+	w.classify = func(item storer.Item) (itemOrigin, error) {
+		origin, err := l.classifySegment(item, s.Sequence)
+		if origin == foreign {
+			slotTaken = true
 		}
-		return j, err
+		return origin, err
 	}
 	revision, err := w.do(ctx, l.options.Timeout)
-	if errors.Is(err, ErrFenced) && taken {
+	if errors.Is(err, ErrFenced) && slotTaken {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	l.chain.extend(s, revision)
+	l.state.add(s, revision)
 	return true, nil
 }
 
-// readAhead reads all slots in one call, so that a replay from another region
-// does not wait a round trip for each segment. It is tried once: if the answer
-// is too much for one call, the slots are read one by one.
-func (l *Ledger) readAhead(ctx context.Context) map[string]storer.Item {
+// prefetchSlots reads all slots in one call, so that a replay from another
+// region does not take a round trip for each segment. It makes one attempt: if
+// that fails, as when the response is too large for one call, the slots are
+// read one by one.
+func (l *Ledger) prefetchSlots(ctx context.Context) map[string]storer.Item {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timeout)
 	defer cancel()
 	items, _, err := l.store.List(ctx, slotPrefix(l.options.Shard))
 	if err != nil {
-		l.log.Info().Err(err).Msg("Segments not read in one call.")
+		l.log.Info().Err(err).Msg("segment listing failed, reading segments one by one")
 		return nil
 	}
 	slots := make(map[string]storer.Item, len(items))
@@ -179,15 +185,16 @@
 	return slots
 }
 
-// nextSlot returns the slot at the end of the chain. What was read ahead is
-// used once: if the barrier finds it outdated, the slot is read again.
-func (l *Ledger) nextSlot(ctx context.Context, ahead map[string]storer.Item) (storer.Item, segment, error) {
-	key := slotKey(l.options.Shard, l.chain.end)
-	item, ok := ahead[key]
+// readNextSlot returns the item and segment in the next slot. A prefetched item
+// is used once: if the barrier write finds it outdated, the slot is read from
+// the store.
+func (l *Ledger) readNextSlot(ctx context.Context, prefetched map[string]storer.Item) (storer.Item, segment, error) {
+	key := slotKey(l.options.Shard, l.state.nextSlot)
+	item, ok := prefetched[key]
 	if !ok {
-		return l.readSlot(ctx, l.chain.end)
+		return l.readSlot(ctx, l.state.nextSlot)
 	}
-	delete(ahead, key)
+	delete(prefetched, key)
 	s, err := decodeSegment(item.Value)
 	if err != nil {
 		return item, s, fmt.Errorf("%w: %w", errCorrupt, err)
@@ -195,6 +202,7 @@
 	return item, s, nil
 }
 
+// readSlot reads a slot; both results are zero if it was never written.
 func (l *Ledger) readSlot(ctx context.Context, slot int) (item storer.Item, s segment, err error) {
 	err = retry(ctx, l.options.Timeout, func(ctx context.Context) error {
 		item, err = l.store.Get(ctx, slotKey(l.options.Shard, slot))
@@ -213,8 +221,10 @@
 	return item, s, err
 }
 
+// readSnapshot returns the data of the snapshot in the head, or nil if there is
+// none.
 func (l *Ledger) readSnapshot(ctx context.Context) ([]byte, error) {
-	s := l.chain.head.Snapshot
+	s := l.state.head.Snapshot
 	if s.Name == "" {
 		return nil, nil
 	}
@@ -232,26 +242,28 @@
 			return nil, err
 		}
 	}
-	if int64(len(data)) != s.Size || xxhash.Sum64(data) != s.Sum {
-		return nil, fmt.Errorf("%w: snapshot %s differs from its sum", errCorrupt, s.Name)
+	if int64(len(data)) != s.Size || xxhash.Sum64(data) != s.Checksum {
+		return nil, fmt.Errorf("%w: snapshot %s does not match its size or checksum", errCorrupt, s.Name)
 	}
 	return data, nil
 }
 
-// replayer collects the records that the snapshot does not contain.
+// replayer collects the records that follow the snapshot from the segments.
 type replayer struct {
 	snapshot snapshot
 	records  []describer.Record
 	epoch    int64
-	partial  []byte // of a group that goes on in the next segment
+	partial  []byte // payload so far of a group that continues in the next segment
 }
 
+// add takes the segments in the order of their sequence.
 func (r *replayer) add(s segment) error {
 	if s.Epoch < r.epoch {
-		return errors.New("journaler: epoch goes back")
+		return errors.New("journaler: segment has a lower epoch than the one before")
 	}
 	if s.Epoch != r.epoch {
-		// The former owner's last group was never whole, so never acknowledged.
+		// The previous owner did not complete its last group, so it never
+		// acknowledged the batches in it.
 		r.partial = nil
 	}
 	r.epoch = s.Epoch
@@ -269,7 +281,7 @@
 		return err
 	}
 	for _, b := range batches {
-		if !r.snapshot.covers(s.Epoch, b.Batch) {
+		if !r.snapshot.covers(s.Epoch, b.Number) {
 			r.records = append(r.records, b.Records...)
 		}
 	}
--- a/internal/state/journaler/write.go
+++ b/internal/state/journaler/write.go
@@ -11,25 +11,26 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Bounds of the delay between attempts on a store that does not answer.
+// Delays between attempts on a store that does not respond.
 const (
-	firstDelay   = 20 * time.Millisecond
-	longestDelay = 2 * time.Second
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// retry repeats f until it succeeds, fails for good with ErrFenced, or ctx
-// ends. f gets a context bounded by timeout.
+// retry calls f until it succeeds, ctx ends, or f fails with ErrFenced or
+// errCorrupt, which a further attempt cannot change. Each call of f gets a
+// context bounded by timeout.
 func retry(ctx context.Context, timeout time.Duration, f func(context.Context) error) error {
 	b := &backoff.ExponentialBackOff{
-		InitialInterval:     firstDelay,
+		InitialInterval:     initialRetryDelay,
 		RandomizationFactor: backoff.DefaultRandomizationFactor,
 		Multiplier:          backoff.DefaultMultiplier,
-		MaxInterval:         longestDelay,
+		MaxInterval:         maxRetryDelay,
 	}
 	b.Reset()
 	for {
-		call, cancel := context.WithTimeout(ctx, timeout)
-		err := f(call)
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
+		err := f(callCtx)
 		cancel()
 		if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, errCorrupt) {
 			return err
@@ -43,36 +44,38 @@
 }
 
 var (
-	errStale   = errors.New("journaler: store answered with an old value")
-	errCorrupt = errors.New("journaler: ledger cannot be read")
+	errStaleRead = errors.New("journaler: store returned an outdated value")
+	errCorrupt   = errors.New("journaler: ledger is corrupt")
 )
 
-// write is a compare-and-swap whose outcome is always found out. The same
-// value is offered until it is in place or the place is known to be taken.
-type write struct {
-	store    Store
-	key      string
-	value    []byte
-	expected int64                                // revision, corrected by read-back
-	judge    func(storer.Item) (judgement, error) // of what stands there instead
-	known    bool                                 // expected is known
+// conditionalWrite is a compare-and-swap that is retried until its outcome is
+// known: the value is stored, or another writer has written the key.
+type conditionalWrite struct {
+	store         Store
+	key           string
+	value         []byte
+	expected      int64                                 // store revision to replace, updated when the key is read
+	classify      func(storer.Item) (itemOrigin, error) // called for the item read from key
+	expectedKnown bool                                  // if false, the key is read before the first swap
 }
 
-// judgement is what a read-back says about a write.
-type judgement uint8
+// itemOrigin says where an item read from the store comes from, as seen by the
+// writer that wants to replace it.
+type itemOrigin uint8
 
 const (
-	mine    judgement = iota // the write took effect
-	older                    // content that the write may replace
-	foreign                  // another writer was here: fenced
+	ownWrite    itemOrigin = iota // the write took effect
+	replaceable                   // older content that the write may replace
+	foreign                       // another writer has claimed the ledger
 )
 
-// do returns the revision of the value.
-func (w *write) do(ctx context.Context, timeout time.Duration) (int64, error) {
+// do performs the write and returns the store revision of the value. It returns
+// ErrFenced if another writer has written the key.
+func (w *conditionalWrite) do(ctx context.Context, timeout time.Duration) (int64, error) {
 	var revision int64
-	doubtful := !w.known
+	mustRead := !w.expectedKnown
 	err := retry(ctx, timeout, func(ctx context.Context) error {
-		if doubtful {
+		if mustRead {
 			done, err := w.readBack(ctx)
 			if err != nil {
 				return err
@@ -87,35 +90,36 @@
 		if err == nil {
 			return nil
 		}
-		doubtful = errors.Is(err, storer.ErrConflict) || classifier.Of(err) != classifier.NotRun
+		mustRead = errors.Is(err, storer.ErrConflict) || classifier.Of(err) != classifier.NotRun
 		return err
 	})
 	return revision, err
 }
 
-// readBack looks at what stands at the key; expected becomes its revision.
-func (w *write) readBack(ctx context.Context) (bool, error) {
+// readBack reads the key, sets expected to its revision, and reports whether
+// the write has taken effect.
+func (w *conditionalWrite) readBack(ctx context.Context) (bool, error) {
 	item, err := w.store.Get(ctx, w.key)
 	if errors.Is(err, storer.ErrNotFound) {
-		if w.expected != 0 && w.known {
-			return false, errStale
+		if w.expected != 0 && w.expectedKnown {
+			return false, errStaleRead
 		}
-		w.expected, w.known = 0, true
+		w.expected, w.expectedKnown = 0, true
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	if w.known && item.Revision < w.expected {
-		return false, errStale
+	if w.expectedKnown && item.Revision < w.expected {
+		return false, errStaleRead
 	}
-	j, err := w.judge(item)
+	origin, err := w.classify(item)
 	if err != nil {
 		return false, err
 	}
-	if j == foreign {
+	if origin == foreign {
 		return false, ErrFenced
 	}
-	w.expected, w.known = item.Revision, true
-	return j == mine, nil
+	w.expected, w.expectedKnown = item.Revision, true
+	return origin == ownWrite, nil
 }
