--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -20,8 +20,8 @@
 	var store *faker.Store
 	var a, b *daemon
 
-	// bubble runs a spec with two holders.
-	bubble := func(f func()) func() {
+	// withHolders returns a spec that runs f with two holders in virtual time.
+	withHolders := func(f func()) func() {
 		return virtual(func() {
 			store = faker.New()
 			a, b = start(store, "a"), start(store, "b")
@@ -35,58 +35,58 @@
 		return reducer.Appended{Shard: shard, Epoch: epoch, Batch: batch}
 	}
 
-	It("keeps its shards through an outage and catches up after it", bubble(func() {
+	It("keeps its shards during an outage and writes pending batches after it", withHolders(func() {
 		a.claim()
 		Expect(a.IsLeaseValid()).To(BeTrue())
 		a.client.SetDown(true)
 		b.client.SetDown(true)
 		a.append(1, 1, "one")
 		time.Sleep(5 * minute)
-		Expect(a.take()).To(BeEmpty())
+		Expect(a.takeEvents()).To(BeEmpty())
 		Expect(a.IsLeaseValid()).To(BeFalse())
 		a.append(1, 2, "two")
 		a.client.SetDown(false)
 		b.client.SetDown(false)
 		time.Sleep(10 * time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{appended(1, 1), appended(1, 2)}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{appended(1, 1), appended(1, 2)}))
 		Expect(a.IsLeaseValid()).To(BeTrue())
 		Expect(b.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 	}))
 
-	It("loses a shard that another has claimed while it was cut off", bubble(func() {
+	It("loses a shard that another holder claimed during a partition", withHolders(func() {
 		a.claim()
 		a.client.SetDown(true)
 		a.append(1, 1, "never")
 		time.Sleep(minute)
 		Expect(jobs(b.claim())).To(BeEmpty())
-		Expect(a.take()).To(BeEmpty())
+		Expect(a.takeEvents()).To(BeEmpty())
 		a.client.SetDown(false)
 		time.Sleep(10 * time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{lost(1)}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{lost(1)}))
 		a.append(1, 2, "never")
-		Expect(a.take()).To(Equal([]reducer.Event{lost(1)}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{lost(1)}))
 		b.append(2, 1, "one")
 		time.Sleep(time.Second)
-		Expect(b.take()).To(Equal([]reducer.Event{appended(2, 1)}))
+		Expect(b.takeEvents()).To(Equal([]reducer.Event{appended(2, 1)}))
 	}))
 
-	It("loses a shard without appends, whose successor has died as well", bubble(func() {
+	It("loses a shard without pending appends even if the next owner has died", withHolders(func() {
 		a.claim()
 		a.client.SetDown(true)
 		time.Sleep(minute)
 		b.claim()
 		b.client.SetDown(true)
-		time.Sleep(minute) // the successor's owner record is gone again
+		time.Sleep(minute) // the next owner's record is deleted with its lease
 		a.client.SetDown(false)
 		time.Sleep(10 * time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{lost(1)}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{lost(1)}))
 	}))
 
-	It("claims a dead owner's shard within the time to live", bubble(func() {
+	It("claims a dead owner's shard within the TTL of its lease", withHolders(func() {
 		a.claim()
 		a.append(1, 1, "one")
 		time.Sleep(time.Second)
-		a.client.SetDown(true) // as dead
+		a.client.SetDown(true) // stands for a crash
 		died := time.Now()
 		var e reducer.Event
 		for {
@@ -100,7 +100,7 @@
 		Expect(time.Since(died)).To(BeNumerically("<=", 12*time.Second))
 	}))
 
-	It("hands over at once on Close, and to a new process of the same name", bubble(func() {
+	It("hands its shards over on Close to a new process of the same name at once", withHolders(func() {
 		a.claim()
 		a.stop()
 		again := start(store, "a")
@@ -108,27 +108,27 @@
 		Expect(again.claim()).To(Equal(reducer.ShardClaimed{Shard: shard, Epoch: 2}))
 	}))
 
-	It("does not take over from a living process of the same name", bubble(func() {
+	It("does not claim the shard of a live process of the same name", withHolders(func() {
 		a.claim()
 		again := start(store, "a")
 		defer again.stop()
 		Expect(again.claim()).To(Equal(reducer.ClaimFailed{Shard: shard, Owner: "a"}))
 	}))
 
-	It("finishes a release after an outage", bubble(func() {
+	It("finishes a release after an outage", withHolders(func() {
 		a.claim()
 		a.client.SetDown(true)
 		a.append(1, 1, "one")
 		a.Do(reducer.Release{Shard: shard, Epoch: 1})
 		time.Sleep(5 * minute)
-		Expect(a.take()).To(BeEmpty())
+		Expect(a.takeEvents()).To(BeEmpty())
 		a.client.SetDown(false)
 		time.Sleep(10 * time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{appended(1, 1), lost(1)}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{appended(1, 1), lost(1)}))
 		Expect(jobs(b.claim())).To(Equal([]string{"one"}))
 	}))
 
-	It("leaves no owner record behind when a claim fails", bubble(func() {
+	It("deletes its owner record when a claim fails", withHolders(func() {
 		var broken atomic.Bool
 		broken.Store(true)
 		a.client.SetFault(func(c faker.Call) faker.Outcome {
@@ -144,38 +144,38 @@
 		time.Sleep(minute)
 		broken.Store(false)
 		time.Sleep(10 * time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{reducer.ClaimFailed{Shard: shard}}))
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{reducer.ClaimFailed{Shard: shard}}))
 		Expect(jobs(b.claim())).To(BeEmpty())
 	}))
 
-	It("reports the store as reached after each renewal", bubble(func() {
+	It("reports the store as reachable after each renewal", withHolders(func() {
 		a.claim()
-		a.take()
-		a.reports()
+		a.takeEvents()
+		a.takeReachable()
 		time.Sleep(minute)
-		Expect(len(a.reports())).To(BeNumerically(">=", 17)) // every third of 10 s
+		Expect(len(a.takeReachable())).To(BeNumerically(">=", 17)) // one renewal in each third of the TTL of 10 s
 		a.client.SetDown(true)
 		time.Sleep(minute)
-		Expect(a.reports()).To(And(HaveEach(false), Not(BeEmpty())))
+		Expect(a.takeReachable()).To(And(HaveEach(false), Not(BeEmpty())))
 		a.client.SetDown(false)
 		time.Sleep(minute)
-		Expect(a.reports()).To(And(HaveEach(true), Not(BeEmpty())))
+		Expect(a.takeReachable()).To(And(HaveEach(true), Not(BeEmpty())))
 	}))
 
-	It("finds out soon that the store answers again", bubble(func() {
+	It("reports the store as reachable soon after an outage", withHolders(func() {
 		a.claim()
 		a.client.SetDown(true)
 		a.append(1, 1, "one")
 		time.Sleep(100 * time.Millisecond)
 		a.client.SetDown(false)
-		a.reports()
-		time.Sleep(time.Second) // less than the time between renewals
-		Expect(a.reports()).To(ContainElement(true))
+		a.takeReachable()
+		time.Sleep(time.Second) // shorter than the renewal interval
+		Expect(a.takeReachable()).To(ContainElement(true))
 	}))
 
-	It("reports a lost shard before it reports the store as reached", func() {
+	It("reports a lost shard before it reports the store as reachable", func() {
 		for _, appends := range []int64{0, 1} {
-			bubble(func() {
+			withHolders(func() {
 				a.claim()
 				a.client.SetDown(true)
 				for i := range appends {
@@ -183,8 +183,8 @@
 				}
 				time.Sleep(minute)
 				b.claim()
-				a.take()
-				a.reports()
+				a.takeEvents()
+				a.takeReachable()
 				var order []reducer.Event
 				a.watch(func(e reducer.Event) { order = append(order, e) })
 				a.client.SetDown(false)
@@ -198,27 +198,28 @@
 		}
 	})
 
-	It("keeps every appended record through random hand-overs and faults", func() {
+	It("keeps every appended record during random hand-overs and faults", func() {
 		for seed := range uint64(30) {
-			bubble(func() { churn(rand.New(rand.NewPCG(seed, seed)), a, b) })()
+			withHolders(func() { handOverUnderFaults(rand.New(rand.NewPCG(seed, seed)), a, b) })()
 		}
 	})
 })
 
-// churn moves a shard to and fro between holders in trouble.
-func churn(random *rand.Rand, daemons ...*daemon) {
+// handOverUnderFaults moves a shard back and forth between holders under random
+// faults.
+func handOverUnderFaults(random *rand.Rand, daemons ...*daemon) {
 	GinkgoHelper()
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
+	outcomes := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	for _, d := range daemons {
 		random := rand.New(rand.NewPCG(random.Uint64(), 1))
 		d.client.SetFault(func(faker.Call) faker.Outcome {
 			if random.Float64() < 0.2 {
-				return fates[random.IntN(len(fates))]
+				return outcomes[random.IntN(len(outcomes))]
 			}
 			return faker.Succeed
 		})
 	}
-	kept := []string{}
+	expected := []string{}
 	for round := range 8 {
 		d := daemons[random.IntN(len(daemons))]
 		claimed, ok := d.claim().(reducer.ShardClaimed)
@@ -226,14 +227,14 @@
 			time.Sleep(time.Duration(random.IntN(20)) * time.Second)
 			continue
 		}
-		Expect(jobs(claimed)).To(Equal(kept))
+		Expect(jobs(claimed)).To(Equal(expected))
 		name := string(rune('a' + round))
 		d.append(claimed.Epoch, 1, name)
 		time.Sleep(2 * minute)
-		Expect(d.take()).To(Equal([]reducer.Event{reducer.Appended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
-		kept = append(kept, name)
+		Expect(d.takeEvents()).To(Equal([]reducer.Event{reducer.Appended{Shard: shard, Epoch: claimed.Epoch, Batch: 1}}))
+		expected = append(expected, name)
 		d.Do(reducer.Release{Shard: shard, Epoch: claimed.Epoch})
 		time.Sleep(minute)
-		Expect(d.take()).To(Equal([]reducer.Event{reducer.ShardLost{Shard: shard, Epoch: claimed.Epoch}}))
+		Expect(d.takeEvents()).To(Equal([]reducer.Event{reducer.ShardLost{Shard: shard, Epoch: claimed.Epoch}}))
 	}
 }
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -1,25 +1,27 @@
-// Package holder holds shards for a daemon: it carries out the effects of the
-// control state that concern ownership and ledgers.
+// Package holder claims shards for a daemon, writes their ledgers and releases
+// them, as the effects of the control state (package reducer) ask for it.
 //
 // # Model
 //
-// Ownership of a shard is an owner record in the store, bound to the daemon's
-// lease, and an epoch in the shard's ledger. The record keeps claims from
-// colliding and vanishes with a dead owner. It is a hint: safety rests on the
-// epoch, since a fenced owner's appends fail however long it was paused.
+// The owner of a shard has an owner record in the store, bound to the daemon's
+// store lease, and an epoch in the shard's ledger. The record prevents
+// concurrent claims, and the store deletes it when the owner dies and its lease
+// expires. It is only a hint. Safety rests on the epoch: the appends of a
+// fenced owner fail, however long it was paused.
 //
 //	h := holder.New(options, store, sink)
-//	h.Do(reducer.Claim{Shard: "bne-1"})  // sink gets ShardClaimed or ClaimFailed
+//	h.Do(reducer.Claim{Shard: "bne-1"}) // sink receives ShardClaimed or ClaimFailed
 //	h.Do(reducer.Append{Shard: "bne-1", Epoch: 4, Batch: 1, Records: records})
 //
 // # Store outage
 //
-// While the store does not answer, an owner keeps its shards, and appends wait.
-// Once the store says that the lease is gone, the holder writes the owner
-// record again and compares the epoch: if nobody else has claimed the shard
-// ownership simply goes on, otherwise the shard is lost. An owner that is cut
-// off from a store which others reach cannot tell this from an outage; it goes
-// on with an epoch that workers refuse after the successor's first call.
+// While the store does not respond, an owner keeps its shards, and appends wait.
+// Once the store reports that the lease is gone, the holder writes the owner
+// records again and checks the epochs. If nobody else has claimed a shard, its
+// ownership continues; otherwise the shard is lost. An owner that is partitioned
+// from a store which others can reach cannot tell this from an outage. It
+// continues with its epoch, which workers reject after the first call of the
+// next owner.
 package holder
 
 import (
@@ -36,7 +38,7 @@
 	"dotterelcart.dev/dotterelcart/internal/state/leaser"
 )
 
-// Store is the part of the store that a holder uses.
+// Store is the subset of the store operations that a holder uses.
 type Store interface {
 	journaler.Store
 	leaser.Store
@@ -45,53 +47,57 @@
 // Defaults of Options.
 const (
 	DefaultTTL         = 10 * time.Second
-	DefaultWriteBudget = 250.0
+	DefaultWriteBudget = 250.0 // segment writes per second
 	DefaultTimeout     = 5 * time.Second
 )
 
 // Options configure a Holder. Zero values take the defaults.
 type Options struct {
-	Daemon      string        // name in membership
-	Address     string        // for peers, ip:port
-	TTL         time.Duration // of the store lease
-	Margin      time.Duration // for clock drift; 0 is a tenth of TTL
-	Timeout     time.Duration // of one store call
-	WriteBudget float64       // segment writes a second of the whole fleet
-	Log         zerolog.Logger
+	Daemon  string        // name of the daemon in membership
+	Address string        // ip:port at which peers reach the daemon
+	TTL     time.Duration // time to live of the store lease
+	Margin  time.Duration // allowance for clock drift during one TTL; 0 means a tenth of TTL
+	Timeout time.Duration // limit of one store call
+
+	// WriteBudget is the number of segment writes per second of all daemons
+	// together, which the shards of the fleet share equally.
+	WriteBudget float64
+
+	Log zerolog.Logger
 }
 
-// Holder owns shards. Do never blocks; events come from one goroutine, in
-// order for each shard.
+// Holder owns the shards of a daemon. Its methods may be called concurrently.
 type Holder struct {
-	Done chan struct{} // closed when nothing will be written or reported any more
+	Done chan struct{} // closed when the holder will not write or report any more
 
 	options Options
-	store   *watchedStore
+	store   *monitoredStore
 	lease   *leaser.Lease
 	log     zerolog.Logger
-	nonce   string // of this instance, told apart from an earlier process of the same name
+	nonce   string // random id of this instance; differs from that of an earlier process of the same name
 	ctx     context.Context
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
-	shards  atomic.Int64 // of the whole fleet
-
-	mu      sync.Mutex
-	seats   map[string]*seat
-	known   bool // reached was reported
-	reached bool
-	closed  bool
-	outbox  []reducer.Event
-	wake    chan struct{}
+
+	fleetShards atomic.Int64 // number of shards in the fleet, 0 if not known
+
+	mu             sync.Mutex
+	shards         map[string]*shardState
+	reachableKnown bool // reachable has been reported
+	reachable      bool // the store responds
+	closed         bool
+	events         []reducer.Event // not delivered yet
+	wake           chan struct{}   // wakes deliver
 }
 
-// seat is one shard that is being claimed, held or released.
-type seat struct {
-	shard     string
-	phase     phase
-	ledger    *journaler.Ledger // from held on
-	revision  int64             // of the owner record
-	lease     int64             // that the owner record is bound to
-	asserting bool              // the owner record is being written again
+// shardState is a shard that is being claimed, held or released.
+type shardState struct {
+	shard         string
+	phase         phase
+	ledger        *journaler.Ledger // nil while claiming
+	ownerRevision int64             // revision of the owner record, 0 if not known
+	lease         int64             // lease that the owner record is bound to
+	restoring     bool              // the owner record is being written again
 }
 
 type phase uint8
@@ -102,9 +108,10 @@
 	releasing
 )
 
-// New starts a Holder. The sink is called from one goroutine.
+// New starts a Holder. The sink is called from one goroutine; the events of
+// each shard arrive in order.
 func New(o Options, store Store, sink func(reducer.Event)) *Holder {
-	o.fill()
+	o.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &Holder{
 		Done:    make(chan struct{}),
@@ -113,15 +120,15 @@
 		nonce:   uuid.NewString(),
 		ctx:     ctx,
 		cancel:  cancel,
-		seats:   map[string]*seat{},
+		shards:  map[string]*shardState{},
 		wake:    make(chan struct{}, 1),
 	}
-	h.store = &watchedStore{Store: store, report: h.noted}
+	h.store = &monitoredStore{Store: store, onCall: h.onStoreCall}
 	h.lease = leaser.New(leaser.Options{
 		TTL:     o.TTL,
 		Margin:  o.Margin,
-		Renewed: h.renewed,
-		Ended:   func(int64) { h.reassertAll() },
+		Renewed: h.onRenewal,
+		Ended:   func(int64) { h.restoreOwners() },
 		Log:     o.Log,
 	}, h.store)
 	go func() {
@@ -133,8 +140,8 @@
 	return h
 }
 
-// Do carries out Claim, Release, Append and SaveSnapshot; it returns false for
-// any other effect.
+// Do starts to carry out a Claim, Release, Append or SaveSnapshot effect, and
+// returns false for any other. It does not wait for the store.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
 	case reducer.Claim:
@@ -151,24 +158,25 @@
 	return true
 }
 
-// SetShardCount tells the number of shards in the fleet, by which the write budget
-// is divided.
-func (h *Holder) SetShardCount(n int) { h.shards.Store(int64(n)) }
+// SetShardCount sets the number of shards in the fleet, by which the write
+// budget is divided. Until then, the shards of this holder share all of it.
+func (h *Holder) SetShardCount(n int) { h.fleetShards.Store(int64(n)) }
 
-// IsLeaseValid reports whether the store lease holds for certain, so that nobody
-// else can have claimed this daemon's shards.
+// IsLeaseValid reports whether the store lease is certainly valid, so that no
+// other daemon can have claimed this daemon's shards.
 func (h *Holder) IsLeaseValid() bool { return h.lease.IsValid() }
 
-// StoreCalls returns the store calls made so far, by operation.
+// StoreCalls returns the number of store calls so far, by operation.
 func (h *Holder) StoreCalls() map[string]int64 { return h.store.calls() }
 
-// Close ends the holder and revokes its lease, so that others can claim at
-// once. Appends that wait are dropped; Release shards first to keep them.
+// Close ends the holder and revokes its lease, so that others can claim its
+// shards at once. Appends that are not written yet are dropped; to keep them,
+// release the shards first.
 func (h *Holder) Close(ctx context.Context) error {
 	h.mu.Lock()
 	closed := h.closed
 	h.closed = true
-	for _, s := range h.seats {
+	for _, s := range h.shards {
 		if s.ledger != nil {
 			s.ledger.Close()
 		}
@@ -182,26 +190,27 @@
 	return h.lease.Revoke(ctx)
 }
 
-// pace is the shortest time between two flushes of one shard.
-func (h *Holder) pace() time.Duration {
-	n := h.shards.Load()
+// writeInterval returns the shortest time between two segment writes of a shard.
+func (h *Holder) writeInterval() time.Duration {
+	n := h.fleetShards.Load()
 	if n == 0 {
 		h.mu.Lock()
-		n = int64(len(h.seats))
+		n = int64(len(h.shards))
 		h.mu.Unlock()
 	}
 	return time.Duration(float64(n) / h.options.WriteBudget * float64(time.Second))
 }
 
-// post queues an event; h.mu is held.
-func (h *Holder) post(e reducer.Event) {
-	h.outbox = append(h.outbox, e)
+// queueEvent queues an event for the sink; h.mu is held.
+func (h *Holder) queueEvent(e reducer.Event) {
+	h.events = append(h.events, e)
 	select {
 	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
+// deliver passes queued events to the sink until the holder is closed.
 func (h *Holder) deliver(sink func(reducer.Event)) {
 	for {
 		select {
@@ -210,8 +219,8 @@
 		case <-h.wake:
 		}
 		h.mu.Lock()
-		events := h.outbox
-		h.outbox = nil
+		events := h.events
+		h.events = nil
 		h.mu.Unlock()
 		for _, e := range events {
 			sink(e)
@@ -219,7 +228,7 @@
 	}
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.TTL <= 0 {
 		o.TTL = DefaultTTL
 	}
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -18,15 +18,15 @@
 
 const shard = "bne-1"
 
-// daemon is a holder with the events it reported.
+// daemon is a holder that collects the events that it reports.
 type daemon struct {
 	*holder.Holder
 	client *faker.Client
 
-	mu      sync.Mutex
-	events  []reducer.Event
-	reached []bool
-	observe func(reducer.Event) // of all events, if set
+	mu        sync.Mutex
+	events    []reducer.Event     // all but StoreReached
+	reachable []bool              // values of StoreReached
+	observe   func(reducer.Event) // called for all events, if set
 }
 
 func start(s *faker.Store, name string) *daemon {
@@ -38,7 +38,7 @@
 			d.observe(e)
 		}
 		if r, ok := e.(reducer.StoreReached); ok {
-			d.reached = append(d.reached, r.OK)
+			d.reachable = append(d.reachable, r.OK)
 			return
 		}
 		d.events = append(d.events, e)
@@ -51,9 +51,9 @@
 	<-d.Done
 }
 
-// take returns the events so far, after everything has come to rest, without
-// those about the store.
-func (d *daemon) take() []reducer.Event {
+// takeEvents returns the events since the last call, once all goroutines are
+// idle, except those about the store.
+func (d *daemon) takeEvents() []reducer.Event {
 	synctest.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,36 +62,39 @@
 	return out
 }
 
-// reports returns what was reported about the store since the last time.
-func (d *daemon) reports() []bool {
+// takeReachable returns the reports about the store since the last call, once
+// all goroutines are idle.
+func (d *daemon) takeReachable() []bool {
 	synctest.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := d.reached
-	d.reached = nil
+	out := d.reachable
+	d.reachable = nil
 	return out
 }
 
-// watch calls f with each event, or ends that with nil.
+// watch makes the daemon call f for each event; nil ends that.
 func (d *daemon) watch(f func(reducer.Event)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.observe = f
 }
 
-// claim returns the event that the claim ended with.
+// claim claims the shard and returns the first event after that, or nil if
+// there is none within 10 s.
 func (d *daemon) claim() reducer.Event {
-	d.take()
+	d.takeEvents()
 	d.Do(reducer.Claim{Shard: shard})
 	for range 100 {
 		time.Sleep(100 * time.Millisecond)
-		if out := d.take(); len(out) > 0 {
+		if out := d.takeEvents(); len(out) > 0 {
 			return out[0]
 		}
 	}
 	return nil
 }
 
+// append appends a batch with one record for each job.
 func (d *daemon) append(epoch, batch int64, jobs ...string) {
 	var records []describer.Record
 	for _, j := range jobs {
@@ -100,6 +103,7 @@
 	d.Do(reducer.Append{Shard: shard, Epoch: epoch, Batch: batch, Records: records})
 }
 
+// jobs returns the jobs in the records of a ShardClaimed event.
 func jobs(e reducer.Event) []string {
 	claimed, ok := e.(reducer.ShardClaimed)
 	Expect(ok).To(BeTrue(), "%#v", e)
@@ -110,10 +114,11 @@
 	return out
 }
 
+// virtual returns a function that runs f in virtual time.
 func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 var _ = Describe("Holder", func() {
-	It("claims, appends and hands over", virtual(func() {
+	It("claims a shard, appends to its ledger and hands it over", virtual(func() {
 		s := faker.New()
 		a, b := start(s, "a"), start(s, "b")
 		defer b.stop()
@@ -122,7 +127,7 @@
 		a.append(1, 1, "one")
 		a.append(1, 2, "two", "three")
 		time.Sleep(time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{
 			reducer.Appended{Shard: shard, Epoch: 1, Batch: 1},
 			reducer.Appended{Shard: shard, Epoch: 1, Batch: 2},
 		}))
@@ -130,7 +135,7 @@
 		a.append(1, 3, "four")
 		a.Do(reducer.Release{Shard: shard, Epoch: 1})
 		time.Sleep(time.Second)
-		Expect(a.take()).To(Equal([]reducer.Event{
+		Expect(a.takeEvents()).To(Equal([]reducer.Event{
 			reducer.Appended{Shard: shard, Epoch: 1, Batch: 3},
 			reducer.ShardLost{Shard: shard, Epoch: 1},
 		}))
--- a/internal/state/holder/owner.go
+++ b/internal/state/holder/owner.go
@@ -10,25 +10,26 @@
 	"dotterelcart.dev/dotterelcart/internal/state/journaler"
 )
 
-// owner is the value of a shard's owner record.
-type owner struct {
+// ownerRecord is the value stored at the owner key of a shard.
+type ownerRecord struct {
 	Daemon  string `json:"daemon"`
 	Address string `json:"address"`
 	Nonce   string `json:"nonce"`
 }
 
-// takenError says that another daemon's owner record stands.
-type takenError struct{ owner string }
+// ownedError is returned when another daemon's owner record exists.
+type ownedError struct{ owner string }
 
-func (e *takenError) Error() string { return "holder: shard is owned by " + e.owner }
+func (e *ownedError) Error() string { return "holder: shard is owned by " + e.owner }
 
 func ownerKey(shard string) string { return journaler.ShardKey(shard, "owner") }
 
-// take writes the owner record under a lease and returns its revision. A
-// record of this very instance, left by a lost answer or bound to an earlier
-// lease, is replaced.
-func (h *Holder) take(ctx context.Context, shard string, lease int64) (int64, error) {
-	value, err := json.Marshal(owner{h.options.Daemon, h.options.Address, h.nonce})
+// writeOwner writes the owner record, bound to the lease, and returns its
+// revision. It replaces a record of this instance, which may exist because the
+// response to an earlier write was lost or because the record is bound to an
+// earlier lease. It returns an ownedError if the record is another's.
+func (h *Holder) writeOwner(ctx context.Context, shard string, lease int64) (int64, error) {
+	value, err := json.Marshal(ownerRecord{h.options.Daemon, h.options.Address, h.nonce})
 	if err != nil {
 		return 0, fmt.Errorf("holder: encode owner: %w", err)
 	}
@@ -36,36 +37,37 @@
 	if err == nil {
 		return revision, nil
 	}
-	item, found := h.store.Get(ctx, ownerKey(shard))
+	item, getErr := h.store.Get(ctx, ownerKey(shard))
 	switch {
-	case errors.Is(found, storer.ErrNotFound):
+	case errors.Is(getErr, storer.ErrNotFound):
 		return 0, err
-	case found != nil:
-		return 0, found
+	case getErr != nil:
+		return 0, getErr
 	}
-	var o owner
-	if err := json.Unmarshal(item.Value, &o); err != nil {
+	var record ownerRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return 0, fmt.Errorf("holder: decode owner: %w", err)
 	}
-	if o.Nonce != h.nonce {
-		return 0, &takenError{o.Daemon}
+	if record.Nonce != h.nonce {
+		return 0, &ownedError{record.Daemon}
 	}
-	// Written again also under the same lease: a delete that is still under way
-	// then names an old revision.
+	// The record is written again even if it is bound to the same lease: a
+	// delete of it that is still in progress then fails, as it expects the old
+	// revision.
 	return h.store.Swap(ctx, ownerKey(shard), value, item.Revision, lease)
 }
 
-// leave deletes the owner record, unless it is another's. Revision 0 means
-// that a write of unknown outcome may have left one. It reports whether the
-// record is gone.
-func (h *Holder) leave(ctx context.Context, shard string, revision int64) bool {
+// deleteOwner deletes the owner record of this instance and reports whether the
+// record is gone. Revision 0 means that the outcome of the last write is
+// unknown, so that the record is read first.
+func (h *Holder) deleteOwner(ctx context.Context, shard string, revision int64) bool {
 	if revision == 0 {
 		item, err := h.store.Get(ctx, ownerKey(shard))
 		if err != nil {
 			return errors.Is(err, storer.ErrNotFound)
 		}
-		var o owner
-		if json.Unmarshal(item.Value, &o) != nil || o.Nonce != h.nonce {
+		var record ownerRecord
+		if json.Unmarshal(item.Value, &record) != nil || record.Nonce != h.nonce {
 			return true
 		}
 		revision = item.Revision
--- a/internal/state/holder/target_test.go
+++ b/internal/state/holder/target_test.go
@@ -11,16 +11,16 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// The stated target, and what the store takes of the whole fleet.
+// The stated target, for the whole fleet.
 const (
-	startRate   = 3400.0 // task starts a second
-	fleetShards = 110    // ten for each of 11 failure domains
-	writeRate   = 300.0  // store writes a second, the low end of several hundred
-	perStart    = 3      // records: start, finish, and its share of jobs and resizes
+	startRate       = 3400.0 // task starts per second
+	fleetShards     = 110    // ten in each of 11 failure domains
+	maxWriteRate    = 300.0  // store writes per second, the low end of the several hundred that a store handles
+	recordsPerStart = 3      // the start, the finish, and a share of the job and resize records
 )
 
-var _ = Describe("Holder at the target", func() {
-	It("commits the starts of the fleet within the store's rate of writes", virtual(func() {
+var _ = Describe("Holder under the target load", func() {
+	It("writes the records of all task starts within the write rate of the store", virtual(func() {
 		const seconds = 60
 		s := faker.New()
 		a := start(s, "a")
@@ -30,25 +30,25 @@
 		a.claim()
 		before := a.StoreCalls()
 		rate := startRate / fleetShards
-		batches := int64(rate * seconds * perStart)
+		batches := int64(rate * seconds * recordsPerStart)
 		for i := range batches {
 			a.append(1, i+1, "job")
-			time.Sleep(time.Duration(float64(time.Second) / rate / perStart))
+			time.Sleep(time.Duration(float64(time.Second) / rate / recordsPerStart))
 		}
 		time.Sleep(time.Second)
-		Expect(a.take()).To(HaveLen(int(batches)))
+		Expect(a.takeEvents()).To(HaveLen(int(batches)))
 		calls := a.StoreCalls()
 		swaps := float64(calls["swap"]-before["swap"]) / seconds * fleetShards
 		renewals := float64(calls["renew"]-before["renew"]) / seconds * fleetShards
 		reads := float64(calls["get"]-before["get"]) / seconds * fleetShards
-		AddReportEntry("store calls a second of the fleet", fmt.Sprintf(
-			"segments %.0f, renewals %.0f, reads %.0f; %.1f records a segment",
-			swaps, renewals, reads, startRate*perStart/swaps))
-		Expect(swaps + renewals).To(BeNumerically("<", writeRate))
+		AddReportEntry("store calls per second of the fleet", fmt.Sprintf(
+			"segments %.0f, renewals %.0f, reads %.0f; %.1f records per segment",
+			swaps, renewals, reads, startRate*recordsPerStart/swaps))
+		Expect(swaps + renewals).To(BeNumerically("<", maxWriteRate))
 		Expect(reads).To(BeNumerically("<", 2))
 	}))
 
-	It("hands a dead owner's shard to a successor within two times to live", virtual(func() {
+	It("hands a dead owner's shard to the next owner within two TTLs", virtual(func() {
 		s := faker.New()
 		a, b := start(s, "a"), start(s, "b")
 		defer b.stop()
