--- a/internal/state/leaser/leaser_test.go
+++ b/internal/state/leaser/leaser_test.go
@@ -23,7 +23,8 @@
 	var lease *leaser.Lease
 	var ended *atomic.Int32
 
-	bubble := func(f func()) func() {
+	// withLease returns a spec that runs f with a new lease in virtual time.
+	withLease := func(f func()) func() {
 		return faker.WithVirtualTime(&current, func() {
 			client, ended = faker.New().Client("a"), &atomic.Int32{}
 			lease = leaser.New(leaser.Options{
@@ -43,7 +44,7 @@
 		return id
 	}
 
-	It("stays valid by renewals and is granted once", bubble(func() {
+	It("stays valid through renewals and is granted once", withLease(func() {
 		Expect(lease.IsValid()).To(BeFalse())
 		id := acquire()
 		time.Sleep(time.Minute)
@@ -52,7 +53,7 @@
 		Expect(client.CallCount("renew")).To(BeNumerically("<=", 21))
 	}))
 
-	It("counts from the time at which the renewal was sent", bubble(func() {
+	It("is valid for the TTL from the time at which the renewal was sent", withLease(func() {
 		client.SetDelay(func(faker.Call) time.Duration { return 2 * time.Second })
 		acquire()
 		client.SetDown(true)
@@ -63,7 +64,7 @@
 		Expect(ended.Load()).To(BeZero())
 	}))
 
-	It("ends when the store says so, and can be granted again", bubble(func() {
+	It("ends when the store reports that it is gone, and can be granted again", withLease(func() {
 		id := acquire()
 		client.SetDown(true)
 		time.Sleep(time.Minute)
@@ -76,7 +77,7 @@
 		Expect(lease.IsValid()).To(BeTrue())
 	}))
 
-	It("is not revived by a renewal that was under way when it was revoked", bubble(func() {
+	It("stays revoked when a renewal was in progress during the revocation", withLease(func() {
 		acquire()
 		client.SetDelay(func(c faker.Call) time.Duration {
 			switch c.Operation {
