--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -25,7 +25,7 @@
 	from, job := o.target.name, e.Job
 	job.Former = append(slices.Clone(job.Former), from)
 	entry := recorder.Entry{Shard: to, Queue: job.Queue, State: specifier.Queued}
-	err := o.fence.Move(ctx, storer.Transaction{
+	err := o.fence.Commit(ctx, storer.Transaction{
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
 		Put: []storer.Write{
 			{Key: recorder.JobKey(to, job.ID), Value: recorder.Encode(job)},
@@ -36,7 +36,7 @@
 	switch {
 	case err == nil:
 		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.Lasting).Msg("job moved")
-	case errors.Is(err, fencer.ErrRefused):
+	case errors.Is(err, fencer.ErrConditionFailed):
 		o.log.Info().Str("job", job.ID).Msg("job not moved: it is being cancelled")
 	case errors.Is(err, fencer.ErrFenced):
 		o.lose("another owner has written")
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -118,11 +118,11 @@
 
 func TestUnknownOutcomeIsSaid(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
-		store.SetFault(func(c faker.Call) faker.Fate {
+		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		began := time.Now()
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
@@ -135,15 +135,15 @@
 func TestLostAnswerIsNoSecondJob(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
 		lost := false
-		store.SetFault(func(c faker.Call) faker.Fate {
+		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && !lost {
 				lost = true
-				return faker.LoseAnswer
+				return faker.LoseResponse
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		g.Expect(r.Submit(context.Background(), queue, testJob())).To(Succeed())
-		g.Expect(store.Count("commit")).To(Equal(int64(2)))
+		g.Expect(store.CallCount("commit")).To(Equal(int64(2)))
 	})
 }
 
@@ -154,7 +154,7 @@
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
-		g.Expect(store.Count("commit")).To(BeZero())
+		g.Expect(store.CallCount("commit")).To(BeZero())
 	})
 }
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -78,7 +78,7 @@
 		Timeout: s.timeout(),
 		Log:     s.log,
 	}, store, s.node, func(c describer.Configuration) {
-		s.holder.SetShards(len(c.Shards))
+		s.holder.SetShardCount(len(c.Shards))
 		post(reducer.ConfigurationReceived{Configuration: c})
 	})
 }
@@ -88,7 +88,7 @@
 		Name: s.Settings.Name, Domain: s.Settings.Domain, Region: s.Settings.Region, Address: s.Settings.Listen.Peers,
 	}
 	s.members = gossiper.New(gossiper.Options{
-		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.Seen, Log: s.log,
+		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.ObserveRevision, Log: s.log,
 	}, s.node, func(alive []reducer.Peer) {
 		s.config.SetPeers(alive)
 		post(reducer.PeersChanged{Alive: alive})
@@ -124,7 +124,7 @@
 func (s *Server) buildTraffic(store lender.Store) {
 	name, domain := s.Settings.Name, s.Settings.Domain
 	s.seat = lender.NewSeat(store, domain, name, lender.DefaultTerm, s.log)
-	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsValid, s.seat, s.log)
+	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsLeaseValid, s.seat, s.log)
 	s.node.Handle(messenger.Lend, s.lender.Serve)
 	s.forwarder = forwarder.New(forwarder.Options{
 		Name:    name,
@@ -165,7 +165,7 @@
 		if s.metrics.Ready.Swap(ready) != ready {
 			s.log.Info().Str("part", "server").Bool("ready", ready).Msg("readiness changed")
 		}
-		waiter.Pause(ctx, tickInterval)
+		waiter.Sleep(ctx, tickInterval)
 	}
 }
 
@@ -183,7 +183,7 @@
 			s.members.UpdateHosts(list)
 			s.control.Post(reducer.HostsReceived{Hosts: list})
 		}
-		waiter.Pause(ctx, hostsInterval)
+		waiter.Sleep(ctx, hostsInterval)
 	}
 }
 
--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -17,7 +17,7 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 // cluster is a set of gossipers, named by their addresses domain/number.
 type cluster struct {
@@ -49,7 +49,7 @@
 			c.seen[name] = revision
 		},
 		Log: zerolog.Nop(),
-	}, c.network.Node(name), func([]reducer.Peer) {})
+	}, c.network.AddNode(name), func([]reducer.Peer) {})
 	c.hosts[name] = g
 	return g
 }
@@ -61,7 +61,7 @@
 }
 
 func (c *cluster) stop(name string) {
-	c.network.Remove(name)
+	c.network.RemoveNode(name)
 	c.hosts[name].Close()
 	<-c.hosts[name].Done
 	c.gone += c.hosts[name].Sent()
@@ -141,7 +141,7 @@
 
 	It("reports nothing when the shards stay the same", virtual(func() {
 		network, reports := faker.NewNetwork(), 0
-		g := gossiper.New(gossiper.Options{Self: reducer.Peer{Name: "a"}, Log: zerolog.Nop()}, network.Node("a"),
+		g := gossiper.New(gossiper.Options{Self: reducer.Peer{Name: "a"}, Log: zerolog.Nop()}, network.AddNode("a"),
 			func([]reducer.Peer) { reports++ })
 		defer g.Close()
 		for range 3 {
--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -36,8 +36,8 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// Key is the key of the document in the store.
-const Key = "configuration"
+// DocumentKey is the key of the document in the store.
+const DocumentKey = "configuration"
 
 // Store is the part of the store that a distributor uses.
 type Store interface {
@@ -56,21 +56,21 @@
 
 // Defaults of Options.
 const (
-	DefaultWait    = 25 * time.Second
-	DefaultPoll    = 8 * time.Second
-	DefaultPace    = 2 * time.Second
-	DefaultTimeout = 5 * time.Second
+	DefaultWatchTimeout    = 25 * time.Second
+	DefaultPollInterval    = 8 * time.Second
+	DefaultMinReadInterval = 2 * time.Second
+	DefaultTimeout         = 5 * time.Second
 )
 
 // Options configure a Distributor. Zero values take the defaults.
 type Options struct {
-	Daemon  string        // name in membership
-	Domain  string        // failure domain
-	Wait    time.Duration // of one watch call
-	Poll    time.Duration // between reads by the stand-by of the watcher
-	Pace    time.Duration // shortest time between two reads of changes
-	Timeout time.Duration // of one call
-	Log     zerolog.Logger
+	Daemon          string        // name in membership
+	Domain          string        // failure domain
+	WatchTimeout    time.Duration // of one watch call
+	PollInterval    time.Duration // between reads by the stand-by of the watcher
+	MinReadInterval time.Duration // shortest time between two reads of changes
+	Timeout         time.Duration // of one call
+	Log             zerolog.Logger
 }
 
 // Distributor holds the configuration in force. It is safe for concurrent use.
@@ -155,8 +155,8 @@
 	signal(d.behind)
 }
 
-// Seen tells that the peer at address has a configuration of this revision.
-func (d *Distributor) Seen(address string, revision int64) {
+// ObserveRevision tells that the peer at address has a configuration of this revision.
+func (d *Distributor) ObserveRevision(address string, revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if revision <= d.current.Revision {
@@ -241,9 +241,9 @@
 		field *time.Duration
 		value time.Duration
 	}{
-		{&o.Wait, DefaultWait},
-		{&o.Poll, DefaultPoll},
-		{&o.Pace, DefaultPace},
+		{&o.WatchTimeout, DefaultWatchTimeout},
+		{&o.PollInterval, DefaultPollInterval},
+		{&o.MinReadInterval, DefaultMinReadInterval},
 		{&o.Timeout, DefaultTimeout},
 	} {
 		if *f.field <= 0 {
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -20,7 +20,7 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-func virtual(f func()) func() { return faker.Virtual(&current, f) }
+func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 var ctx = context.Background()
 
@@ -60,7 +60,7 @@
 		h.client.SetDown(down)
 		h.Distributor = distributor.New(
 			distributor.Options{Daemon: name, Domain: domain, Log: zerolog.New(GinkgoWriter).With().Str("host", name).Logger()},
-			h.client, f.network.Node(name), func(c describer.Configuration) {
+			h.client, f.network.AddNode(name), func(c describer.Configuration) {
 				h.mu.Lock()
 				defer h.mu.Unlock()
 				h.revisions = append(h.revisions, c.Revision)
@@ -84,7 +84,7 @@
 
 func (f *fleet) stop(names ...string) {
 	for _, name := range names {
-		f.network.Remove(name)
+		f.network.RemoveNode(name)
 		f.hosts[name].Close()
 		<-f.hosts[name].Done
 		delete(f.hosts, name)
@@ -132,7 +132,7 @@
 		Expect(f.revisions()).To(HaveEach(int64(2)))
 		watching := 0
 		for _, h := range f.hosts {
-			if h.client.Count("watch") > 0 {
+			if h.client.CallCount("watch") > 0 {
 				watching++
 			}
 		}
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -21,7 +21,7 @@
 func (f *fleet) heartbeats() {
 	for _, h := range f.hosts {
 		for name, other := range f.hosts {
-			h.Seen(name, other.Current().Revision)
+			h.ObserveRevision(name, other.Current().Revision)
 		}
 	}
 	time.Sleep(time.Second)
@@ -57,12 +57,12 @@
 		f.start("a/1", "a/2")
 		f.propose("a/1", "one")
 		time.Sleep(5 * time.Second)
-		f.network.Cut("a/3", "a/1", true)
-		f.network.Cut("a/3", "a/2", true)
+		f.network.SetPartitioned("a/3", "a/1", true)
+		f.network.SetPartitioned("a/3", "a/2", true)
 		f.startDown("a/3")
 		time.Sleep(time.Minute)
 		Expect(f.hosts["a/3"].IsReady()).To(BeFalse())
-		f.network.Cut("a/3", "a/2", false)
+		f.network.SetPartitioned("a/3", "a/2", false)
 		time.Sleep(10 * time.Second)
 		Expect(f.hosts["a/3"].IsReady()).To(BeTrue())
 		Expect(f.revisions()).To(HaveEach(int64(1)))
@@ -85,7 +85,7 @@
 		f.propose("b/1", "one")
 		time.Sleep(5 * time.Second)
 		for name, h := range f.hosts {
-			if strings.HasPrefix(name, "a/") && h.client.Count("watch") > 0 {
+			if strings.HasPrefix(name, "a/") && h.client.CallCount("watch") > 0 {
 				h.client.SetDown(true)
 			}
 		}
@@ -100,11 +100,11 @@
 			f.propose("a/1", fmt.Sprint("team ", i))
 		}
 		time.Sleep(5 * time.Second)
-		old := f.network.Node("old")
+		old := f.network.AddNode("old")
 		whole := map[string]any{"revision": 3, "whole": map[string]any{"revision": 3}}
 		Expect(old.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
 		for _, h := range f.hosts {
-			h.client.SetFault(func(faker.Call) faker.Fate { return faker.Stale })
+			h.client.SetFault(func(faker.Call) faker.Outcome { return faker.StaleRead })
 		}
 		f.meet()
 		time.Sleep(time.Minute)
@@ -114,18 +114,18 @@
 
 	It("brings a host that missed many changes up to date with the whole", bubble(func() {
 		f.start("a/1", "a/2")
-		f.network.Cut("a/1", "a/2", true)
+		f.network.SetPartitioned("a/1", "a/2", true)
 		f.setDown(true, "a/2")
 		for i := range 100 {
 			f.propose("a/1", fmt.Sprint("team ", i))
 		}
-		f.network.Cut("a/1", "a/2", false)
+		f.network.SetPartitioned("a/1", "a/2", false)
 		f.heartbeats()
 		time.Sleep(5 * time.Second)
 		Expect(f.revisions()).To(HaveEach(int64(100)))
 		Expect(f.hosts["a/2"].Current()).To(Equal(f.hosts["a/1"].Current()))
 		for _, name := range []string{"a/1", "a/2"} {
-			f.network.Cut("b/1", name, true)
+			f.network.SetPartitioned("b/1", name, true)
 		}
 		f.start("b/1")
 		time.Sleep(5 * time.Second)
@@ -147,7 +147,7 @@
 		f.propose("a/2", "one")
 		time.Sleep(5 * time.Second)
 		Expect(f.revisions()).To(HaveEach(int64(2)))
-		Expect(len(f.store.Items(distributor.Key)[0].Value)).To(BeNumerically("<", 1000))
+		Expect(len(f.store.Items(distributor.DocumentKey)[0].Value)).To(BeNumerically("<", 1000))
 	}))
 
 	It("says MayHaveRun when the outcome cannot be read back, and NotRun when nothing was written", bubble(func() {
@@ -158,12 +158,12 @@
 		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
 		client := f.hosts["a/1"].client
 		client.SetDown(false)
-		client.SetFault(func(c faker.Call) faker.Fate {
+		client.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "swap" {
 				go client.SetDown(true)
-				return faker.LoseAnswer
+				return faker.LoseResponse
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		short, cancel := contextFor(10 * time.Second)
 		defer cancel()
@@ -183,14 +183,14 @@
 func (f *fleet) race(seed uint64) {
 	GinkgoHelper()
 	f.start("a/1", "a/2", "b/1")
-	fates := []faker.Fate{faker.Drop, faker.LoseAnswer, faker.LoseAnswer, faker.Stale}
+	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	for _, name := range []string{"a/1", "a/2", "b/1"} {
 		random := rand.New(rand.NewPCG(seed, uint64(len(name))))
-		f.hosts[name].client.SetFault(func(faker.Call) faker.Fate {
+		f.hosts[name].client.SetFault(func(faker.Call) faker.Outcome {
 			if random.Float64() < 0.3 {
 				return fates[random.IntN(len(fates))]
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 	}
 	var all sync.WaitGroup
--- a/internal/state/distributor/follow.go
+++ b/internal/state/distributor/follow.go
@@ -41,13 +41,13 @@
 		return d.watch(cursor)
 	case rank == 1:
 		// Makes up for a watcher that is alive but cut off from the store.
-		if !d.pause(d.options.Poll, d.wake) {
+		if !d.pause(d.options.PollInterval, d.wake) {
 			return nil
 		}
 		return d.fetch(cursor)
 	}
 	*cursor = 0
-	d.pause(d.options.Wait, d.wake)
+	d.pause(d.options.WatchTimeout, d.wake)
 	return nil
 }
 
@@ -82,7 +82,7 @@
 	}
 	if revision == 0 {
 		// Nobody has configured this deployment yet.
-		d.pause(d.options.Pace, d.wake)
+		d.pause(d.options.MinReadInterval, d.wake)
 		return nil
 	}
 	if err := d.use(ctx, doc); err != nil {
@@ -96,20 +96,20 @@
 // one.
 func (d *Distributor) watch(cursor *int64) error {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(d.ctx, d.options.Wait+d.options.Timeout)
+	ctx, cancel := context.WithTimeout(d.ctx, d.options.WatchTimeout+d.options.Timeout)
 	defer cancel()
-	items, next, err := d.store.Watch(ctx, Key, *cursor, d.options.Wait)
+	items, next, err := d.store.Watch(ctx, DocumentKey, *cursor, d.options.WatchTimeout)
 	if err != nil {
 		return err
 	}
-	i := slices.IndexFunc(items, func(i storer.Item) bool { return i.Key == Key && !i.Deleted })
+	i := slices.IndexFunc(items, func(i storer.Item) bool { return i.Key == DocumentKey && !i.Deleted })
 	if i < 0 {
 		*cursor = max(*cursor, next)
 		return nil
 	}
 	// The last one, should the store deliver every change.
 	for j := range items {
-		if items[j].Key == Key && !items[j].Deleted && items[j].Revision > items[i].Revision {
+		if items[j].Key == DocumentKey && !items[j].Deleted && items[j].Revision > items[i].Revision {
 			i = j
 		}
 	}
@@ -121,7 +121,7 @@
 		return err
 	}
 	*cursor = max(*cursor, next)
-	if rest := d.options.Pace - time.Since(began); rest > 0 {
+	if rest := d.options.MinReadInterval - time.Since(began); rest > 0 {
 		d.pause(rest, nil)
 	}
 	return nil
@@ -143,9 +143,9 @@
 func (d *Distributor) catchUp() {
 	for {
 		d.pullAhead()
-		wait := d.options.Wait
+		wait := d.options.WatchTimeout
 		if !d.IsReady() {
-			wait = d.options.Pace
+			wait = d.options.MinReadInterval
 			d.pullAny()
 		}
 		if !d.pause(wait, d.behind) {
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -21,8 +21,8 @@
 	return &Network{nodes: map[string]*Node{}, cut: map[[2]string]bool{}}
 }
 
-// Node returns the node at an address, a new one in place of an older.
-func (n *Network) Node(address string) *Node {
+// AddNode returns the node at an address, a new one in place of an older.
+func (n *Network) AddNode(address string) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	node := &Node{Address: address, network: n, handlers: map[string]messenger.Handler{}}
@@ -30,16 +30,16 @@
 	return node
 }
 
-// Remove ends the node at an address; calls to it fail at once with NotRun.
-func (n *Network) Remove(address string) {
+// RemoveNode ends the node at an address; calls to it fail at once with NotRun.
+func (n *Network) RemoveNode(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, address)
 }
 
-// Cut separates two addresses or joins them again. Calls between separated
+// SetPartitioned separates two addresses or joins them again. Calls between separated
 // addresses end with their context.
-func (n *Network) Cut(a, b string, cut bool) {
+func (n *Network) SetPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}] = cut
@@ -69,8 +69,8 @@
 	n.handlers[method] = h
 }
 
-// Sent returns the bytes of params and answers sent.
-func (n *Node) Sent() int64 {
+// SentBytes returns the bytes of params and answers sent.
+func (n *Node) SentBytes() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
@@ -122,8 +122,8 @@
 	return json.Unmarshal(b, result)
 }
 
-// At returns the node at an address, or nil.
-func (n *Network) At(address string) *Node {
+// NodeAt returns the node at an address, or nil.
+func (n *Network) NodeAt(address string) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[address]
