--- a/internal/traffic/forwarder/answer.go
+++ b/internal/traffic/forwarder/answer.go
@@ -17,7 +17,7 @@
 	*http.Response
 	forwarder *Forwarder
 	call      *call
-	place     *router.Place
+	place     *router.Slot
 	cancel    context.CancelFunc
 	start     time.Time
 	outcome   router.Outcome
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -70,7 +70,7 @@
 	Options Options
 	Router  *router.Router
 	Dialer  *dialer.Dialer
-	Limiter *limiter.Limiter[*router.Place]
+	Limiter *limiter.Limiter[*router.Slot]
 	Link    *router.Link
 	Done    chan struct{} // closed when upkeep has ended
 
@@ -126,7 +126,7 @@
 		Silence:     time.Duration(o.Traffic.Silence),
 		Connections: o.Connections,
 	})
-	f.Limiter = limiter.New[*router.Place](limiter.Options{Queue: o.Traffic.Queue})
+	f.Limiter = limiter.New[*router.Slot](limiter.Options{Queue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
 		s.Attach(f.Dialer.Open, f.Limiter.Kick)
 	}
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -17,7 +17,7 @@
 
 // attempt sends the request to the place and, for an idempotent request that
 // takes unusually long, to a second one. The first answer wins.
-func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Place, avoid map[string]bool) (*answer, error) {
+func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool) (*answer, error) {
 	avoid[place.Backend.Worker] = true
 	if f.Options.Hedge < 0 || !c.idempotent || c.body.source != nil {
 		return f.dispatch(ctx, c, place)
@@ -29,10 +29,10 @@
 	return f.race(ctx, c, place, avoid, delay)
 }
 
-func (f *Forwarder) race(ctx context.Context, c *call, place *router.Place, avoid map[string]bool, delay time.Duration) (*answer, error) {
+func (f *Forwarder) race(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool, delay time.Duration) (*answer, error) {
 	ends := make(chan result, 2)
 	var cancels []context.CancelFunc
-	run := func(p *router.Place) {
+	run := func(p *router.Slot) {
 		number := len(cancels)
 		ctx, cancel := context.WithCancel(ctx)
 		cancels = append(cancels, cancel)
@@ -73,12 +73,12 @@
 
 // second takes another place in the own region if one is free and the budget
 // allows it.
-func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Place {
+func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Slot {
 	if !f.hedges.Take() {
 		return nil
 	}
 	q := f.request(c, avoid)
-	q.Take = func(bool) (*router.Place, error) {
+	q.Take = func(bool) (*router.Slot, error) {
 		return f.Router.Take(f.table(), router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid})
 	}
 	place, err := f.Limiter.Try(q)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *Forwarder) giveBack(c *call, place *router.Place) {
+func (f *Forwarder) giveBack(c *call, place *router.Slot) {
 	place.Release(router.Unknown)
 	f.Limiter.Release(c.service, 0)
 }
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -58,7 +58,7 @@
 }
 
 // acquire waits for a place in the order of the limiter.
-func (f *Forwarder) acquire(ctx context.Context, c *call, avoid map[string]bool) (*router.Place, error) {
+func (f *Forwarder) acquire(ctx context.Context, c *call, avoid map[string]bool) (*router.Slot, error) {
 	start := time.Now()
 	place, err := f.Limiter.Acquire(ctx, f.request(c, avoid))
 	c.queued += time.Since(start)
@@ -68,20 +68,20 @@
 	return nil, admission(ctx, err)
 }
 
-func (f *Forwarder) request(c *call, avoid map[string]bool) limiter.Request[*router.Place] {
-	return limiter.Request[*router.Place]{
+func (f *Forwarder) request(c *call, avoid map[string]bool) limiter.Request[*router.Slot] {
+	return limiter.Request[*router.Slot]{
 		Service:  c.service,
 		Tenant:   c.tenant,
 		Class:    c.class,
 		Weight:   c.weight,
 		Deadline: c.ends,
-		Take:     func(late bool) (*router.Place, error) { return f.take(c, avoid, late) },
+		Take:     func(late bool) (*router.Slot, error) { return f.take(c, avoid, late) },
 	}
 }
 
 // take seeks a place in the own region, and in others if the request would
 // miss its deadline here.
-func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Place, error) {
+func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
 	table := f.table()
 	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, Afar: late}
 	q.Bytes = max(c.body.length, 0) + f.delays.bytes(c.service)
@@ -127,7 +127,7 @@
 }
 
 // dispatch sends one attempt to one backend server.
-func (f *Forwarder) dispatch(ctx context.Context, c *call, place *router.Place) (*answer, error) {
+func (f *Forwarder) dispatch(ctx context.Context, c *call, place *router.Slot) (*answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	out := &answer{forwarder: f, call: c, place: place, cancel: cancel, start: time.Now()}
 	response, err := f.Dialer.Send(place.Backend, f.outgoing(ctx, c, place)) //nolint:bodyclose // answer.close does
@@ -154,7 +154,7 @@
 }
 
 // outgoing makes the request for the backend server.
-func (f *Forwarder) outgoing(ctx context.Context, c *call, place *router.Place) *http.Request {
+func (f *Forwarder) outgoing(ctx context.Context, c *call, place *router.Slot) *http.Request {
 	in := c.request
 	path, err := url.PathUnescape(c.path)
 	if err != nil {
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -63,7 +63,7 @@
 )
 
 // learn updates the server after a request; the lock is held.
-func (r *Router) learn(p *Place, o Outcome) {
+func (r *Router) learn(p *Slot, o Outcome) {
 	s := p.server
 	now := r.Options.Now()
 	switch o {
@@ -114,7 +114,7 @@
 
 // isOutlier reports whether the server is far slower than the mean of the
 // other ones at its distance.
-func (r *Router) isOutlier(p *Place) bool {
+func (r *Router) isOutlier(p *Slot) bool {
 	if p.server.answers < enough {
 		return false
 	}
@@ -130,7 +130,7 @@
 }
 
 // eject takes the server out of use unless too few would remain.
-func (r *Router) eject(p *Place, now time.Time) {
+func (r *Router) eject(p *Slot, now time.Time) {
 	s := p.server
 	s.failures = 0
 	if s.isEjected(now) || !r.mayEject(p, now) {
@@ -146,7 +146,7 @@
 	s.answers = 0
 }
 
-func (r *Router) mayEject(p *Place, now time.Time) bool {
+func (r *Router) mayEject(p *Slot, now time.Time) bool {
 	open, used := 0, 0
 	for _, s := range r.row(p) {
 		if s.backend.Closed {
@@ -160,7 +160,7 @@
 	return float64(used-1) >= r.Options.Health.Floor*float64(open)
 }
 
-func (r *Router) row(p *Place) []*server {
+func (r *Router) row(p *Slot) []*server {
 	rows := r.view[p.service]
 	if rows == nil {
 		return nil
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -2,7 +2,7 @@
 //
 // # Model
 //
-// A [Router] takes a [Place] for a request: one of the slots of a backend
+// A [Router] takes a [Slot] for a request: one of the slots of a backend
 // server that this entry host may use now. Places are sought in the entry
 // host's own failure domain, then in its region, and in other regions only
 // when the caller of [Router.Take] says that the deadline would be missed
@@ -52,8 +52,8 @@
 	Avoid    map[string]bool // workers already tried
 }
 
-// Place is a slot of one backend server.
-type Place struct {
+// Slot is a slot of one backend server.
+type Slot struct {
 	Backend describer.Backend
 	Afar    bool // in another region; its bytes count against the link
 
@@ -106,7 +106,7 @@
 }
 
 // Take returns a place for the request or the reason why there is none.
-func (r *Router) Take(table *describer.RoutingTable, q Request) (*Place, error) {
+func (r *Router) Take(table *describer.RoutingTable, q Request) (*Slot, error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	rows, ok := r.rows(table, q.Service)
@@ -137,7 +137,7 @@
 
 // takeFrom chooses within one distance. A candidate whose slots turn out to
 // be gone is left out and the policy is asked again.
-func (r *Router) takeFrom(row []*server, q Request) (*Place, error) {
+func (r *Router) takeFrom(row []*server, q Request) (*Slot, error) {
 	now := r.Options.Now()
 	candidates, open := r.candidates(row, q, now)
 	for len(candidates) > 0 {
@@ -146,7 +146,7 @@
 		release, ok := r.Slots.Acquire(s.backend, q.Deadline)
 		if ok {
 			s.flight++
-			return &Place{Backend: s.backend, router: r, server: s, release: release, service: q.Service, since: now}, nil
+			return &Slot{Backend: s.backend, router: r, server: s, release: release, service: q.Service, since: now}, nil
 		}
 		candidates[i] = candidates[len(candidates)-1]
 		candidates = candidates[:len(candidates)-1]
@@ -210,7 +210,7 @@
 }
 
 // Release gives the slot back and learns from the outcome.
-func (p *Place) Release(o Outcome) {
+func (p *Slot) Release(o Outcome) {
 	p.release()
 	p.router.lock.Lock()
 	defer p.router.lock.Unlock()
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -44,13 +44,13 @@
 			Domain: "d", Region: "r", Seed: 7, Link: router.NewLink(1000), Now: func() time.Time { return c.now },
 		}, &router.FixedShare{Hosts: 2})
 	})
-	take := func(t *describer.RoutingTable) *router.Place {
+	take := func(t *describer.RoutingTable) *router.Slot {
 		place, err := r.Take(t, q)
 		Expect(err).NotTo(HaveOccurred())
 		return place
 	}
 	// finish lets n requests end one after another and counts them by worker.
-	finish := func(t *describer.RoutingTable, n int, end func(p *router.Place)) map[string]int {
+	finish := func(t *describer.RoutingTable, n int, end func(p *router.Slot)) map[string]int {
 		out := make(map[string]int)
 		for range n {
 			place := take(t)
@@ -59,7 +59,7 @@
 		}
 		return out
 	}
-	answered := func(p *router.Place) { c.now = c.now.Add(time.Millisecond); p.Release(router.Answered) }
+	answered := func(p *router.Slot) { c.now = c.now.Add(time.Millisecond); p.Release(router.Answered) }
 
 	It("spreads requests evenly and stops at the slots lent", func() {
 		t := fleet(5, nil)
@@ -110,7 +110,7 @@
 
 	It("ejects a failing backend server, down to a floor, and starts it slowly again", func() {
 		t := fleet(10, nil)
-		fail := func(p *router.Place) {
+		fail := func(p *router.Slot) {
 			if p.Backend.Worker < "w005" {
 				p.Release(router.Failed)
 				return
@@ -141,7 +141,7 @@
 
 	It("ejects a backend server that is far slower than the others", func() {
 		t := fleet(8, nil)
-		finish(t, 400, func(p *router.Place) {
+		finish(t, 400, func(p *router.Slot) {
 			if p.Backend.Worker == "w003" {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
@@ -153,7 +153,7 @@
 	It("does not eject on few answers", func() {
 		t := fleet(8, nil)
 		n := 0
-		finish(t, 40, func(p *router.Place) {
+		finish(t, 40, func(p *router.Slot) {
 			if n++; p.Backend.Worker == "w003" && n > 20 {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
@@ -164,7 +164,7 @@
 
 	It("learns a lower limit from refusals and raises it again", func() {
 		t := fleet(1, nil)
-		first := []*router.Place{take(t), take(t), take(t)}
+		first := []*router.Slot{take(t), take(t), take(t)}
 		first[0].Release(router.Overloaded)
 		first[1].Release(router.Overloaded)
 		Expect(r.Capacity(t, "desk")).To(Equal(1))
