--- a/coord/coord.go
+++ b/coord/coord.go
@@ -101,7 +101,7 @@
 )
 
 // VerdictOf returns the verdict of err, MayHaveRun if it has none.
-func VerdictOf(err error) Verdict { return classifier.Of(err) }
+func VerdictOf(err error) Verdict { return classifier.VerdictOf(err) }
 
 // Calls between processes and membership.
 type (
--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -62,7 +62,7 @@
 		Shard: f.Shard, Epoch: f.Epoch, Worker: f.Worker, Task: f.Start.Task, Token: f.Start.Token, Verdict: classifier.Ran,
 	}
 	if err := e.options.Worker.Start(ctx, f.Address, f.Start); err != nil {
-		answer.Verdict = classifier.Of(err)
+		answer.Verdict = classifier.VerdictOf(err)
 		answer.Err = err.Error()
 		e.options.Log.Info().Err(err).Stringer("task", f.Start.Task).Str("worker", f.Worker).Msg("start failed")
 	}
--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -75,7 +75,7 @@
 		_, err := e.Ask(ctx, func(reducer.RequestID) reducer.Event {
 			return reducer.StoreReached{OK: true} // has no reply
 		})
-		if err == nil || classifier.Of(err) != classifier.MayHaveRun {
+		if err == nil || classifier.VerdictOf(err) != classifier.MayHaveRun {
 			t.Fatalf("error %v", err)
 		}
 	})
@@ -89,7 +89,7 @@
 			e.inbox <- reducer.StoreReached{} // nobody reads any more
 		}
 		_, err := e.Ask(t.Context(), status)
-		if classifier.Of(err) != classifier.NotRun {
+		if classifier.VerdictOf(err) != classifier.NotRun {
 			t.Fatalf("error %v", err)
 		}
 	})
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -186,7 +186,7 @@
 }
 
 func (r *Receiver) unreachable(err error) error {
-	verdict, status := classifier.Of(err), http.StatusServiceUnavailable
+	verdict, status := classifier.VerdictOf(err), http.StatusServiceUnavailable
 	if verdict != classifier.NotRun {
 		status = http.StatusGatewayTimeout
 	}
@@ -220,7 +220,7 @@
 			return 0, nil
 		}
 		r.noteFailure()
-		uncertain = uncertain || classifier.Of(err) != classifier.NotRun
+		uncertain = uncertain || classifier.VerdictOf(err) != classifier.NotRun
 		if !uncertain || !waiter.Pause(ctx, delays.NextBackOff()) {
 			if uncertain {
 				err = &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no answer", Err: err}
--- a/internal/operator/responder/retry_test.go
+++ b/internal/operator/responder/retry_test.go
@@ -39,8 +39,8 @@
 		_, err := acrossHandover(t.Context(), func() (int, error) {
 			return 0, unavailable(codeNoOwner, "shard a has no reachable owner")
 		})
-		if classifier.Of(err) != classifier.NotRun {
-			t.Fatalf("verdict %s of %v", classifier.Of(err), err)
+		if classifier.VerdictOf(err) != classifier.NotRun {
+			t.Fatalf("verdict %s of %v", classifier.VerdictOf(err), err)
 		}
 	})
 }
--- a/internal/peer/messenger/messenger_test.go
+++ b/internal/peer/messenger/messenger_test.go
@@ -55,8 +55,8 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		l.Close()
-		Expect(classifier.Of(a.Call(ctx, l.Addr().String(), "echo", nil, nil))).To(Equal(classifier.NotRun))
-		Expect(classifier.Of(a.Call(ctx, b.Address, "other", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(a.Call(ctx, l.Addr().String(), "echo", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(a.Call(ctx, b.Address, "other", nil, nil))).To(Equal(classifier.NotRun))
 		refusal := &classifier.Error{Verdict: classifier.NotRun, Status: 503, Code: "busy", Message: "m", Field: "f", RetryAfter: time.Second}
 		b.Handle("busy", func(context.Context, json.RawMessage) (any, error) { return nil, refusal })
 		Expect(a.Call(ctx, b.Address, "busy", nil, nil)).To(Equal(refusal))
@@ -66,7 +66,7 @@
 		b.Handle("panic", func(context.Context, json.RawMessage) (any, error) { panic("bug") })
 		b.Handle("fail", func(context.Context, json.RawMessage) (any, error) { return nil, io.EOF })
 		for _, method := range []string{"panic", "fail"} {
-			Expect(classifier.Of(a.Call(ctx, b.Address, method, nil, nil))).To(Equal(classifier.MayHaveRun), method)
+			Expect(classifier.VerdictOf(a.Call(ctx, b.Address, method, nil, nil))).To(Equal(classifier.MayHaveRun), method)
 		}
 	})
 
@@ -82,7 +82,7 @@
 		mute.Store(true)
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
-		Expect(classifier.Of(c.Call(short, b.Address, "echo", 2, nil))).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(c.Call(short, b.Address, "echo", 2, nil))).To(Equal(classifier.MayHaveRun))
 		mute.Store(false)
 		Expect(c.Call(ctx, b.Address, "echo", 3, nil)).To(Succeed())
 		Expect(dials.Load()).To(BeEquivalentTo(2))
@@ -114,7 +114,7 @@
 		}
 		Expect(a.Call(ctx, small.Address, "echo", 1, nil)).To(Succeed())
 		big := open(messenger.Options{Limit: 32})
-		Expect(classifier.Of(big.Call(ctx, b.Address, "echo", make([]byte, 64), nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(big.Call(ctx, b.Address, "echo", make([]byte, 64), nil))).To(Equal(classifier.NotRun))
 	})
 
 	It("refuses more calls on a connection than it may serve at once", func() {
@@ -128,7 +128,7 @@
 		held := make(chan error, 1)
 		go func() { held <- a.Call(ctx, narrow.Address, "hold", nil, nil) }()
 		<-entered
-		Expect(classifier.Of(a.Call(ctx, narrow.Address, "hold", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(a.Call(ctx, narrow.Address, "hold", nil, nil))).To(Equal(classifier.NotRun))
 		close(free)
 		Expect(<-held).To(Succeed())
 	})
--- a/internal/platform/sender/sender_test.go
+++ b/internal/platform/sender/sender_test.go
@@ -35,19 +35,19 @@
 
 	It("says not run without a connection", func() {
 		s := sender.New("test", "http://127.0.0.1:1", http.DefaultClient)
-		Expect(classifier.Of(s.Send(ctx, "/", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(s.Send(ctx, "/", nil, nil))).To(Equal(classifier.NotRun))
 	})
 
 	It("says not run when the call ended before it began", func() {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		s := sender.New("test", "http://127.0.0.1:1", http.DefaultClient)
-		Expect(classifier.Of(s.Send(ended, "/", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(s.Send(ended, "/", nil, nil))).To(Equal(classifier.NotRun))
 	})
 
 	It("says may have run when the connection ends without an answer", func() {
 		err := send(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 	})
 
 	It("says may have run when the answer is cut", func() {
@@ -55,12 +55,12 @@
 			w.Header().Set("Content-Length", "100")
 			_, _ = w.Write([]byte(`{"a":`))
 		})
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 	})
 
 	DescribeTable("believes only a refusal that states its verdict",
 		func(status int, body string, verdict classifier.Verdict) {
-			Expect(classifier.Of(send(answer(status, body)))).To(Equal(verdict))
+			Expect(classifier.VerdictOf(send(answer(status, body)))).To(Equal(verdict))
 		},
 		Entry("stated", 409, `{"code":"taken","verdict":"not-run"}`, classifier.NotRun),
 		Entry("stated otherwise", 409, `{"code":"taken","verdict":"ran"}`, classifier.Ran),
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -32,7 +32,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Swap(ctx, "a", []byte("2"), 0, 0)
 		Expect(err).To(MatchError(storer.ErrConflict))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		second, err := c.Swap(ctx, "a", []byte("2"), first, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second).To(BeNumerically(">", first))
@@ -45,7 +45,7 @@
 
 	It("refuses values over 1 MB without running", func() {
 		_, err := c.Swap(ctx, "a", make([]byte, storer.MaxValue+1), 0, 0)
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		_, err = c.Swap(ctx, "a", make([]byte, storer.MaxValue), 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 	})
@@ -69,7 +69,7 @@
 		k.LoseAnswers(1, 0, 0)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
 		Expect(err).To(HaveOccurred())
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		item, err := c.Get(ctx, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(item.Value).To(Equal([]byte("1")))
@@ -79,7 +79,7 @@
 	It("has no effect during an outage and counts the calls", func() {
 		k.Outage(true)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		k.Outage(false)
 		_, err = c.Get(ctx, "a")
 		Expect(err).To(MatchError(storer.ErrNotFound))
@@ -89,7 +89,7 @@
 	It("says not run when no connection was made", func() {
 		k.Close()
 		_, err := c.Get(ctx, "a")
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 	})
 
 	It("counts waiting watches and wakes them in an outage", func() {
--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -101,5 +101,5 @@
 		status, code, message = e.Status, e.Code, e.Message
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal{code, message, classifier.Of(err).String()})
+	_ = json.NewEncoder(w).Encode(refusal{code, message, classifier.VerdictOf(err).String()})
 }
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -146,7 +146,7 @@
 		refusal := errors.New("changed in the meantime")
 		_, err := f.hosts["a/1"].Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) { return c, refusal })
 		Expect(err).To(MatchError(refusal))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 	}))
 
 	It("keeps all changes of racing proposals", virtual(func() {
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -155,7 +155,7 @@
 		f.propose("a/1", "one")
 		f.hosts["a/1"].client.SetDown(true)
 		_, err := f.hosts["a/1"].Propose(ctx, addTeam("two"))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		client := f.hosts["a/1"].client
 		client.SetDown(false)
 		client.SetFault(func(c faker.Call) faker.Fate {
@@ -168,7 +168,7 @@
 		short, cancel := contextFor(10 * time.Second)
 		defer cancel()
 		_, err = f.hosts["a/1"].Propose(short, addTeam("three"))
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 	}))
 
 	It("keeps every accepted change, once, whatever answers are lost", func() {
@@ -206,7 +206,7 @@
 				switch {
 				case err == nil:
 					accepted++
-				case classifier.Of(err) == classifier.MayHaveRun:
+				case classifier.VerdictOf(err) == classifier.MayHaveRun:
 					open++
 				}
 				mu.Unlock()
--- a/internal/state/distributor/propose.go
+++ b/internal/state/distributor/propose.go
@@ -143,7 +143,7 @@
 	case errors.Is(err, storer.ErrConflict):
 		p.dropBase(ctx)
 		return err
-	case classifier.Of(err) == classifier.MayHaveRun:
+	case classifier.VerdictOf(err) == classifier.MayHaveRun:
 		return unknown(err)
 	}
 	p.dropBase(ctx)
@@ -152,7 +152,7 @@
 
 func isDoubtful(err error) bool {
 	return !errors.Is(err, storer.ErrConflict) && !errors.Is(err, errForgotten) &&
-		classifier.Of(err) != classifier.NotRun
+		classifier.VerdictOf(err) != classifier.NotRun
 }
 
 // errForgotten says that too many proposals followed to find out about one.
--- a/internal/state/journaler/write.go
+++ b/internal/state/journaler/write.go
@@ -87,7 +87,7 @@
 		if err == nil {
 			return nil
 		}
-		doubtful = errors.Is(err, storer.ErrConflict) || classifier.Of(err) != classifier.NotRun
+		doubtful = errors.Is(err, storer.ErrConflict) || classifier.VerdictOf(err) != classifier.NotRun
 		return err
 	})
 	return revision, err
--- a/internal/traffic/classifier/classifier.go
+++ b/internal/traffic/classifier/classifier.go
@@ -74,9 +74,9 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict of err: that of the outermost *Error in its chain,
+// VerdictOf returns the verdict of err: that of the outermost *Error in its chain,
 // otherwise MayHaveRun.
-func Of(err error) Verdict {
+func VerdictOf(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Verdict
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -74,7 +74,7 @@
 		r := request("POST", address, "")
 		r.Header.Set("Idempotency-Key", "7f3a")
 		_, err := d.Send(backend(address), r)
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
@@ -84,7 +84,7 @@
 		listener.Close()
 		d := start(dialer.Options{})
 		_, err := d.Send(backend(address), request("POST", address, "hold"))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		Expect(d.Open("w")).To(BeZero())
 	})
 
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -56,7 +56,7 @@
 		case r := <-ends:
 			running--
 			if r.err != nil && running > 0 {
-				sent = sent || classifier.Of(r.err) != classifier.NotRun
+				sent = sent || classifier.VerdictOf(r.err) != classifier.NotRun
 				continue
 			}
 			if r.err != nil {
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -39,7 +39,7 @@
 		if !again || ctx.Err() != nil || !f.retries.Take() || !tries.Wait(ctx) {
 			return nil, withHistory(err, sent)
 		}
-		sent = sent || classifier.Of(err) != classifier.NotRun
+		sent = sent || classifier.VerdictOf(err) != classifier.NotRun
 		c.retries++
 	}
 }
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -83,7 +83,7 @@
 
 // May reports whether the verdict of err allows another attempt.
 func May(err error, idempotent bool) bool {
-	switch classifier.Of(err) {
+	switch classifier.VerdictOf(err) {
 	case classifier.NotRun:
 		return true
 	case classifier.MayHaveRun:
