--- a/internal/operator/commander/commander_test.go
+++ b/internal/operator/commander/commander_test.go
@@ -87,7 +87,7 @@
 
 	It("ends with 1 on a refusal, with its verdict and what has changed", func() {
 		address, paths := daemon(func(w http.ResponseWriter, _ *http.Request) {
-			classifier.Answer(w, &classifier.Error{
+			classifier.WriteError(w, &classifier.Error{
 				Verdict: classifier.NotRun, Status: http.StatusConflict, Code: "stale",
 				Message: "the plan no longer holds", Details: []string{"drain other of w1 is draining"},
 			})
--- a/internal/operator/responder/configuration.go
+++ b/internal/operator/responder/configuration.go
@@ -25,7 +25,7 @@
 func (r *Responder) showConfiguration(w http.ResponseWriter, _ *http.Request) {
 	configuration := r.options.Configuration.Current()
 	if configuration.Revision == 0 {
-		classifier.Answer(w, unavailable("not-ready", "no configuration is known yet"))
+		classifier.WriteError(w, unavailable("not-ready", "no configuration is known yet"))
 		return
 	}
 	writeJSON(w, http.StatusOK, configuration)
@@ -37,11 +37,11 @@
 func (r *Responder) setConfiguration(w http.ResponseWriter, request *http.Request) {
 	var wanted describer.Configuration
 	if err := readJSON(w, request, r.options.MaxBody, &wanted); err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	if err := checkConfiguration(wanted); err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	accepted, err := r.propose(request.Context(), wanted.Revision, func(c describer.Configuration) (describer.Configuration, error) {
@@ -49,7 +49,7 @@
 		return wanted, checkShardsKept(c.Shards, wanted.Shards)
 	})
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, accepted)
--- a/internal/operator/responder/encoding.go
+++ b/internal/operator/responder/encoding.go
@@ -66,13 +66,13 @@
 		mux.HandleFunc(path, func(w http.ResponseWriter, request *http.Request) {
 			e := invalid("method", "method "+request.Method+" is not allowed here")
 			e.Status, e.Code = http.StatusMethodNotAllowed, "method"
-			classifier.Answer(w, e)
+			classifier.WriteError(w, e)
 		})
 	}
 	mux.HandleFunc("/", func(w http.ResponseWriter, request *http.Request) {
 		e := invalid("path", "nothing is served at "+request.URL.Path)
 		e.Status, e.Code = http.StatusNotFound, "path"
-		classifier.Answer(w, e)
+		classifier.WriteError(w, e)
 	})
 }
 
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -20,16 +20,16 @@
 func (r *Responder) submitJob(w http.ResponseWriter, request *http.Request) {
 	var job describer.Job
 	if err := readJSON(w, request, r.options.MaxBody, &job); err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	if job.ID == "" {
-		classifier.Answer(w, invalid("id", "is missing; it makes the submission idempotent"))
+		classifier.WriteError(w, invalid("id", "is missing; it makes the submission idempotent"))
 		return
 	}
 	status, err := r.submit(request.Context(), job)
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusAccepted, status)
@@ -49,7 +49,7 @@
 	name := jobName{Job: request.PathValue("id")}
 	status, err := r.onJob(request.Context(), method, name, here)
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, status)
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -37,7 +37,7 @@
 func (r *Responder) planIntent(w http.ResponseWriter, request *http.Request) {
 	var intent describer.Intent
 	if err := readJSON(w, request, r.options.MaxBody, &intent); err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	if intent.ID == "" {
@@ -45,12 +45,12 @@
 	}
 	plan, err := r.makePlan(request.Context(), intent)
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	plan.ID = uuid.NewString()
 	if err := r.savePlan(request.Context(), storedPlan{Plan: plan}, 0); err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusCreated, planView{Plan: plan})
@@ -59,7 +59,7 @@
 func (r *Responder) showPlan(w http.ResponseWriter, request *http.Request) {
 	stored, _, err := r.loadPlan(request.Context(), request.PathValue("id"))
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, planView{Plan: stored.Plan, Confirmed: stored.Confirmed})
@@ -68,7 +68,7 @@
 func (r *Responder) confirmPlan(w http.ResponseWriter, request *http.Request) {
 	view, err := r.confirm(request.Context(), request.PathValue("id"))
 	if err != nil {
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	writeJSON(w, http.StatusOK, view)
--- a/internal/traffic/classifier/answer.go
+++ b/internal/traffic/classifier/answer.go
@@ -21,10 +21,10 @@
 	Details []string `json:"details,omitempty"`
 }
 
-// Answer writes err as an HTTP answer: status, verdict, Retry-After and a body
+// WriteError writes err as an HTTP answer: status, verdict, Retry-After and a body
 // in JSON. An err that is no *Error is an internal one that may have run.
 // Nothing may have been written before.
-func Answer(w http.ResponseWriter, err error) {
+func WriteError(w http.ResponseWriter, err error) {
 	e := asError(err)
 	out := answer{Code: e.Code, Message: e.Message, Field: e.Field, Verdict: e.Verdict.String(), Details: e.Details}
 	h := w.Header()
--- a/internal/traffic/forwarder/claims.go
+++ b/internal/traffic/forwarder/claims.go
@@ -149,7 +149,7 @@
 		return false
 	}
 	if earlier.state != answered {
-		classifier.Answer(w, repeated(earlier.owner))
+		classifier.WriteError(w, repeated(earlier.owner))
 		return true
 	}
 	passHeaders(w.Header(), earlier.copy.header)
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -196,14 +196,14 @@
 	ctx, leave, ok := f.gate.enter(r.Context())
 	if !ok {
 		w.Header().Set("Connection", "close")
-		classifier.Answer(w, errStopping)
+		classifier.WriteError(w, errStopping)
 		return
 	}
 	defer leave()
 	call, err := f.read(r)
 	if err != nil {
 		f.metrics.refused(call)
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	call.ends = start.Add(call.deadline)
@@ -221,7 +221,7 @@
 	body, err := newPayload(w, r, f.Options.Traffic.Body, c.ends)
 	if err != nil {
 		f.metrics.refused(c)
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	c.body = body
@@ -251,7 +251,7 @@
 		f.metrics.refused(c)
 	}
 	f.log.Debug().Str("tenant", c.tenant).Str("class", c.class).Str("code", failure.Code).AnErr("cause", failure.Err).Stringer("verdict", failure.Verdict).Msg("request failed")
-	classifier.Answer(w, failure)
+	classifier.WriteError(w, failure)
 }
 
 // Drain refuses new requests and waits until those in flight have ended or
