--- a/internal/peer/messenger/failure.go
+++ b/internal/peer/messenger/failure.go
@@ -51,7 +51,7 @@
 		f.Code = "peer"
 	}
 	return &classifier.Error{
-		Verdict:    classifier.Parse(f.Verdict),
+		Verdict:    classifier.ParseVerdict(f.Verdict),
 		Status:     f.Status,
 		Code:       f.Code,
 		Message:    err.Message,
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -106,7 +106,7 @@
 		return s.fail(classifier.MayHaveRun, "status", fmt.Errorf("status %d", status))
 	}
 	return &classifier.Error{
-		Verdict: classifier.Parse(r.Verdict),
+		Verdict: classifier.ParseVerdict(r.Verdict),
 		Status:  status,
 		Code:    r.Code,
 		Message: s.Part + ": " + r.Message,
--- a/internal/traffic/classifier/classifier.go
+++ b/internal/traffic/classifier/classifier.go
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Parse reads the text form of a verdict; unknown text is MayHaveRun.
-func Parse(s string) Verdict {
+// ParseVerdict reads the text form of a verdict; unknown text is MayHaveRun.
+func ParseVerdict(s string) Verdict {
 	switch s {
 	case "not-run":
 		return NotRun
