--- a/coord/coord.go
+++ b/coord/coord.go
@@ -133,7 +133,7 @@
 	// LenderOptions configure a Lender.
 	LenderOptions = lender.Options
 	// Seat is a right to a base share that needs nobody's consent.
-	Seat = lender.Seat
+	Seat = lender.ShareLease
 	// Backend is a shared server.
 	Backend = describer.Backend
 	// Table says who owns which shard.
--- a/internal/operator/server/server.go
+++ b/internal/operator/server/server.go
@@ -66,7 +66,7 @@
 	responder *responder.Responder
 	forwarder *forwarder.Forwarder
 	lender    *lender.Lender
-	seat      *lender.Seat
+	seat      *lender.ShareLease
 
 	callers   *http.Server
 	operators *http.Server
--- a/internal/traffic/lender/lender.go
+++ b/internal/traffic/lender/lender.go
@@ -4,7 +4,7 @@
 // # Model
 //
 // Half of a worker's slots form the base pool, divided into equal shares for
-// the seats of its failure domain. An entry host holds a [Seat] for many
+// the seats of its failure domain. An entry host holds a [ShareLease] for many
 // hours, recorded in the store, and uses its share without asking anybody;
 // that is what serves callers while the store or the shard's owner is away.
 //
@@ -69,7 +69,7 @@
 	table  func() *describer.RoutingTable
 	caller Caller
 	valid  func() bool
-	seat   *Seat
+	seat   *ShareLease
 	log    zerolog.Logger
 	stop   context.CancelFunc
 	wake   chan struct{}
@@ -94,7 +94,7 @@
 	table func() *describer.RoutingTable,
 	caller Caller,
 	valid func() bool,
-	seat *Seat,
+	seat *ShareLease,
 	log zerolog.Logger,
 ) *Lender {
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/traffic/lender/lender_test.go
+++ b/internal/traffic/lender/lender_test.go
@@ -90,7 +90,7 @@
 	return time.Duration(w.random.IntN(5)) * time.Millisecond
 }
 
-func (w *world) add(name string, seat *Seat) *Lender {
+func (w *world) add(name string, seat *ShareLease) *Lender {
 	valid := func() bool {
 		w.lock.Lock()
 		defer w.lock.Unlock()
@@ -188,7 +188,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := &world{t: t, random: rand.New(rand.NewPCG(1, 1)), lenders: map[string]*Lender{}, cut: true, bound: 2}
 		store := newStore()
-		seats := []*Seat{seat(store, "a"), seat(store, "b")}
+		seats := []*ShareLease{seat(store, "a"), seat(store, "b")}
 		time.Sleep(5 * time.Second)
 		store.setDown()
 		a, b := w.add("a", seats[0]), w.add("b", seats[1])
--- a/internal/traffic/lender/seat.go
+++ b/internal/traffic/lender/seat.go
@@ -33,9 +33,9 @@
 	seatMargin = 10 * time.Minute // for wall clocks that differ
 )
 
-// Seat is an entry host's right to a base share of every worker of its failure
+// ShareLease is an entry host's right to a base share of every worker of its failure
 // domain. It is recorded in the store under seats/<domain>.
-type Seat struct {
+type ShareLease struct {
 	Done chan struct{} // closed when renewals have ended
 
 	store  Store
@@ -68,9 +68,9 @@
 }
 
 // NewSeat seeks a seat until Close and keeps it. Wait is the term of loans.
-func NewSeat(store Store, domain, name string, wait time.Duration, log zerolog.Logger) *Seat {
+func NewSeat(store Store, domain, name string, wait time.Duration, log zerolog.Logger) *ShareLease {
 	ctx, stop := context.WithCancel(context.Background())
-	s := &Seat{
+	s := &ShareLease{
 		Done:   make(chan struct{}),
 		store:  store,
 		domain: domain,
@@ -90,7 +90,7 @@
 
 // Held returns the number of the seat and how many there are, 0 if none is
 // held at the time, and until when it lasts.
-func (s *Seat) Held(now time.Time) (number, count int, until time.Time) {
+func (s *ShareLease) Held(now time.Time) (number, count int, until time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.seats == 0 || now.Before(s.from) || !now.Before(s.until) {
@@ -100,7 +100,7 @@
 }
 
 // Release frees the seat for others.
-func (s *Seat) Release(ctx context.Context) {
+func (s *ShareLease) Release(ctx context.Context) {
 	s.Close()
 	s.drop()
 	err := s.change(ctx, s.vacate, func() {})
@@ -112,7 +112,7 @@
 	}
 }
 
-func (s *Seat) vacate(r *record) bool {
+func (s *ShareLease) vacate(r *record) bool {
 	for i := range r.Seats {
 		if r.Seats[i].Name == s.name && r.Seats[i].Born == s.born {
 			r.Seats[i] = entry{}
@@ -123,12 +123,12 @@
 }
 
 // Close ends renewals and keeps the record.
-func (s *Seat) Close() {
+func (s *ShareLease) Close() {
 	s.once.Do(s.stop)
 	<-s.Done
 }
 
-func (s *Seat) run(ctx context.Context) {
+func (s *ShareLease) run(ctx context.Context) {
 	pause := time.Duration(0)
 	for {
 		timer := time.NewTimer(pause)
@@ -147,7 +147,7 @@
 }
 
 // keep takes, confirms or renews the seat.
-func (s *Seat) keep(ctx context.Context) error {
+func (s *ShareLease) keep(ctx context.Context) error {
 	sent := time.Now()
 	number, seats, from := -1, 0, sent
 	return s.change(ctx, func(r *record) bool {
@@ -180,7 +180,7 @@
 
 // find returns the own seat, that of a predecessor of the same name, a free
 // one or one that has ended, and -1 if there is none.
-func (s *Seat) find(r *record, now time.Time) int {
+func (s *ShareLease) find(r *record, now time.Time) int {
 	best, rank := -1, 0
 	for i, e := range r.Seats {
 		got := 0
@@ -201,7 +201,7 @@
 	return best
 }
 
-func (s *Seat) hold(number, seats int, from, until time.Time) {
+func (s *ShareLease) hold(number, seats int, from, until time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.seats == 0 {
@@ -212,18 +212,18 @@
 
 // confirm notes that the record still names this process. It also adopts a
 // write whose answer was lost, after the wait that may have applied to it.
-func (s *Seat) confirm(number, seats int, now, until time.Time) {
+func (s *ShareLease) confirm(number, seats int, now, until time.Time) {
 	s.hold(number, seats, now.Add(s.wait), now.Add(until.Sub(now)-seatMargin))
 }
 
-func (s *Seat) drop() {
+func (s *ShareLease) drop() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.seats = 0
 }
 
 // change applies edit by compare-and-swap and calls done if it wrote.
-func (s *Seat) change(ctx context.Context, edit func(*record) bool, done func()) error {
+func (s *ShareLease) change(ctx context.Context, edit func(*record) bool, done func()) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	key := "seats/" + s.domain
--- a/internal/traffic/lender/seat_test.go
+++ b/internal/traffic/lender/seat_test.go
@@ -52,14 +52,14 @@
 	m.down = true
 }
 
-func seat(store Store, name string) *Seat {
+func seat(store Store, name string) *ShareLease {
 	return NewSeat(store, "d", name, DefaultTerm, zerolog.Nop())
 }
 
 func TestSeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		var all []*Seat
+		var all []*ShareLease
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
 			all = append(all, seat(store, name))
 			synctest.Wait()
