--- a/coord/coord.go
+++ b/coord/coord.go
@@ -142,7 +142,7 @@
 
 // NewSeat seeks a seat in the domain until Close and keeps it.
 func NewSeat(store Store, domain, name string, log zerolog.Logger) *Seat {
-	return lender.NewSeat(store, domain, name, lender.DefaultTerm, log)
+	return lender.NewShareLease(store, domain, name, lender.DefaultTerm, log)
 }
 
 // NewLender starts borrowing and lending. valid reports whether this process
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -123,7 +123,7 @@
 
 func (s *Server) buildTraffic(store lender.Store) {
 	name, domain := s.Settings.Name, s.Settings.Domain
-	s.seat = lender.NewSeat(store, domain, name, lender.DefaultTerm, s.log)
+	s.seat = lender.NewShareLease(store, domain, name, lender.DefaultTerm, s.log)
 	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsValid, s.seat, s.log)
 	s.node.Handle(messenger.Lend, s.lender.Serve)
 	s.forwarder = forwarder.New(forwarder.Options{
--- a/internal/traffic/lender/seat.go
+++ b/internal/traffic/lender/seat.go
@@ -67,8 +67,8 @@
 	Until time.Time `json:"until,omitzero"`
 }
 
-// NewSeat seeks a seat until Close and keeps it. Wait is the term of loans.
-func NewSeat(store Store, domain, name string, wait time.Duration, log zerolog.Logger) *ShareLease {
+// NewShareLease seeks a seat until Close and keeps it. Wait is the term of loans.
+func NewShareLease(store Store, domain, name string, wait time.Duration, log zerolog.Logger) *ShareLease {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &ShareLease{
 		Done:   make(chan struct{}),
--- a/internal/traffic/lender/seat_test.go
+++ b/internal/traffic/lender/seat_test.go
@@ -53,7 +53,7 @@
 }
 
 func seat(store Store, name string) *ShareLease {
-	return NewSeat(store, "d", name, DefaultTerm, zerolog.Nop())
+	return NewShareLease(store, "d", name, DefaultTerm, zerolog.Nop())
 }
 
 func TestSeats(t *testing.T) {
