--- a/internal/traffic/lender/seat.go
+++ b/internal/traffic/lender/seat.go
@@ -21,9 +21,9 @@
 }
 
 const (
-	// DefaultSeats is the number of seats of a failure domain. Entry hosts
+	// DefaultShares is the number of seats of a failure domain. Entry hosts
 	// above it use lent slots only.
-	DefaultSeats = 4
+	DefaultShares = 4
 
 	seatTerm     = 24 * time.Hour   // a seat lasts this long without the store
 	seatRenew    = time.Hour        // between renewals
@@ -76,7 +76,7 @@
 		domain: domain,
 		name:   name,
 		wait:   wait,
-		count:  DefaultSeats,
+		count:  DefaultShares,
 		born:   time.Now().UnixNano(),
 		log:    log.With().Str("part", "lender").Logger(),
 		stop:   stop,
--- a/internal/traffic/lender/seat_test.go
+++ b/internal/traffic/lender/seat_test.go
@@ -68,7 +68,7 @@
 		taken := map[int]bool{}
 		for _, s := range all[:4] {
 			number, count, _ := s.Held(time.Now())
-			if count != DefaultSeats || taken[number] {
+			if count != DefaultShares || taken[number] {
 				t.Errorf("seat %d of %d", number, count)
 			}
 			taken[number] = true
