--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -41,7 +41,7 @@
 	Epoch   int64
 	Worker  string
 	Address string
-	Start   runner.Start
+	Start   runner.StartRequest
 }
 
 // StopTask asks a worker to end a run. The answer is StopAnswered.
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -27,7 +27,7 @@
 }
 
 type fakeRun struct {
-	runner.Start
+	runner.StartRequest
 	began     time.Time
 	lease     time.Time
 	length    time.Duration
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *fakeWorker) start(s runner.Start) string {
+func (m *fakeWorker) start(s runner.StartRequest) string {
 	m.advance()
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	_, known := m.ended[run]
@@ -113,7 +113,7 @@
 	m.fences[s.Task] = s.Token
 	m.world.audit(m, s)
 	m.runs[s.Task] = &fakeRun{
-		Start: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
+		StartRequest: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
 	}
 	if sum := m.granted(); !sum.Fits(m.capacity) {
 		m.world.t.Fatalf("%s is overfilled: %v", m.name, sum)
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -194,7 +194,7 @@
 }
 
 // audit checks a run that begins against what is durable and what runs.
-func (w *world) audit(m *fakeWorker, s runner.Start) {
+func (w *world) audit(m *fakeWorker, s runner.StartRequest) {
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	at, ok := w.store.started[run]
 	if !ok {
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -33,7 +33,7 @@
 		Epoch:   h.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Start: runner.Start{
+		Start: runner.StartRequest{
 			Task:       t.id(),
 			Token:      t.token,
 			Class:      t.job.Class,
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -29,7 +29,7 @@
 }
 
 // Start implements Worker.
-func (c *Client) Start(ctx context.Context, address string, s Start) error {
+func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
 	c.Counts.Start.Add(1)
 	return c.sender.Send(ctx, "http://"+address+"/v1/start", s, nil)
 }
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -23,9 +23,9 @@
 	ErrFull   = errors.New("runner: worker lacks the resources")
 )
 
-// Start asks for one run of a task. Repeating it with the same token is
+// StartRequest asks for one run of a task. Repeating it with the same token is
 // idempotent.
-type Start struct {
+type StartRequest struct {
 	Task       describer.TaskID    `json:"task"`
 	Token      describer.Token     `json:"token"`
 	Class      string              `json:"class"`
@@ -130,7 +130,7 @@
 // Worker is the interface to all workers; address is Host.Control. Failures
 // are *classifier.Error values.
 type Worker interface {
-	Start(ctx context.Context, address string, s Start) error
+	Start(ctx context.Context, address string, s StartRequest) error
 	Stop(ctx context.Context, address string, s Stop) (Stopped, error)
 	Throttle(ctx context.Context, address string, t Throttle) error
 	Sync(ctx context.Context, address string, s Sync) (Synced, error)
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -61,7 +61,7 @@
 
 // Start begins a run. It reports whether one began, which a repetition does
 // not do.
-func (m *Agent) Start(s runner.Start) (bool, error) {
+func (m *Agent) Start(s runner.StartRequest) (bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -240,7 +240,7 @@
 
 func (w *Worker) routes() http.Handler {
 	m := w.agent.Load()
-	start := func(in runner.Start) (struct{}, error) {
+	start := func(in runner.StartRequest) (struct{}, error) {
 		began, err := m.Start(in)
 		if began {
 			w.Counts.Runs.Add(1)
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -25,8 +25,8 @@
 	return hoster.Typical("seq", "seq-bne", "menu-desk", 1)[0]
 }
 
-func start(epoch, sequence int64) runner.Start {
-	return runner.Start{
+func start(epoch, sequence int64) runner.StartRequest {
+	return runner.StartRequest{
 		Task: task, Token: describer.Token{Epoch: epoch, Sequence: sequence}, Class: "render",
 		Granted: describer.Resources{CPU: 32000, Memory: 1024},
 		Lease:   10 * time.Second, RunTime: 4 * time.Second,
--- a/internal/standin/hoster/run.go
+++ b/internal/standin/hoster/run.go
@@ -14,7 +14,7 @@
 
 // run is one run of a task in progress.
 type run struct {
-	start   runner.Start
+	start   runner.StartRequest
 	payload Payload
 	work    time.Duration // at full speed
 	done    time.Duration // of work, up to since
@@ -41,7 +41,7 @@
 	return end
 }
 
-func newRun(s runner.Start, now time.Time) (*run, error) {
+func newRun(s runner.StartRequest, now time.Time) (*run, error) {
 	r := &run{start: s, work: s.RunTime, since: now, began: now, ends: leaseEnd(now, s.Lease, s.Until)}
 	if len(s.Payload) > 0 {
 		if err := json.Unmarshal(s.Payload, &r.payload); err != nil {
