--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -50,7 +50,7 @@
 	Epoch   int64
 	Worker  string
 	Address string
-	Stop    runner.Stop
+	Stop    runner.StopRequest
 }
 
 // ThrottleTask changes a run's processor grant. There is no answer; the next
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -129,7 +129,7 @@
 	return sum
 }
 
-func (m *fakeWorker) stop(s runner.Stop) (runner.Stopped, string) {
+func (m *fakeWorker) stop(s runner.StopRequest) (runner.Stopped, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
 		return runner.Stopped{}, "fenced"
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -41,7 +41,7 @@
 		Epoch:   h.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Stop:    runner.Stop{Epoch: h.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
+		Stop:    runner.StopRequest{Epoch: h.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
 	})
 }
 
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -35,7 +35,7 @@
 }
 
 // Stop implements Worker.
-func (c *Client) Stop(ctx context.Context, address string, s Stop) (Stopped, error) {
+func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (Stopped, error) {
 	c.Counts.Stop.Add(1)
 	var out Stopped
 	err := c.sender.Send(ctx, "http://"+address+"/v1/stop", s, &out)
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -38,9 +38,9 @@
 	Payload    json.RawMessage     `json:"payload,omitempty"`
 }
 
-// Stop asks for the end of a run. The run may be of a former owner, so Epoch
+// StopRequest asks for the end of a run. The run may be of a former owner, so Epoch
 // is that of the caller's ownership, and it fences.
-type Stop struct {
+type StopRequest struct {
 	Epoch      int64            `json:"epoch"`
 	Task       describer.TaskID `json:"task"`
 	Token      describer.Token  `json:"token"`
@@ -131,7 +131,7 @@
 // are *classifier.Error values.
 type Worker interface {
 	Start(ctx context.Context, address string, s StartRequest) error
-	Stop(ctx context.Context, address string, s Stop) (Stopped, error)
+	Stop(ctx context.Context, address string, s StopRequest) (Stopped, error)
 	Throttle(ctx context.Context, address string, t Throttle) error
 	Sync(ctx context.Context, address string, s Sync) (Synced, error)
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -104,7 +104,7 @@
 }
 
 // Stop ends a run and fences its token.
-func (m *Agent) Stop(s runner.Stop) (runner.Stopped, error) {
+func (m *Agent) Stop(s runner.StopRequest) (runner.Stopped, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
