--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -143,7 +143,7 @@
 	Worker  string
 	Task    describer.TaskID
 	Token   describer.Token
-	Stopped runner.Stopped
+	Stopped runner.StopResult
 	Err     string
 }
 
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -22,7 +22,7 @@
 	epoch    int64
 	fences   map[describer.TaskID]describer.Token
 	runs     map[describer.TaskID]*fakeRun
-	ended    map[runner.Run]runner.Stopped
+	ended    map[runner.Run]runner.StopResult
 	finished map[runner.Run]runner.Finished
 }
 
@@ -57,7 +57,7 @@
 	m.epoch = 0
 	m.fences = make(map[describer.TaskID]describer.Token)
 	m.runs = make(map[describer.TaskID]*fakeRun)
-	m.ended = make(map[runner.Run]runner.Stopped)
+	m.ended = make(map[runner.Run]runner.StopResult)
 	m.finished = make(map[runner.Run]runner.Finished)
 }
 
@@ -81,14 +81,14 @@
 		switch {
 		case !done.After(m.clock()) && !done.After(r.lease):
 			f = runner.Finished{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.ended[run] = runner.Stopped{Ran: true, Finished: f.OK, Result: f.Result}
+			m.ended[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
 				m.world.store.complete(run)
 			}
 		case r.lease.After(m.clock()):
 			continue
 		default:
-			m.ended[run] = runner.Stopped{Ran: true, Checkpoint: f.Checkpoint}
+			m.ended[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
 		}
 		m.finished[run] = f
 		delete(m.runs, id)
@@ -129,10 +129,10 @@
 	return sum
 }
 
-func (m *fakeWorker) stop(s runner.StopRequest) (runner.Stopped, string) {
+func (m *fakeWorker) stop(s runner.StopRequest) (runner.StopResult, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
-		return runner.Stopped{}, "fenced"
+		return runner.StopResult{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	if m.fences[s.Task].Less(s.Token) {
@@ -141,9 +141,9 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(m.runs, s.Task)
-		m.ended[run] = runner.Stopped{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+		m.ended[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
 	} else if _, ok := m.ended[run]; !ok {
-		m.ended[run] = runner.Stopped{}
+		m.ended[run] = runner.StopResult{}
 	}
 	return m.ended[run], ""
 }
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -134,7 +134,7 @@
 		Expect(stop.Stop.Checkpoint).To(BeTrue())
 		d.do(StopAnswered{
 			Shard: "bne-1", Epoch: 1, Worker: "w1", Task: stop.Stop.Task, Token: stop.Stop.Token,
-			Stopped: runner.Stopped{Ran: true, Checkpoint: "half"},
+			Stopped: runner.StopResult{Ran: true, Checkpoint: "half"},
 		})
 		records := d.durable()
 		Expect(records[0].DrainedOff).To(Equal("w1"))
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -35,9 +35,9 @@
 }
 
 // Stop implements Worker.
-func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (Stopped, error) {
+func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (StopResult, error) {
 	c.Counts.Stop.Add(1)
-	var out Stopped
+	var out StopResult
 	err := c.sender.Send(ctx, "http://"+address+"/v1/stop", s, &out)
 	return out, err
 }
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -47,9 +47,9 @@
 	Checkpoint bool             `json:"checkpoint"` // save progress first
 }
 
-// Stopped is the answer: the run is over, and no run under this or a lower
+// StopResult is the answer: the run is over, and no run under this or a lower
 // token will begin on this worker.
-type Stopped struct {
+type StopResult struct {
 	Ran        bool            `json:"ran"`      // it had begun
 	Finished   bool            `json:"finished"` // it had completed before the stop
 	Checkpoint string          `json:"checkpoint,omitempty"`
@@ -131,7 +131,7 @@
 // are *classifier.Error values.
 type Worker interface {
 	Start(ctx context.Context, address string, s StartRequest) error
-	Stop(ctx context.Context, address string, s StopRequest) (Stopped, error)
+	Stop(ctx context.Context, address string, s StopRequest) (StopResult, error)
 	Throttle(ctx context.Context, address string, t Throttle) error
 	Sync(ctx context.Context, address string, s Sync) (Synced, error)
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -22,7 +22,7 @@
 	epoch    int64                                // highest seen
 	fences   map[describer.TaskID]describer.Token // highest seen
 	runs     map[describer.TaskID]*run
-	ended    map[runner.Run]runner.Stopped
+	ended    map[runner.Run]runner.StopResult
 	finished map[runner.Run]runner.Finished
 	timer    *time.Timer // fires at the next end of a run
 	paused   bool
@@ -51,7 +51,7 @@
 		audit:    a,
 		fences:   make(map[describer.TaskID]describer.Token),
 		runs:     make(map[describer.TaskID]*run),
-		ended:    make(map[runner.Run]runner.Stopped),
+		ended:    make(map[runner.Run]runner.StopResult),
 		finished: make(map[runner.Run]runner.Finished),
 		meter:    meter{lag: o.Lag, slots: o.Host.Slots},
 	}
@@ -104,12 +104,12 @@
 }
 
 // Stop ends a run and fences its token.
-func (m *Agent) Stop(s runner.StopRequest) (runner.Stopped, error) {
+func (m *Agent) Stop(s runner.StopRequest) (runner.StopResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
 	if err := m.fence(max(s.Epoch, s.Token.Epoch)); err != nil {
-		return runner.Stopped{}, err
+		return runner.StopResult{}, err
 	}
 	if m.fences[s.Task].Less(s.Token) {
 		m.fences[s.Task] = s.Token
@@ -123,7 +123,7 @@
 		m.ended[id] = m.end(r, auditor.Stopped, checkpoint)
 	}
 	if _, ok := m.ended[id]; !ok {
-		m.ended[id] = runner.Stopped{}
+		m.ended[id] = runner.StopResult{}
 	}
 	m.schedule()
 	return m.ended[id], nil
@@ -288,7 +288,7 @@
 	}
 	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: m.options.Host.Name})
 	m.end(r, auditor.Completed, "")
-	m.ended[f.Run] = runner.Stopped{Ran: true, Finished: true, Result: f.Result}
+	m.ended[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
 	m.finished[f.Run] = f
 }
 
@@ -299,10 +299,10 @@
 }
 
 // end takes a run out and remembers the answer for repeated stops.
-func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.Stopped {
+func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.StopResult {
 	delete(m.runs, r.start.Task)
 	m.audit.Ended(r.start.Task, m.options.Host.Name, e)
-	out := runner.Stopped{Ran: true, Checkpoint: checkpoint}
+	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
 	m.ended[r.id()] = out
 	return out
 }
