--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -58,7 +58,7 @@
 type ThrottleTask struct {
 	Worker   string
 	Address  string
-	Throttle runner.Throttle
+	Throttle runner.ThrottleRequest
 }
 
 // SyncWorker renews leases and fetches the inventory. The answer is
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -148,7 +148,7 @@
 	return m.ended[run], ""
 }
 
-func (m *fakeWorker) throttle(t runner.Throttle) {
+func (m *fakeWorker) throttle(t runner.ThrottleRequest) {
 	m.advance()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
 	r := m.runs[t.Task]
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -117,7 +117,7 @@
 	h.state.emit(ThrottleTask{
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Throttle: runner.Throttle{
+		Throttle: runner.ThrottleRequest{
 			Epoch: h.epoch, Sequence: h.sequence, Task: t.id(), Token: t.token, CPU: cpu,
 		},
 	})
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -43,7 +43,7 @@
 }
 
 // Throttle implements Worker.
-func (c *Client) Throttle(ctx context.Context, address string, t Throttle) error {
+func (c *Client) Throttle(ctx context.Context, address string, t ThrottleRequest) error {
 	c.Counts.Throttle.Add(1)
 	return c.sender.Send(ctx, "http://"+address+"/v1/throttle", t, nil)
 }
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -56,11 +56,11 @@
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Throttle sets the processor grant of a run. Epoch is that of the caller's
+// ThrottleRequest sets the processor grant of a run. Epoch is that of the caller's
 // ownership, and it fences. A worker ignores a call whose Epoch and Sequence
 // are not after those of the last one for the run, so that a late message
 // can't undo a newer one.
-type Throttle struct {
+type ThrottleRequest struct {
 	Epoch    int64            `json:"epoch"`
 	Sequence int64            `json:"sequence"`
 	Task     describer.TaskID `json:"task"`
@@ -132,6 +132,6 @@
 type Worker interface {
 	Start(ctx context.Context, address string, s StartRequest) error
 	Stop(ctx context.Context, address string, s StopRequest) (StopResult, error)
-	Throttle(ctx context.Context, address string, t Throttle) error
+	Throttle(ctx context.Context, address string, t ThrottleRequest) error
 	Sync(ctx context.Context, address string, s Sync) (Synced, error)
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -130,7 +130,7 @@
 }
 
 // Throttle sets a run's processor grant.
-func (m *Agent) Throttle(t runner.Throttle) error {
+func (m *Agent) Throttle(t runner.ThrottleRequest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -250,7 +250,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/start", serve(w, start))
 	mux.Handle("POST /v1/stop", serve(w, m.Stop))
-	mux.Handle("POST /v1/throttle", serve(w, func(in runner.Throttle) (struct{}, error) { return struct{}{}, m.Throttle(in) }))
+	mux.Handle("POST /v1/throttle", serve(w, func(in runner.ThrottleRequest) (struct{}, error) { return struct{}{}, m.Throttle(in) }))
 	mux.Handle("POST /v1/sync", serve(w, m.Sync))
 	return mux
 }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -99,7 +99,7 @@
 		s := start(1, 1)
 		g.Expect(failure(m.Start(s))).To(Succeed())
 		time.Sleep(time.Second)
-		g.Expect(m.Throttle(runner.Throttle{Task: task, Token: s.Token, CPU: 16000})).To(Succeed())
+		g.Expect(m.Throttle(runner.ThrottleRequest{Task: task, Token: s.Token, CPU: 16000})).To(Succeed())
 		time.Sleep(time.Second)
 		out, err := m.Stop(runner.StopRequest{Task: task, Token: s.Token, Checkpoint: true})
 		g.Expect(err).NotTo(HaveOccurred())
