--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -66,7 +66,7 @@
 type SyncWorker struct {
 	Worker  string
 	Address string
-	Sync    runner.Sync
+	Sync    runner.SyncRequest
 }
 
 // Reply answers a request. Exactly one of the pointers is set.
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-func (m *fakeWorker) sync(s runner.Sync) (runner.Synced, string) {
+func (m *fakeWorker) sync(s runner.SyncRequest) (runner.Synced, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
 		return runner.Synced{}, "fenced"
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -51,7 +51,7 @@
 	w.calls++
 	w.calling = true
 	w.called = h.state.now
-	call := runner.Sync{
+	call := runner.SyncRequest{
 		Shard: h.id,
 		Epoch: h.epoch,
 		Lease: h.state.options.TaskLease,
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -49,7 +49,7 @@
 }
 
 // Sync implements Worker.
-func (c *Client) Sync(ctx context.Context, address string, s Sync) (Synced, error) {
+func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (Synced, error) {
 	c.Counts.Sync.Add(1)
 	var out Synced
 	err := c.sender.Send(ctx, "http://"+address+"/v1/sync", s, &out)
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -74,13 +74,13 @@
 	Token describer.Token  `json:"token"`
 }
 
-// Sync renews leases in bulk and exchanges state: one call a worker and
+// SyncRequest renews leases in bulk and exchanges state: one call a worker and
 // interval. It raises the worker's epoch.
 //
 // Until bounds what a late message can do: a lease that the call grants ends
 // no later than Until by the worker's own clock, and a start that arrives
 // after it is refused. Zero leaves Lease from the arrival as the only bound.
-type Sync struct {
+type SyncRequest struct {
 	Shard string        `json:"shard"`
 	Epoch int64         `json:"epoch"`
 	Lease time.Duration `json:"lease"`
@@ -133,5 +133,5 @@
 	Start(ctx context.Context, address string, s StartRequest) error
 	Stop(ctx context.Context, address string, s StopRequest) (StopResult, error)
 	Throttle(ctx context.Context, address string, t ThrottleRequest) error
-	Sync(ctx context.Context, address string, s Sync) (Synced, error)
+	Sync(ctx context.Context, address string, s SyncRequest) (Synced, error)
 }
--- a/internal/platform/runner/size_bench_test.go
+++ b/internal/platform/runner/size_bench_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-func inventory(runs int) (Sync, Synced) {
-	request := Sync{Shard: "seq-bne-r12", Epoch: 7}
+func inventory(runs int) (SyncRequest, Synced) {
+	request := SyncRequest{Shard: "seq-bne-r12", Epoch: 7}
 	answer := Synced{Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10}}
 	granted := describer.Resources{CPU: 1500, Memory: 4096}
 	for i := range runs {
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -153,7 +153,7 @@
 }
 
 // Sync renews leases, forgets acknowledged ends and returns the inventory.
-func (m *Agent) Sync(s runner.Sync) (runner.Synced, error) {
+func (m *Agent) Sync(s runner.SyncRequest) (runner.Synced, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -51,10 +51,10 @@
 		g.Expect(failure(m.Start(start(1, 1)))).To(Succeed())
 		time.Sleep(5 * time.Second)
 		g.Expect(failure(m.Start(start(1, 1)))).To(Succeed())
-		out, err := m.Sync(runner.Sync{Epoch: 1})
+		out, err := m.Sync(runner.SyncRequest{Epoch: 1})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(out.Finished).To(HaveExactElements(HaveField("OK", true)))
-		out, _ = m.Sync(runner.Sync{Epoch: 1, Ack: []runner.Run{out.Finished[0].Run}})
+		out, _ = m.Sync(runner.SyncRequest{Epoch: 1, Ack: []runner.Run{out.Finished[0].Run}})
 		g.Expect(out.Finished).To(BeEmpty())
 		g.Expect(a.Report().Runs).To(Equal(1))
 		g.Expect(a.Report().Finished).To(Equal(1))
@@ -68,12 +68,12 @@
 		g.Expect(failure(m.Start(s))).To(Succeed())
 		time.Sleep(9 * time.Second)
 		id := runner.Run{Task: task, Token: s.Token}
-		_, err := m.Sync(runner.Sync{Epoch: 1, Lease: 10 * time.Second, Renew: []runner.Run{id}})
+		_, err := m.Sync(runner.SyncRequest{Epoch: 1, Lease: 10 * time.Second, Renew: []runner.Run{id}})
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(9 * time.Second)
 		g.Expect(m.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
-		out, _ := m.Sync(runner.Sync{Epoch: 1})
+		out, _ := m.Sync(runner.SyncRequest{Epoch: 1})
 		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("Lapsed", true), HaveField("Checkpoint", "19s"))))
 		g.Expect(a.Report().Lapsed).To(Equal(1))
 	})
@@ -81,7 +81,7 @@
 
 func TestFencesOldEpochsAndTokens(t *testing.T) {
 	virtual(t, func(g Gomega, m *hoster.Agent, a *auditor.Auditor) {
-		_, err := m.Sync(runner.Sync{Epoch: 2})
+		_, err := m.Sync(runner.SyncRequest{Epoch: 2})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = m.Start(start(1, 9))
 		g.Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
