--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -93,7 +93,7 @@
 			running = append(running, runner.Running{Run: runOf(s), Granted: s.Start.Granted})
 		}
 		d.wait(6 * time.Second)
-		d.inventory(runner.Synced{Running: running})
+		d.inventory(runner.SyncResult{Running: running})
 		urgent := testJob("urgent", 1)
 		urgent.Priority = describer.Urgent
 		d.do(Submitted{Request: 2, Job: urgent})
@@ -105,7 +105,7 @@
 			running[i].Granted.CPU = 100
 		}
 		d.wait(6 * time.Second)
-		d.inventory(runner.Synced{Running: running})
+		d.inventory(runner.SyncResult{Running: running})
 		Expect(d.durable()).To(BeEmpty(), "a low grant may be older than a growth on its way")
 		for i := range running {
 			for _, t := range throttles {
@@ -116,7 +116,7 @@
 			}
 		}
 		d.wait(6 * time.Second)
-		d.inventory(runner.Synced{Running: running})
+		d.inventory(runner.SyncResult{Running: running})
 		d.durable()
 		Expect(d.started()[0].Start.Task.Job).To(Equal("urgent"))
 	})
@@ -126,7 +126,7 @@
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		s := d.started()[0]
-		busy := runner.Synced{Running: []runner.Running{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
+		busy := runner.SyncResult{Running: []runner.Running{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
 		d.wait(20 * time.Second)
 		d.inventory(busy)
 		Expect(taken[ThrottleTask](d)).To(BeEmpty())
@@ -193,14 +193,14 @@
 		Expect(replies[len(replies)-1].Status.Workers[0].Aside).To(Equal("failed 3 jobs in a row, the last with: exit 1"))
 		for range 62 {
 			d.wait(5 * time.Second)
-			d.inventory(runner.Synced{})
+			d.inventory(runner.SyncResult{})
 		}
 		d.durable()
 		probe := d.started()
 		Expect(probe).To(HaveLen(1))
-		d.inventory(runner.Synced{Running: []runner.Running{{Run: runOf(probe[0])}}})
+		d.inventory(runner.SyncResult{Running: []runner.Running{{Run: runOf(probe[0])}}})
 		d.wait(6 * time.Second)
-		d.inventory(runner.Synced{Finished: []runner.Finished{{Run: runOf(probe[0]), OK: true}}})
+		d.inventory(runner.SyncResult{Finished: []runner.Finished{{Run: runOf(probe[0]), OK: true}}})
 		Expect(kinds(d.durable())).To(ContainElement(describer.WorkerTrusted))
 	})
 
@@ -219,7 +219,7 @@
 		}
 		Expect(kinds(records)).To(Equal([]describer.RecordKind{describer.TaskReleased}))
 		d.wait(6 * time.Second)
-		d.inventory(runner.Synced{Finished: []runner.Finished{{Run: run, OK: true}}})
+		d.inventory(runner.SyncResult{Finished: []runner.Finished{{Run: run, OK: true}}})
 		Expect(kinds(d.durable())).To(Equal([]describer.RecordKind{describer.TaskFinished}))
 		Expect(d.status("menu").State).To(Equal("done"))
 	})
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -114,7 +114,7 @@
 	Epoch  int64
 	Worker string
 	Sent   time.Time // when the call began; leases run from here
-	Synced runner.Synced
+	Synced runner.SyncResult
 }
 
 // WorkerFailed says that a SyncWorker had no answer.
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -162,10 +162,10 @@
 	}
 }
 
-func (m *fakeWorker) sync(s runner.SyncRequest) (runner.Synced, string) {
+func (m *fakeWorker) sync(s runner.SyncRequest) (runner.SyncResult, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
-		return runner.Synced{}, "fenced"
+		return runner.SyncResult{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	for _, run := range s.Ack {
@@ -179,7 +179,7 @@
 			}
 		}
 	}
-	out := runner.Synced{Clock: m.clock(), Capacity: m.capacity}
+	out := runner.SyncResult{Clock: m.clock(), Capacity: m.capacity}
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		out.Running = append(out.Running, runner.Running{
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -43,7 +43,7 @@
 }
 
 // observe takes in what an inventory reports on use and latency.
-func (h *shard) observe(w *worker, in *runner.Synced) {
+func (h *shard) observe(w *worker, in *runner.SyncResult) {
 	fresh := false
 	for i := range in.Latency {
 		fresh = h.observeLatency(w, &in.Latency[i]) || fresh
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -72,7 +72,7 @@
 	d.do(Configured{Configuration: testConfiguration()})
 	Expect(taken[Claim](d)).To(HaveLen(1))
 	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
-	d.inventory(runner.Synced{})
+	d.inventory(runner.SyncResult{})
 	return d
 }
 
@@ -117,7 +117,7 @@
 }
 
 // inventory answers all outstanding calls for inventories alike.
-func (d *desk) inventory(s runner.Synced) {
+func (d *desk) inventory(s runner.SyncResult) {
 	for _, c := range taken[SyncWorker](d) {
 		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now, Synced: s})
 	}
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -49,9 +49,9 @@
 }
 
 // Sync implements Worker.
-func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (Synced, error) {
+func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error) {
 	c.Counts.Sync.Add(1)
-	var out Synced
+	var out SyncResult
 	err := c.sender.Send(ctx, "http://"+address+"/v1/sync", s, &out)
 	return out, err
 }
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -89,8 +89,8 @@
 	Ack   []Run         `json:"ack,omitempty"`   // finished runs whose end is durable; the worker forgets them
 }
 
-// Synced is the worker's inventory.
-type Synced struct {
+// SyncResult is the worker's inventory.
+type SyncResult struct {
 	Clock    time.Time           `json:"clock,omitzero"` // the worker's, when it answered
 	Capacity describer.Resources `json:"capacity"`
 	Running  []Running           `json:"running"`
@@ -133,5 +133,5 @@
 	Start(ctx context.Context, address string, s StartRequest) error
 	Stop(ctx context.Context, address string, s StopRequest) (StopResult, error)
 	Throttle(ctx context.Context, address string, t ThrottleRequest) error
-	Sync(ctx context.Context, address string, s SyncRequest) (Synced, error)
+	Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error)
 }
--- a/internal/platform/runner/size_bench_test.go
+++ b/internal/platform/runner/size_bench_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-func inventory(runs int) (SyncRequest, Synced) {
+func inventory(runs int) (SyncRequest, SyncResult) {
 	request := SyncRequest{Shard: "seq-bne-r12", Epoch: 7}
-	answer := Synced{Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10}}
+	answer := SyncResult{Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10}}
 	granted := describer.Resources{CPU: 1500, Memory: 4096}
 	for i := range runs {
 		run := Run{Task: describer.TaskID{Job: "precinct-20300101-0042", Index: i}, Token: describer.Token{Epoch: 7, Sequence: 120_000}}
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -153,12 +153,12 @@
 }
 
 // Sync renews leases, forgets acknowledged ends and returns the inventory.
-func (m *Agent) Sync(s runner.SyncRequest) (runner.Synced, error) {
+func (m *Agent) Sync(s runner.SyncRequest) (runner.SyncResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
 	if err := m.fence(s.Epoch); err != nil {
-		return runner.Synced{}, err
+		return runner.SyncResult{}, err
 	}
 	for _, id := range s.Ack {
 		delete(m.finished, id)
@@ -173,8 +173,8 @@
 	return m.inventory(now), nil
 }
 
-func (m *Agent) inventory(now time.Time) runner.Synced {
-	out := runner.Synced{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
+func (m *Agent) inventory(now time.Time) runner.SyncResult {
+	out := runner.SyncResult{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
 	for _, r := range m.runs {
 		out.Running = append(out.Running, r.report(now, m.options.Lag))
 	}
