--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -86,7 +86,7 @@
 	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, Sent: s.now}
 	out.Synced.Clock = s.now
 	for _, t := range s.shards[call.Sync.Shard].workers[call.Worker].runs {
-		out.Synced.Running = append(out.Synced.Running, runner.Running{
+		out.Synced.Running = append(out.Synced.Running, runner.ActiveRun{
 			Run: runner.Run{Task: t.id(), Token: t.token}, Granted: t.granted, Used: t.granted.Sub(describer.Resources{CPU: 300}),
 		})
 	}
--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -88,9 +88,9 @@
 		d.do(Submitted{Request: 1, Job: testJob("menu", 4)})
 		d.durable()
 		starts := d.started()
-		var running []runner.Running
+		var running []runner.ActiveRun
 		for _, s := range starts {
-			running = append(running, runner.Running{Run: runOf(s), Granted: s.Start.Granted})
+			running = append(running, runner.ActiveRun{Run: runOf(s), Granted: s.Start.Granted})
 		}
 		d.wait(6 * time.Second)
 		d.inventory(runner.SyncResult{Running: running})
@@ -126,7 +126,7 @@
 		d.do(Submitted{Request: 1, Job: testJob("menu", 1)})
 		d.durable()
 		s := d.started()[0]
-		busy := runner.SyncResult{Running: []runner.Running{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
+		busy := runner.SyncResult{Running: []runner.ActiveRun{{Run: runOf(s), Granted: s.Start.Granted, Used: s.Start.Granted}}}
 		d.wait(20 * time.Second)
 		d.inventory(busy)
 		Expect(taken[ThrottleTask](d)).To(BeEmpty())
@@ -198,7 +198,7 @@
 		d.durable()
 		probe := d.started()
 		Expect(probe).To(HaveLen(1))
-		d.inventory(runner.SyncResult{Running: []runner.Running{{Run: runOf(probe[0])}}})
+		d.inventory(runner.SyncResult{Running: []runner.ActiveRun{{Run: runOf(probe[0])}}})
 		d.wait(6 * time.Second)
 		d.inventory(runner.SyncResult{Finished: []runner.Finished{{Run: runOf(probe[0]), OK: true}}})
 		Expect(kinds(d.durable())).To(ContainElement(describer.WorkerTrusted))
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -182,7 +182,7 @@
 	out := runner.SyncResult{Clock: m.clock(), Capacity: m.capacity}
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
-		out.Running = append(out.Running, runner.Running{
+		out.Running = append(out.Running, runner.ActiveRun{
 			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.throttled,
 		})
 	}
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -17,7 +17,7 @@
 
 // adaptGrants lets grants follow measured use. A run is resized only when the
 // inventory shows the booked grant in force, so no older change is on its way.
-func (h *shard) adaptGrants(w *worker, running []runner.Running) {
+func (h *shard) adaptGrants(w *worker, running []runner.ActiveRun) {
 	if h.state.now.Sub(w.resized) < resizeInterval {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // adapt resizes one run by its use. Growth leaves room to tasks that wait.
-func (h *shard) adapt(t *task, w *worker, r *runner.Running) bool {
+func (h *shard) adapt(t *task, w *worker, r *runner.ActiveRun) bool {
 	if t.job.Kind != describer.Batch {
 		return false
 	}
@@ -95,7 +95,7 @@
 // what was not carried out. A smaller grant is booked only when the worker has
 // taken the throttle itself: a low grant may be older than a growth that is
 // still on its way.
-func (h *shard) settleGrant(t *task, r *runner.Running) {
+func (h *shard) settleGrant(t *task, r *runner.ActiveRun) {
 	switch {
 	case t.shrinkTo > 0 && r.Order.Epoch == h.epoch && r.Order.Sequence >= t.shrinkFrom:
 		t.shrinkTo = 0
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (h *shard) observeRun(w *worker, r *runner.Running) {
+func (h *shard) observeRun(w *worker, r *runner.ActiveRun) {
 	g, ok := w.account.Grants[r.Task]
 	if !ok {
 		return
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -42,7 +42,7 @@
 		run := runOf(d.started()[0])
 
 		s := successor(records, "w1")
-		s.inventory(runner.SyncResult{Running: []runner.Running{{Run: run}}})
+		s.inventory(runner.SyncResult{Running: []runner.ActiveRun{{Run: run}}})
 		Expect(taken[SyncWorker](s)[0].Sync.Renew).To(Equal([]runner.Run{run}))
 		s.wait(time.Second)
 		Expect(taken[Append](s)).To(BeEmpty())
@@ -143,7 +143,7 @@
 		Expect(again[0].Start.Checkpoint).To(Equal("half"))
 
 		d.wait(time.Minute)
-		d.inventory(runner.SyncResult{Running: []runner.Running{{Run: runOf(again[0])}}})
+		d.inventory(runner.SyncResult{Running: []runner.ActiveRun{{Run: runOf(again[0])}}})
 		proposals := taken[Propose](d)
 		Expect(proposals[0]).To(Equal(Propose{Drain: "d1"}))
 		Expect(len(proposals)).To(BeNumerically("<=", 2))
@@ -153,7 +153,7 @@
 		d.do(Configured{Configuration: c})
 		for range 60 {
 			d.wait(5 * time.Second)
-			d.inventory(runner.SyncResult{Running: []runner.Running{{Run: runOf(again[0])}}})
+			d.inventory(runner.SyncResult{Running: []runner.ActiveRun{{Run: runOf(again[0])}}})
 		}
 		Expect(taken[Propose](d)).To(BeEmpty(), "its end isn't durable")
 		Expect(kinds(d.durable())).To(ContainElement(describer.DrainRestored))
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -217,7 +217,7 @@
 }
 
 // takeRunning confirms runs and stops those that nobody wants any more.
-func (h *shard) takeRunning(w *worker, running []runner.Running) {
+func (h *shard) takeRunning(w *worker, running []runner.ActiveRun) {
 	var used describer.Resources
 	for i := range running {
 		r := &running[i]
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -93,13 +93,13 @@
 type SyncResult struct {
 	Clock    time.Time           `json:"clock,omitzero"` // the worker's, when it answered
 	Capacity describer.Resources `json:"capacity"`
-	Running  []Running           `json:"running"`
+	Running  []ActiveRun           `json:"running"`
 	Finished []Finished          `json:"finished"` // kept until acknowledged
 	Latency  []Latency           `json:"latency"`  // lagging reports
 }
 
-// Running is a run in progress with its lagging usage.
-type Running struct {
+// ActiveRun is a run in progress with its lagging usage.
+type ActiveRun struct {
 	Run
 	Order    describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
 	Granted  describer.Resources `json:"granted"`
--- a/internal/platform/runner/size_bench_test.go
+++ b/internal/platform/runner/size_bench_test.go
@@ -30,7 +30,7 @@
 	for i := range runs {
 		run := Run{Task: describer.TaskID{Job: "precinct-20300101-0042", Index: i}, Token: describer.Token{Epoch: 7, Sequence: 120_000}}
 		request.Renew = append(request.Renew, run)
-		answer.Running = append(answer.Running, Running{Run: run, Granted: granted, Used: granted, Progress: 0.375})
+		answer.Running = append(answer.Running, ActiveRun{Run: run, Granted: granted, Used: granted, Progress: 0.375})
 	}
 	return request, answer
 }
