--- a/internal/control/reducer/decision_test.go
+++ b/internal/control/reducer/decision_test.go
@@ -27,7 +27,7 @@
 	for _, c := range taken[SyncWorker](d) {
 		answer := WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, Sent: d.now}
 		if c.Worker == s.Worker {
-			answer.Synced.Finished = []runner.Finished{{Run: runOf(s), Reason: "exit 1"}}
+			answer.Synced.Finished = []runner.FinishedRun{{Run: runOf(s), Reason: "exit 1"}}
 		}
 		d.do(answer)
 	}
@@ -200,7 +200,7 @@
 		Expect(probe).To(HaveLen(1))
 		d.inventory(runner.SyncResult{Running: []runner.ActiveRun{{Run: runOf(probe[0])}}})
 		d.wait(6 * time.Second)
-		d.inventory(runner.SyncResult{Finished: []runner.Finished{{Run: runOf(probe[0]), OK: true}}})
+		d.inventory(runner.SyncResult{Finished: []runner.FinishedRun{{Run: runOf(probe[0]), OK: true}}})
 		Expect(kinds(d.durable())).To(ContainElement(describer.WorkerTrusted))
 	})
 
@@ -219,7 +219,7 @@
 		}
 		Expect(kinds(records)).To(Equal([]describer.RecordKind{describer.TaskReleased}))
 		d.wait(6 * time.Second)
-		d.inventory(runner.SyncResult{Finished: []runner.Finished{{Run: run, OK: true}}})
+		d.inventory(runner.SyncResult{Finished: []runner.FinishedRun{{Run: run, OK: true}}})
 		Expect(kinds(d.durable())).To(Equal([]describer.RecordKind{describer.TaskFinished}))
 		Expect(d.status("menu").State).To(Equal("done"))
 	})
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -23,7 +23,7 @@
 	fences   map[describer.TaskID]describer.Token
 	runs     map[describer.TaskID]*fakeRun
 	ended    map[runner.Run]runner.StopResult
-	finished map[runner.Run]runner.Finished
+	finished map[runner.Run]runner.FinishedRun
 }
 
 type fakeRun struct {
@@ -58,7 +58,7 @@
 	m.fences = make(map[describer.TaskID]describer.Token)
 	m.runs = make(map[describer.TaskID]*fakeRun)
 	m.ended = make(map[runner.Run]runner.StopResult)
-	m.finished = make(map[runner.Run]runner.Finished)
+	m.finished = make(map[runner.Run]runner.FinishedRun)
 }
 
 func (m *fakeWorker) clock() time.Time { return m.world.now.Add(m.offset) }
@@ -77,10 +77,10 @@
 		r := m.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
 		done := r.began.Add(r.length)
-		f := runner.Finished{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
+		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
 		case !done.After(m.clock()) && !done.After(r.lease):
-			f = runner.Finished{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
+			f = runner.FinishedRun{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
 			m.ended[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
 				m.world.store.complete(run)
@@ -189,7 +189,7 @@
 	for _, f := range m.finished {
 		out.Finished = append(out.Finished, f)
 	}
-	slices.SortFunc(out.Finished, func(a, b runner.Finished) int { return compareText(a.Task.String(), b.Task.String()) })
+	slices.SortFunc(out.Finished, func(a, b runner.FinishedRun) int { return compareText(a.Task.String(), b.Task.String()) })
 	return out, ""
 }
 
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -27,7 +27,7 @@
 		calls := taken[SyncWorker](d)
 		Expect(calls).To(HaveLen(1))
 		Expect(calls[0].Sync.Renew).To(Equal([]runner.Run{run}))
-		done := runner.SyncResult{Finished: []runner.Finished{{Run: run, OK: true, Result: json.RawMessage(`"ok"`)}}}
+		done := runner.SyncResult{Finished: []runner.FinishedRun{{Run: run, OK: true, Result: json.RawMessage(`"ok"`)}}}
 		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", Sent: d.now, Synced: done})
 
 		d.wait(6 * time.Second)
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -227,7 +227,7 @@
 }
 
 // checkAck checks that a completion is forgotten only when it is durable.
-func (s *ledgers) checkAck(f runner.Finished) {
+func (s *ledgers) checkAck(f runner.FinishedRun) {
 	if !f.OK || s.cancelled[f.Task.Job] > 0 {
 		return
 	}
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -251,7 +251,7 @@
 }
 
 // takeFinished records ends. A run is acknowledged once that is durable.
-func (h *shard) takeFinished(w *worker, finished []runner.Finished) {
+func (h *shard) takeFinished(w *worker, finished []runner.FinishedRun) {
 	w.acks = w.acks[:0]
 	w.ackRuns = w.ackRuns[:0]
 	for i := range finished {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (h *shard) conclude(t *task, w *worker, f *runner.Finished) {
+func (h *shard) conclude(t *task, w *worker, f *runner.FinishedRun) {
 	switch {
 	case f.OK:
 		h.finished(t, w, f.Result)
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -94,7 +94,7 @@
 	Clock    time.Time           `json:"clock,omitzero"` // the worker's, when it answered
 	Capacity describer.Resources `json:"capacity"`
 	Running  []ActiveRun           `json:"running"`
-	Finished []Finished          `json:"finished"` // kept until acknowledged
+	Finished []FinishedRun          `json:"finished"` // kept until acknowledged
 	Latency  []Latency           `json:"latency"`  // lagging reports
 }
 
@@ -107,8 +107,8 @@
 	Progress float64             `json:"progress"` // 0 to 1
 }
 
-// Finished is a run that ended by itself or by a lapsed lease.
-type Finished struct {
+// FinishedRun is a run that ended by itself or by a lapsed lease.
+type FinishedRun struct {
 	Run
 	OK         bool            `json:"ok"`
 	Lapsed     bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -23,7 +23,7 @@
 	fences   map[describer.TaskID]describer.Token // highest seen
 	runs     map[describer.TaskID]*run
 	ended    map[runner.Run]runner.StopResult
-	finished map[runner.Run]runner.Finished
+	finished map[runner.Run]runner.FinishedRun
 	timer    *time.Timer // fires at the next end of a run
 	paused   bool
 	dead     bool
@@ -52,7 +52,7 @@
 		fences:   make(map[describer.TaskID]describer.Token),
 		runs:     make(map[describer.TaskID]*run),
 		ended:    make(map[runner.Run]runner.StopResult),
-		finished: make(map[runner.Run]runner.Finished),
+		finished: make(map[runner.Run]runner.FinishedRun),
 		meter:    meter{lag: o.Lag, slots: o.Host.Slots},
 	}
 	m.timer = time.AfterFunc(time.Hour, m.wake)
@@ -279,7 +279,7 @@
 }
 
 func (m *Agent) complete(r *run) {
-	f := runner.Finished{Run: r.id(), OK: !r.payload.Fail}
+	f := runner.FinishedRun{Run: r.id(), OK: !r.payload.Fail}
 	if !f.OK {
 		f.Reason = "task failed"
 		m.end(r, auditor.Failed, "")
@@ -293,7 +293,7 @@
 }
 
 func (m *Agent) lapse(r *run) {
-	f := runner.Finished{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
+	f := runner.FinishedRun{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
 	m.end(r, auditor.Lapsed, f.Checkpoint)
 	m.finished[f.Run] = f
 }
