--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -33,7 +33,7 @@
 	Granted  describer.Resources        // sum of Grants
 	Reserved describer.Resources        // kept for the backend server, never granted
 	Used     describer.Resources        // latest lagging report
-	Reports  map[string]runner.Latency  // latest lagging report by service
+	Reports  map[string]runner.LatencyReport  // latest lagging report by service
 	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
 	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
 	KeepOff  time.Time                  // no batch task is placed before this time
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -48,7 +48,7 @@
 // report lets 10 s pass, reports a latency as a share of the target and carries out what is decided.
 func (b *bench) report(ratio float64) []Action {
 	b.now = b.now.Add(10 * time.Second)
-	b.worker.Reports = map[string]runner.Latency{"desk": {
+	b.worker.Reports = map[string]runner.LatencyReport{"desk": {
 		Service: "desk", To: b.now, Count: 300, Load: 0.5,
 		P99: time.Duration(ratio * float64(target)),
 	}}
@@ -126,7 +126,7 @@
 		b.learner = learner.New(learner.Options{})
 		b.bounds = map[string]time.Duration{"desk": 55 * time.Millisecond}
 		for range 30 {
-			b.learner.Observe(learner.Sample{Latency: runner.Latency{
+			b.learner.Observe(learner.Sample{Latency: runner.LatencyReport{
 				Service: "desk", To: b.now, Count: 300, Load: 0.5, P99: target / 2,
 			}})
 		}
--- a/internal/control/evaluator/world.go
+++ b/internal/control/evaluator/world.go
@@ -33,7 +33,7 @@
 
 type lateReport struct {
 	arrives time.Time
-	latency runner.Latency
+	latency runner.LatencyReport
 }
 
 // world is the fake: what happens whatever the policies know.
@@ -81,7 +81,7 @@
 			Name: name, Role: describer.Worker, Capacity: d.Size, Slots: 8, Connections: 64,
 			Rack: string([]byte{'r', byte('0' + i/d.Rack)}),
 		},
-		Reports: make(map[string]runner.Latency),
+		Reports: make(map[string]runner.LatencyReport),
 		Heard:   begin,
 	}
 	if i%batchOnly != 0 {
@@ -223,7 +223,7 @@
 	}
 	h.late = append(h.late, lateReport{
 		arrives: w.now.Add(20*time.Second + time.Duration(lag*20*float64(time.Second))),
-		latency: runner.Latency{
+		latency: runner.LatencyReport{
 			Service: w.deployment.Service, From: w.now.Add(-reportEvery), To: w.now, Load: h.load,
 			P99: time.Duration(p99 * math.Exp(0.2*noise) * float64(time.Second)), Count: int64(count),
 		},
@@ -231,8 +231,8 @@
 }
 
 // arrived returns the reports that have arrived by now.
-func (w *world) arrived(h *host) []runner.Latency {
-	var out []runner.Latency
+func (w *world) arrived(h *host) []runner.LatencyReport {
+	var out []runner.LatencyReport
 	rest := h.late[:0]
 	for _, l := range h.late {
 		if l.arrives.After(w.now) {
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -43,7 +43,7 @@
 // Sample is one report with what ran on the worker during its interval.
 type Sample struct {
 	Worker  string
-	Latency runner.Latency
+	Latency runner.LatencyReport
 	Shares  map[string]float64 // share of the worker's processors by class, averaged over the interval
 }
 
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -19,7 +19,7 @@
 	seconds := 0.02 * math.Exp(0.8*heavy+0.2*r.NormFloat64())
 	return Sample{
 		Worker: "w",
-		Latency: runner.Latency{
+		Latency: runner.LatencyReport{
 			Service: "desk", From: at.Add(-10 * time.Second), To: at, Load: 0.6, Count: 500,
 			P99: time.Duration(seconds * float64(time.Second)),
 		},
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -76,7 +76,7 @@
 			l := learner.New(learner.Options{Prior: 1})
 			for i := range 20 {
 				from := now.Add(time.Duration(i) * time.Second)
-				l.Observe(learner.Sample{Latency: runner.Latency{
+				l.Observe(learner.Sample{Latency: runner.LatencyReport{
 					Service: "desk", From: from, To: from.Add(time.Second), P99: p99, Count: 50,
 				}})
 			}
@@ -131,7 +131,7 @@
 		Expect(placer.FirstFit{}.Place(f, r, now).Worker).To(Equal("a"))
 		Expect(placer.LeastLoaded{}.Place(f, r, now).Worker).To(Equal("a"))
 		Expect(placer.NoColocation{}.Place(f, r, now).Worker).To(Equal("c"))
-		f.Workers["a"].Reports = map[string]runner.Latency{"desk": {Load: 0.9}}
+		f.Workers["a"].Reports = map[string]runner.LatencyReport{"desk": {Load: 0.9}}
 		Expect(placer.StaticThreshold{Share: 0.5, Load: 0.8}.Place(f, r, now).Worker).To(Equal("b"))
 		Expect(placer.StaticThreshold{Share: 0.05, Load: 0.8}.Place(f, r, now).Worker).To(Equal("c"))
 	})
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -41,7 +41,7 @@
 				Capacity: describer.Resources{CPU: 16000, Memory: 60000},
 			},
 			Closed:  name == "w-3",
-			Reports: map[string]runner.Latency{"desk": {Load: 0.3}},
+			Reports: map[string]runner.LatencyReport{"desk": {Load: 0.3}},
 		}
 		shard := fmt.Sprintf("s-%d", (i+1)/2)
 		if out[shard] == nil {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -58,12 +58,12 @@
 }
 
 // observeLatency teaches the learner what the interval's colocation cost.
-func (h *shard) observeLatency(w *worker, l *runner.Latency) bool {
+func (h *shard) observeLatency(w *worker, l *runner.LatencyReport) bool {
 	if last, ok := w.account.Reports[l.Service]; ok && !l.To.After(last.To) {
 		return false
 	}
 	if w.account.Reports == nil {
-		w.account.Reports = make(map[string]runner.Latency)
+		w.account.Reports = make(map[string]runner.LatencyReport)
 	}
 	w.account.Reports[l.Service] = *l
 	if shares, ok := h.state.timeline.Between(w.name, l.From, l.To); ok {
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -40,7 +40,7 @@
 func (b *bench) report(ratio float64) Decision {
 	b.in.Now = b.in.Now.Add(10 * time.Second)
 	b.in.Worker.Heard = b.in.Now
-	b.in.Worker.Reports = map[string]runner.Latency{"desk": {
+	b.in.Worker.Reports = map[string]runner.LatencyReport{"desk": {
 		Service: "desk", To: b.in.Now, Count: 300, P99: time.Duration(ratio * float64(target)),
 	}}
 	return Decide(b.in)
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -50,7 +50,7 @@
 		w.tail = max(w.tail, float64(latency)/float64(spec.Target))
 		s.harm.Observe(learner.Sample{
 			Worker:  w.reg.ID,
-			Latency: runner.Latency{Service: spec.Image, P99: latency, Load: sampleLoad, Count: sampleCount, To: s.now},
+			Latency: runner.LatencyReport{Service: spec.Image, P99: latency, Load: sampleLoad, Count: sampleCount, To: s.now},
 			Shares:  shares,
 		})
 	}
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -95,7 +95,7 @@
 	Capacity describer.Resources `json:"capacity"`
 	Running  []ActiveRun           `json:"running"`
 	Finished []FinishedRun          `json:"finished"` // kept until acknowledged
-	Latency  []Latency           `json:"latency"`  // lagging reports
+	Latency  []LatencyReport           `json:"latency"`  // lagging reports
 }
 
 // ActiveRun is a run in progress with its lagging usage.
@@ -117,8 +117,8 @@
 	Checkpoint string          `json:"checkpoint,omitempty"`
 }
 
-// Latency is what a service's requests took on the worker in a past interval.
-type Latency struct {
+// LatencyReport is what a service's requests took on the worker in a past interval.
+type LatencyReport struct {
 	Service string        `json:"service"`
 	From    time.Time     `json:"from"`
 	To      time.Time     `json:"to"`
--- a/internal/standin/hoster/meter.go
+++ b/internal/standin/hoster/meter.go
@@ -20,7 +20,7 @@
 	service string
 	from    time.Time
 	taken   []time.Duration
-	ready   []runner.Latency
+	ready   []runner.LatencyReport
 }
 
 func (m *meter) add(service string, now time.Time, took time.Duration) {
@@ -43,13 +43,13 @@
 	m.from, m.taken = from, nil
 }
 
-func (m *meter) summary() runner.Latency {
+func (m *meter) summary() runner.LatencyReport {
 	slices.Sort(m.taken)
 	var busy time.Duration
 	for _, t := range m.taken {
 		busy += t
 	}
-	return runner.Latency{
+	return runner.LatencyReport{
 		Service: m.service,
 		From:    m.from,
 		To:      m.from.Add(interval),
@@ -60,7 +60,7 @@
 }
 
 // take returns the reports whose lag has passed, once.
-func (m *meter) take(now time.Time) []runner.Latency {
+func (m *meter) take(now time.Time) []runner.LatencyReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.close(now)
