--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -33,7 +33,7 @@
 
 // Sender posts calls below one base URL.
 type Sender struct {
-	Part   string           // prefix of error messages
+	ErrorPrefix   string           // prefix of error messages
 	Base   string           // base URL without trailing slash; may be empty if calls name whole URLs
 	Codes  map[string]error // error that a refusal's code stands for
 	client *http.Client
@@ -41,7 +41,7 @@
 
 // New makes a sender whose errors begin with part.
 func New(part, base string, client *http.Client) *Sender {
-	return &Sender{Part: part, Base: strings.TrimSuffix(base, "/"), client: client}
+	return &Sender{ErrorPrefix: part, Base: strings.TrimSuffix(base, "/"), client: client}
 }
 
 // refusal is the body of every answer that is not 200.
@@ -109,7 +109,7 @@
 		Verdict: classifier.ParseVerdict(r.Verdict),
 		Status:  status,
 		Code:    r.Code,
-		Message: s.Part + ": " + r.Message,
+		Message: s.ErrorPrefix + ": " + r.Message,
 		Err:     s.Codes[r.Code],
 	}
 }
@@ -119,7 +119,7 @@
 		Verdict: verdict,
 		Status:  http.StatusBadGateway,
 		Code:    code,
-		Message: s.Part + ": call failed",
+		Message: s.ErrorPrefix + ": call failed",
 		Err:     err,
 	}
 }
