--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -24,7 +24,7 @@
 // New makes a client of all workers.
 func New(client *http.Client) *Client {
 	s := sender.New("runner", "", client)
-	s.Codes = map[string]error{"fenced": ErrFenced, "full": ErrFull}
+	s.ErrorsByCode = map[string]error{"fenced": ErrFenced, "full": ErrFull}
 	return &Client{sender: s}
 }
 
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -35,7 +35,7 @@
 type Sender struct {
 	ErrorPrefix   string           // prefix of error messages
 	Base   string           // base URL without trailing slash; may be empty if calls name whole URLs
-	Codes  map[string]error // error that a refusal's code stands for
+	ErrorsByCode  map[string]error // error that a refusal's code stands for
 	client *http.Client
 }
 
@@ -110,7 +110,7 @@
 		Status:  status,
 		Code:    r.Code,
 		Message: s.ErrorPrefix + ": " + r.Message,
-		Err:     s.Codes[r.Code],
+		Err:     s.ErrorsByCode[r.Code],
 	}
 }
 
--- a/internal/platform/sender/sender_test.go
+++ b/internal/platform/sender/sender_test.go
@@ -22,7 +22,7 @@
 		server := httptest.NewServer(handler)
 		DeferCleanup(server.Close)
 		s := sender.New("test", server.URL, server.Client())
-		s.Codes = map[string]error{"taken": errTaken}
+		s.ErrorsByCode = map[string]error{"taken": errTaken}
 		var out map[string]string
 		return s.Send(ctx, "/", map[string]string{"a": "b"}, &out)
 	}
--- a/internal/platform/storer/client.go
+++ b/internal/platform/storer/client.go
@@ -28,7 +28,7 @@
 // must be 0 or longer than the longest watch; calls end by their context.
 func New(baseURL string, client *http.Client) *Client {
 	s := sender.New("storer", baseURL, client)
-	s.Codes = map[string]error{
+	s.ErrorsByCode = map[string]error{
 		"not-found": ErrNotFound,
 		"conflict":  ErrConflict,
 		"no-lease":  ErrNoLease,
