--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -196,7 +196,7 @@
 	return report
 }
 
-func show(b *testing.B, row *loader.Row) {
+func show(b *testing.B, row *loader.KindReport) {
 	b.ReportMetric(float64(row.Quantile(0.5).Microseconds())/1000, "p50-ms")
 	b.ReportMetric(float64(row.Quantile(0.99).Microseconds())/1000, "p99-ms")
 	b.ReportMetric(float64(row.Quantile(0.999).Microseconds())/1000, "p99.9-ms")
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -78,7 +78,7 @@
 type run struct {
 	options Options
 	client  *http.Client
-	rows    []*Row
+	rows    []*KindReport
 	wait    sync.WaitGroup
 
 	lock   sync.Mutex
--- a/internal/traffic/loader/plot.go
+++ b/internal/traffic/loader/plot.go
@@ -50,7 +50,7 @@
 
 const plotPrecision = 1e8 // nanoseconds
 
-func curve(row *Row) plotter.XYs {
+func curve(row *KindReport) plotter.XYs {
 	out := make(plotter.XYs, 0, len(quantiles))
 	for _, q := range quantiles {
 		out = append(out, plotter.XY{X: nines(q), Y: float64(row.Quantile(q).Microseconds()) / 1000})
--- a/internal/traffic/loader/report.go
+++ b/internal/traffic/loader/report.go
@@ -26,11 +26,11 @@
 type Report struct {
 	Settings Settings
 	Took     time.Duration
-	Rows     []*Row // one for each kind, in their order
+	Rows     []*KindReport // one for each kind, in their order
 }
 
-// Row counts what became of one kind of request.
-type Row struct {
+// KindReport counts what became of one kind of request.
+type KindReport struct {
 	Kind     Kind
 	Answered int64                   // whole answers within the deadline
 	Late     int64                   // whole answers after it
@@ -51,10 +51,10 @@
 	digits      = 3
 )
 
-func newRows(mix []Kind) []*Row {
-	out := make([]*Row, len(mix))
+func newRows(mix []Kind) []*KindReport {
+	out := make([]*KindReport, len(mix))
 	for i := range mix {
-		out[i] = &Row{
+		out[i] = &KindReport{
 			Kind:    mix[i],
 			Latency: hdrhistogram.New(leastMicros, mostMicros, digits),
 			Refusal: hdrhistogram.New(leastMicros, mostMicros, digits),
@@ -63,7 +63,7 @@
 	return out
 }
 
-func (r *Row) count(o outcome, took time.Duration) {
+func (r *KindReport) count(o outcome, took time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	micros := max(took.Microseconds(), leastMicros)
@@ -87,7 +87,7 @@
 }
 
 // Quantile returns the latency below which the share q of whole answers is.
-func (r *Row) Quantile(q float64) time.Duration {
+func (r *KindReport) Quantile(q float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
