--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -114,7 +114,7 @@
 func (r *run) enter() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.flight >= r.options.Settings.Flight {
+	if r.flight >= r.options.Settings.MaxInFlight {
 		return false
 	}
 	r.flight++
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -14,7 +14,7 @@
 	Rate     float64         `json:"rate"`     // requests a second, all kinds together
 	Duration parser.Duration `json:"duration"` // such as "30s"
 	Seed     int64           `json:"seed"`     // of due times and kinds
-	Flight   int             `json:"flight"`   // most requests in flight; more are counted as unsent
+	MaxInFlight   int             `json:"flight"`   // most requests in flight; more are counted as unsent
 	Mix      []Kind          `json:"mix"`
 }
 
@@ -49,8 +49,8 @@
 
 // check fills in defaults and reports each field that is wrong.
 func (s *Settings) check(fault func(path, format string, args ...any)) {
-	if s.Flight <= 0 {
-		s.Flight = defaultFlight
+	if s.MaxInFlight <= 0 {
+		s.MaxInFlight = defaultFlight
 	}
 	if len(s.Targets) == 0 {
 		fault("targets", "at least one is needed")
