--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -58,7 +58,7 @@
 	Slots   router.Slots  // nil: a third of each worker's slots, for tests
 	Policy  router.Policy // router.LeastLoaded if nil
 	Health  router.Health
-	Hedge   float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
+	HedgeRatio   float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
 	Seed    uint64
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes eight for each slot lent.
@@ -112,7 +112,7 @@
 		log:     log.With().Str("part", "forwarder").Logger(),
 		metrics: newMetrics(scope),
 		retries: retrier.NewBudget(o.Traffic.Budget, retryReserve),
-		hedges:  retrier.NewBudget(o.Hedge, hedgeReserve),
+		hedges:  retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
 		Domain: o.Domain,
@@ -175,8 +175,8 @@
 	if t.Budget <= 0 {
 		t.Budget = defaultBudget
 	}
-	if o.Hedge == 0 {
-		o.Hedge = defaultHedge
+	if o.HedgeRatio == 0 {
+		o.HedgeRatio = defaultHedge
 	}
 	if o.Slots == nil {
 		o.Slots = &router.FixedShare{Hosts: entryHosts}
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -19,7 +19,7 @@
 // takes unusually long, to a second one. The first answer wins.
 func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool) (*answer, error) {
 	avoid[place.Backend.Worker] = true
-	if f.Options.Hedge < 0 || !c.idempotent || c.body.source != nil {
+	if f.Options.HedgeRatio < 0 || !c.idempotent || c.body.source != nil {
 		return f.dispatch(ctx, c, place)
 	}
 	delay := f.delays.hedge(c.service)
--- a/internal/traffic/forwarder/hedge_test.go
+++ b/internal/traffic/forwarder/hedge_test.go
@@ -40,7 +40,7 @@
 
 	It("sends an idempotent request that takes long to a second backend server", func() {
 		b := new(bench)
-		b.options.Hedge = 1
+		b.options.HedgeRatio = 1
 		var stuck atomic.Int64
 		for range 2 {
 			b.add(func(w http.ResponseWriter, r *http.Request) {
