--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -20,8 +20,8 @@
 	VerdictHeader    = dialer.VerdictHeader
 )
 
-// Prefix is the path below which services are reached.
-const Prefix = "/svc/"
+// PathPrefix is the path below which services are reached.
+const PathPrefix = "/svc/"
 
 const (
 	maxName      = 64  // bytes of a tenant or class
@@ -103,13 +103,13 @@
 }
 
 func (c *call) readPath(r *http.Request) error {
-	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), Prefix)
+	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), PathPrefix)
 	if !ok {
-		return invalid(http.StatusNotFound, "path", "path", "the path must begin with "+Prefix)
+		return invalid(http.StatusNotFound, "path", "path", "the path must begin with "+PathPrefix)
 	}
 	service, path, _ := strings.Cut(rest, "/")
 	if !isName(service) {
-		return invalid(http.StatusNotFound, "service", "path", "the path must be "+Prefix+"<service>/<rest>")
+		return invalid(http.StatusNotFound, "service", "path", "the path must be "+PathPrefix+"<service>/<rest>")
 	}
 	c.service = service
 	c.path = "/" + path
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -147,7 +147,7 @@
 const patience = 2 * time.Second
 
 func (r *run) exchange(ctx context.Context, k *Kind, target string) (outcome, error) {
-	url := strings.TrimSuffix(target, "/") + forwarder.Prefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
+	url := strings.TrimSuffix(target, "/") + forwarder.PathPrefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
 	request, err := http.NewRequestWithContext(ctx, k.Method, url, bytes.NewReader(make([]byte, k.Body)))
 	if err != nil {
 		return lost, err
