--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -55,7 +55,7 @@
 	Domain  string // its failure domain
 	Region  string
 	Traffic parser.Traffic
-	Slots   router.Slots  // nil: a third of each worker's slots, for tests
+	Slots   router.SlotSource  // nil: a third of each worker's slots, for tests
 	Policy  router.Policy // router.LeastLoaded if nil
 	Health  router.Health
 	HedgeRatio   float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -34,8 +34,8 @@
 	ErrLink    = errors.New("router: no budget left on the link between regions")
 )
 
-// Slots lends the slots of workers to this entry host. Its methods never wait.
-type Slots interface {
+// SlotSource lends the slots of workers to this entry host. Its methods never wait.
+type SlotSource interface {
 	// Limit returns how many slots of the worker this entry host may use.
 	Limit(b describer.Backend) int
 	// Acquire takes one slot for a request that ends by deadline. Release must
@@ -78,7 +78,7 @@
 // Router chooses among backend servers.
 type Router struct {
 	Options Options
-	Slots   Slots
+	Slots   SlotSource
 
 	lock    sync.Mutex
 	servers map[string]*server
@@ -89,7 +89,7 @@
 }
 
 // New returns a router over the lent slots.
-func New(o Options, s Slots) *Router {
+func New(o Options, s SlotSource) *Router {
 	if o.Policy == nil {
 		o.Policy = LeastLoaded{}
 	}
