--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -71,7 +71,7 @@
 	Router  *router.Router
 	Dialer  *dialer.Dialer
 	Limiter *limiter.Limiter[*router.Slot]
-	Link    *router.Link
+	Link    *router.LinkBudget
 	Done    chan struct{} // closed when upkeep has ended
 
 	table   func() *describer.RoutingTable
--- a/internal/traffic/router/link.go
+++ b/internal/traffic/router/link.go
@@ -6,28 +6,28 @@
 	"golang.org/x/time/rate"
 )
 
-// Link is this entry host's byte budget to other regions. Bytes that were
+// LinkBudget is this entry host's byte budget to other regions. Bytes that were
 // sent are charged also when the budget is used up; the debt keeps later
 // requests off the link until it is paid.
-type Link struct{ limiter *rate.Limiter }
+type LinkBudget struct{ limiter *rate.Limiter }
 
 // NewLink returns a budget in bytes a second; a second's worth may be used
 // at once. 0 forbids the link.
-func NewLink(bytes int64) *Link {
+func NewLink(bytes int64) *LinkBudget {
 	if bytes <= 0 {
 		return nil
 	}
-	return &Link{limiter: rate.NewLimiter(rate.Limit(bytes), int(bytes))}
+	return &LinkBudget{limiter: rate.NewLimiter(rate.Limit(bytes), int(bytes))}
 }
 
 // Allow reports whether the budget covers the expected bytes. It charges
 // nothing.
-func (l *Link) Allow(bytes int64, now time.Time) bool {
+func (l *LinkBudget) Allow(bytes int64, now time.Time) bool {
 	return l != nil && l.limiter.TokensAt(now) >= float64(max(bytes, 1))
 }
 
 // Charge takes n bytes from the budget.
-func (l *Link) Charge(n int64, now time.Time) {
+func (l *LinkBudget) Charge(n int64, now time.Time) {
 	if l == nil {
 		return
 	}
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -70,7 +70,7 @@
 	Region string
 	Policy Policy // LeastLoaded if nil
 	Health Health // zero fields take defaults
-	Link   *Link  // nil forbids other regions
+	Link   *LinkBudget  // nil forbids other regions
 	Seed   uint64
 	Now    func() time.Time // time.Now if nil
 }
