--- a/internal/traffic/router/link.go
+++ b/internal/traffic/router/link.go
@@ -11,9 +11,9 @@
 // requests off the link until it is paid.
 type LinkBudget struct{ limiter *rate.Limiter }
 
-// NewLink returns a budget in bytes a second; a second's worth may be used
+// NewLinkBudget returns a budget in bytes a second; a second's worth may be used
 // at once. 0 forbids the link.
-func NewLink(bytes int64) *LinkBudget {
+func NewLinkBudget(bytes int64) *LinkBudget {
 	if bytes <= 0 {
 		return nil
 	}
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -41,7 +41,7 @@
 	BeforeEach(func() {
 		c = &clock{now: time.Unix(1000, 0)}
 		r = router.New(router.Options{
-			Domain: "d", Region: "r", Seed: 7, Link: router.NewLink(1000), Now: func() time.Time { return c.now },
+			Domain: "d", Region: "r", Seed: 7, Link: router.NewLinkBudget(1000), Now: func() time.Time { return c.now },
 		}, &router.FixedShare{Hosts: 2})
 	})
 	take := func(t *describer.RoutingTable) *router.Slot {
