--- a/internal/traffic/router/rows.go
+++ b/internal/traffic/router/rows.go
@@ -11,7 +11,7 @@
 
 // Distances, nearest first.
 const (
-	Domain Distance = iota // own failure domain
+	SameDomain Distance = iota // own failure domain
 	Region                 // another failure domain of the own region
 	Afar                   // another region
 	distances
@@ -19,7 +19,7 @@
 
 func (d Distance) String() string {
 	switch d {
-	case Domain:
+	case SameDomain:
 		return "domain"
 	case Region:
 		return "region"
@@ -77,7 +77,7 @@
 func (r *Router) distance(b describer.Backend) Distance {
 	switch {
 	case b.Domain == r.Options.Domain:
-		return Domain
+		return SameDomain
 	case b.Region == r.Options.Region:
 		return Region
 	}
