--- a/internal/traffic/router/rows.go
+++ b/internal/traffic/router/rows.go
@@ -12,7 +12,7 @@
 // Distances, nearest first.
 const (
 	SameDomain Distance = iota // own failure domain
-	Region                 // another failure domain of the own region
+	SameRegion                 // another failure domain of the own region
 	Afar                   // another region
 	distances
 )
@@ -21,7 +21,7 @@
 	switch d {
 	case SameDomain:
 		return "domain"
-	case Region:
+	case SameRegion:
 		return "region"
 	case Afar:
 		return "afar"
@@ -79,7 +79,7 @@
 	case b.Domain == r.Options.Domain:
 		return SameDomain
 	case b.Region == r.Options.Region:
-		return Region
+		return SameRegion
 	}
 	return Afar
 }
