--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -115,7 +115,7 @@
 	}
 	reason := ErrNone
 	for distance, row := range rows {
-		if Distance(distance) == Afar {
+		if Distance(distance) == OtherRegion {
 			if !q.Afar {
 				break
 			}
@@ -125,7 +125,7 @@
 		}
 		place, err := r.takeFrom(row, q)
 		if err == nil {
-			place.Afar = Distance(distance) == Afar
+			place.Afar = Distance(distance) == OtherRegion
 			return place, nil
 		}
 		if !errors.Is(err, ErrNone) {
@@ -199,7 +199,7 @@
 	}
 	now := r.Options.Now()
 	sum := 0
-	for _, row := range rows[:Afar] {
+	for _, row := range rows[:OtherRegion] {
 		for _, s := range row {
 			if !s.backend.Closed && !s.isEjected(now) {
 				sum += s.limit(r.Slots.Limit(s.backend), &r.Options.Health, now)
--- a/internal/traffic/router/rows.go
+++ b/internal/traffic/router/rows.go
@@ -13,7 +13,7 @@
 const (
 	SameDomain Distance = iota // own failure domain
 	SameRegion                 // another failure domain of the own region
-	Afar                   // another region
+	OtherRegion                   // another region
 	distances
 )
 
@@ -23,7 +23,7 @@
 		return "domain"
 	case SameRegion:
 		return "region"
-	case Afar:
+	case OtherRegion:
 		return "afar"
 	}
 	return fmt.Sprintf("distance(%d)", int(d))
@@ -81,5 +81,5 @@
 	case b.Region == r.Options.Region:
 		return SameRegion
 	}
-	return Afar
+	return OtherRegion
 }
