--- a/internal/traffic/forwarder/answer.go
+++ b/internal/traffic/forwarder/answer.go
@@ -126,7 +126,7 @@
 // account charges bytes that crossed regions to the tenant and the link.
 func (f *Forwarder) account(c *call, a *answer, n int64) {
 	f.delays.size(c.service, n)
-	if !a.place.Afar {
+	if !a.place.CrossRegion {
 		return
 	}
 	c.afar += n + max(c.body.length, 0)
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -55,7 +55,7 @@
 // Slot is a slot of one backend server.
 type Slot struct {
 	Backend describer.Backend
-	Afar    bool // in another region; its bytes count against the link
+	CrossRegion    bool // in another region; its bytes count against the link
 
 	router  *Router
 	server  *server
@@ -125,7 +125,7 @@
 		}
 		place, err := r.takeFrom(row, q)
 		if err == nil {
-			place.Afar = Distance(distance) == OtherRegion
+			place.CrossRegion = Distance(distance) == OtherRegion
 			return place, nil
 		}
 		if !errors.Is(err, ErrNone) {
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -89,7 +89,7 @@
 		far := router.Request{Service: "desk", Afar: true, Bytes: 600}
 		place, err := r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(place.Afar).To(BeTrue())
+		Expect(place.CrossRegion).To(BeTrue())
 		r.Options.Link.Charge(600, c.now)
 		_, err = r.Take(t, far)
 		Expect(err).To(MatchError(router.ErrLink))
