--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -83,11 +83,11 @@
 // miss its deadline here.
 func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
 	table := f.table()
-	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, Afar: late}
+	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, CrossRegion: late}
 	q.Bytes = max(c.body.length, 0) + f.delays.bytes(c.service)
 	place, err := f.Router.Take(table, q)
 	if errors.Is(err, router.ErrNone) && !late {
-		q.Afar = true
+		q.CrossRegion = true
 		place, err = f.Router.Take(table, q)
 	}
 	if errors.Is(err, router.ErrNone) && len(avoid) > 0 {
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -48,7 +48,7 @@
 	Service  string
 	Deadline time.Time
 	Bytes    int64           // expected on the link, both ways
-	Afar     bool            // other regions are allowed
+	CrossRegion     bool            // other regions are allowed
 	Avoid    map[string]bool // workers already tried
 }
 
@@ -116,7 +116,7 @@
 	reason := ErrNone
 	for distance, row := range rows {
 		if Distance(distance) == OtherRegion {
-			if !q.Afar {
+			if !q.CrossRegion {
 				break
 			}
 			if len(row) > 0 && !r.Options.Link.Allow(q.Bytes, r.Options.Now()) {
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -86,7 +86,7 @@
 		t := fleet(1, func(_ int, b *describer.Backend) { b.Region, b.Domain = "x", "x" })
 		_, err := r.Take(t, q)
 		Expect(err).To(MatchError(router.ErrNone))
-		far := router.Request{Service: "desk", Afar: true, Bytes: 600}
+		far := router.Request{Service: "desk", CrossRegion: true, Bytes: 600}
 		place, err := r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(place.CrossRegion).To(BeTrue())
