--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -111,7 +111,7 @@
 		out.Status = http.StatusGatewayTimeout
 		out.Code = "deadline"
 		out.Message = "the request ended while it waited"
-	case errors.Is(err, router.ErrUnknown):
+	case errors.Is(err, router.ErrUnknownService):
 		out.Status = http.StatusNotFound
 		out.Code = "service"
 		out.Field = "path"
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -28,7 +28,7 @@
 
 // Reasons for which Take finds no place, found with errors.Is.
 var (
-	ErrUnknown = errors.New("router: unknown service")
+	ErrUnknownService = errors.New("router: unknown service")
 	ErrFull    = errors.New("router: every slot is in use")
 	ErrNone    = errors.New("router: no backend server is open")
 	ErrLink    = errors.New("router: no budget left on the link between regions")
@@ -111,7 +111,7 @@
 	defer r.lock.Unlock()
 	rows, ok := r.rows(table, q.Service)
 	if !ok {
-		return nil, ErrUnknown
+		return nil, ErrUnknownService
 	}
 	reason := ErrNone
 	for distance, row := range rows {
