--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -94,7 +94,7 @@
 		clear(avoid)
 		place, err = f.Router.Take(table, q)
 	}
-	if errors.Is(err, router.ErrFull) {
+	if errors.Is(err, router.ErrNoSlot) {
 		return nil, limiter.ErrBusy
 	}
 	return place, err
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -29,7 +29,7 @@
 // Reasons for which Take finds no place, found with errors.Is.
 var (
 	ErrUnknownService = errors.New("router: unknown service")
-	ErrFull    = errors.New("router: every slot is in use")
+	ErrNoSlot    = errors.New("router: every slot is in use")
 	ErrNone    = errors.New("router: no backend server is open")
 	ErrLink    = errors.New("router: no budget left on the link between regions")
 )
@@ -152,7 +152,7 @@
 		candidates = candidates[:len(candidates)-1]
 	}
 	if open {
-		return nil, ErrFull
+		return nil, ErrNoSlot
 	}
 	return nil, ErrNone
 }
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -71,7 +71,7 @@
 			Expect(n).To(Equal(4))
 		}
 		_, err := r.Take(t, q)
-		Expect(err).To(MatchError(router.ErrFull))
+		Expect(err).To(MatchError(router.ErrNoSlot))
 	})
 
 	It("prefers the own failure domain, then the region", func() {
@@ -124,7 +124,7 @@
 		places := make(map[string]int)
 		for {
 			place, err := r.Take(t, q)
-			if errors.Is(err, router.ErrFull) {
+			if errors.Is(err, router.ErrNoSlot) {
 				break
 			}
 			places[place.Backend.Worker]++
