--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -86,11 +86,11 @@
 	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, CrossRegion: late}
 	q.Bytes = max(c.body.length, 0) + f.delays.bytes(c.service)
 	place, err := f.Router.Take(table, q)
-	if errors.Is(err, router.ErrNone) && !late {
+	if errors.Is(err, router.ErrNoBackend) && !late {
 		q.CrossRegion = true
 		place, err = f.Router.Take(table, q)
 	}
-	if errors.Is(err, router.ErrNone) && len(avoid) > 0 {
+	if errors.Is(err, router.ErrNoBackend) && len(avoid) > 0 {
 		clear(avoid)
 		place, err = f.Router.Take(table, q)
 	}
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -30,7 +30,7 @@
 var (
 	ErrUnknownService = errors.New("router: unknown service")
 	ErrNoSlot    = errors.New("router: every slot is in use")
-	ErrNone    = errors.New("router: no backend server is open")
+	ErrNoBackend    = errors.New("router: no backend server is open")
 	ErrLink    = errors.New("router: no budget left on the link between regions")
 )
 
@@ -113,7 +113,7 @@
 	if !ok {
 		return nil, ErrUnknownService
 	}
-	reason := ErrNone
+	reason := ErrNoBackend
 	for distance, row := range rows {
 		if Distance(distance) == OtherRegion {
 			if !q.CrossRegion {
@@ -128,7 +128,7 @@
 			place.CrossRegion = Distance(distance) == OtherRegion
 			return place, nil
 		}
-		if !errors.Is(err, ErrNone) {
+		if !errors.Is(err, ErrNoBackend) {
 			reason = err
 		}
 	}
@@ -154,7 +154,7 @@
 	if open {
 		return nil, ErrNoSlot
 	}
-	return nil, ErrNone
+	return nil, ErrNoBackend
 }
 
 // sampled is the number of backend servers that one choice looks at. Up to
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -85,7 +85,7 @@
 	It("goes to another region only when allowed and within the budget", func() {
 		t := fleet(1, func(_ int, b *describer.Backend) { b.Region, b.Domain = "x", "x" })
 		_, err := r.Take(t, q)
-		Expect(err).To(MatchError(router.ErrNone))
+		Expect(err).To(MatchError(router.ErrNoBackend))
 		far := router.Request{Service: "desk", CrossRegion: true, Bytes: 600}
 		place, err := r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
