--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -116,7 +116,7 @@
 		out.Code = "service"
 		out.Field = "path"
 		out.Message = "unknown service"
-	case errors.Is(err, router.ErrLink):
+	case errors.Is(err, router.ErrLinkBudget):
 		out.Code = "link"
 		out.Message = "only other regions have room, and the link's budget is used up"
 	default:
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -31,7 +31,7 @@
 	ErrUnknownService = errors.New("router: unknown service")
 	ErrNoSlot    = errors.New("router: every slot is in use")
 	ErrNoBackend    = errors.New("router: no backend server is open")
-	ErrLink    = errors.New("router: no budget left on the link between regions")
+	ErrLinkBudget    = errors.New("router: no budget left on the link between regions")
 )
 
 // SlotSource lends the slots of workers to this entry host. Its methods never wait.
@@ -120,7 +120,7 @@
 				break
 			}
 			if len(row) > 0 && !r.Options.Link.Allow(q.Bytes, r.Options.Now()) {
-				return nil, ErrLink
+				return nil, ErrLinkBudget
 			}
 		}
 		place, err := r.takeFrom(row, q)
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -92,7 +92,7 @@
 		Expect(place.CrossRegion).To(BeTrue())
 		r.Options.Link.Charge(600, c.now)
 		_, err = r.Take(t, far)
-		Expect(err).To(MatchError(router.ErrLink))
+		Expect(err).To(MatchError(router.ErrLinkBudget))
 		c.now = c.now.Add(time.Second)
 		_, err = r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
