--- a/internal/traffic/router/policy.go
+++ b/internal/traffic/router/policy.go
@@ -4,7 +4,7 @@
 
 // Candidate is a backend server with a free slot.
 type Candidate struct {
-	Flight       int     // requests in flight from this entry host
+	InFlight       int     // requests in flight from this entry host
 	Limit        int     // of requests in flight, at least Flight + 1
 	Interference float64 // expected relative slow-down, 0 is none
 	Latency      float64 // recent mean in seconds, 0 is unknown
@@ -33,7 +33,7 @@
 	lowest := 0.0
 	usual := noise * leastLatency(c)
 	for i := range c {
-		score := float64(c[i].Flight+1) / float64(c[i].Limit) * (1 + c[i].Interference)
+		score := float64(c[i].InFlight+1) / float64(c[i].Limit) * (1 + c[i].Interference)
 		if c[i].Latency > usual {
 			score *= c[i].Latency / usual
 		}
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -179,7 +179,7 @@
 		if s.flight >= limit {
 			continue
 		}
-		out = append(out, Candidate{server: s, Flight: s.flight, Limit: limit, Interference: s.backend.Interference, Latency: s.recent(now)})
+		out = append(out, Candidate{server: s, InFlight: s.flight, Limit: limit, Interference: s.backend.Interference, Latency: s.recent(now)})
 		if len(out) == sampled {
 			break
 		}
