--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -8,7 +8,7 @@
 // Health holds the bounds of outlier ejection, slow start and the learnt
 // limit of requests in flight. Zero fields take defaults.
 type Health struct {
-	Failures int           // in a row that eject a backend server
+	MaxFailures int           // in a row that eject a backend server
 	Eject    time.Duration // first ejection; doubles up to 16 times this
 	Floor    float64       // share of a service's open backend servers that stays in use
 	Slow     float64       // times the median latency of the others that counts as an outlier
@@ -19,8 +19,8 @@
 const DefaultEject = 5 * time.Second
 
 func (h Health) withDefaults() Health {
-	if h.Failures <= 0 {
-		h.Failures = 5
+	if h.MaxFailures <= 0 {
+		h.MaxFailures = 5
 	}
 	if h.Eject <= 0 {
 		h.Eject = DefaultEject
@@ -77,7 +77,7 @@
 	case Overloaded:
 		s.shrink()
 	}
-	if s.failures >= r.Options.Health.Failures || o == Answered && r.isOutlier(p) {
+	if s.failures >= r.Options.Health.MaxFailures || o == Answered && r.isOutlier(p) {
 		r.eject(p, now)
 	}
 }
