--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -9,7 +9,7 @@
 // limit of requests in flight. Zero fields take defaults.
 type Health struct {
 	MaxFailures int           // in a row that eject a backend server
-	Eject    time.Duration // first ejection; doubles up to 16 times this
+	Ejection    time.Duration // first ejection; doubles up to 16 times this
 	Floor    float64       // share of a service's open backend servers that stays in use
 	Slow     float64       // times the median latency of the others that counts as an outlier
 	Ramp     time.Duration // slow start after an ejection
@@ -22,8 +22,8 @@
 	if h.MaxFailures <= 0 {
 		h.MaxFailures = 5
 	}
-	if h.Eject <= 0 {
-		h.Eject = DefaultEject
+	if h.Ejection <= 0 {
+		h.Ejection = DefaultEject
 	}
 	if h.Floor <= 0 {
 		h.Floor = 0.7
@@ -136,10 +136,10 @@
 	if s.isEjected(now) || !r.mayEject(p, now) {
 		return
 	}
-	if now.Sub(s.returned) > 10*r.Options.Health.Eject {
+	if now.Sub(s.returned) > 10*r.Options.Health.Ejection {
 		s.ejects = 0
 	}
-	s.ejected = now.Add(r.Options.Health.Eject << min(s.ejects, 4))
+	s.ejected = now.Add(r.Options.Health.Ejection << min(s.ejects, 4))
 	s.returned = s.ejected
 	s.ejects++
 	s.latency = 0
