--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -15,15 +15,15 @@
 	Ramp     time.Duration // slow start after an ejection
 }
 
-// DefaultEject is the first ejection's time.
-const DefaultEject = 5 * time.Second
+// DefaultEjection is the first ejection's time.
+const DefaultEjection = 5 * time.Second
 
 func (h Health) withDefaults() Health {
 	if h.MaxFailures <= 0 {
 		h.MaxFailures = 5
 	}
 	if h.Ejection <= 0 {
-		h.Ejection = DefaultEject
+		h.Ejection = DefaultEjection
 	}
 	if h.Floor <= 0 {
 		h.Floor = 0.7
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -120,7 +120,7 @@
 		finish(t, 400, fail)
 		used := finish(t, 400, answered)
 		Expect(used).To(HaveLen(7), "the floor of 0.7 keeps 7 of 10 in use")
-		c.now = c.now.Add(router.DefaultEject)
+		c.now = c.now.Add(router.DefaultEjection)
 		places := make(map[string]int)
 		for {
 			place, err := r.Take(t, q)
