--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -17,8 +17,8 @@
 // send makes attempts until one brings the head of an answer, or until the
 // verdict, the retry budget or the deadline forbids another.
 func (f *Forwarder) send(ctx context.Context, c *call) (*answer, error) {
-	f.retries.First()
-	f.hedges.First()
+	f.retries.Deposit()
+	f.hedges.Deposit()
 	tries := retrier.New()
 	avoid := make(map[string]bool)
 	sent := false
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -37,8 +37,8 @@
 	return &Budget{Share: share, Reserve: reserve, tokens: reserve}
 }
 
-// First counts a first attempt.
-func (b *Budget) First() {
+// Deposit counts a first attempt.
+func (b *Budget) Deposit() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.tokens = min(b.tokens+b.Share, b.Reserve)
--- a/internal/traffic/retrier/retrier_test.go
+++ b/internal/traffic/retrier/retrier_test.go
@@ -21,7 +21,7 @@
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOf(rapid.Bool()).Draw(t, "order") {
 			if isFirst {
-				b.First()
+				b.Deposit()
 				first++
 			} else if b.Take() {
 				retries++
