--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -74,7 +74,7 @@
 // second takes another place in the own region if one is free and the budget
 // allows it.
 func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Slot {
-	if !f.hedges.Take() {
+	if !f.hedges.TryWithdraw() {
 		return nil
 	}
 	q := f.request(c, avoid)
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -36,7 +36,7 @@
 			return out, nil
 		}
 		again := retrier.May(err, c.idempotent) && c.body.isReplayable()
-		if !again || ctx.Err() != nil || !f.retries.Take() || !tries.Wait(ctx) {
+		if !again || ctx.Err() != nil || !f.retries.TryWithdraw() || !tries.Wait(ctx) {
 			return nil, withHistory(err, sent)
 		}
 		sent = sent || classifier.VerdictOf(err) != classifier.NotRun
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -44,8 +44,8 @@
 	b.tokens = min(b.tokens+b.Share, b.Reserve)
 }
 
-// Take uses up one retry and reports whether there was one.
-func (b *Budget) Take() bool {
+// TryWithdraw uses up one retry and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if b.tokens < 1 {
--- a/internal/traffic/retrier/retrier_test.go
+++ b/internal/traffic/retrier/retrier_test.go
@@ -23,7 +23,7 @@
 			if isFirst {
 				b.Deposit()
 				first++
-			} else if b.Take() {
+			} else if b.TryWithdraw() {
 				retries++
 			}
 		}
