--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -35,7 +35,7 @@
 		if err == nil {
 			return out, nil
 		}
-		again := retrier.May(err, c.idempotent) && c.body.isReplayable()
+		again := retrier.IsRetryable(err, c.idempotent) && c.body.isReplayable()
 		if !again || ctx.Err() != nil || !f.retries.TryWithdraw() || !tries.Wait(ctx) {
 			return nil, withHistory(err, sent)
 		}
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -81,8 +81,8 @@
 	return &Retrier{Attempts: 1, delay: delay}
 }
 
-// May reports whether the verdict of err allows another attempt.
-func May(err error, idempotent bool) bool {
+// IsRetryable reports whether the verdict of err allows another attempt.
+func IsRetryable(err error, idempotent bool) bool {
 	switch classifier.VerdictOf(err) {
 	case classifier.NotRun:
 		return true
--- a/internal/traffic/retrier/retrier_test.go
+++ b/internal/traffic/retrier/retrier_test.go
@@ -40,11 +40,11 @@
 		classifier.Ran:        {false, false},
 	} {
 		err := &classifier.Error{Verdict: verdict}
-		if got := [2]bool{retrier.May(err, true), retrier.May(err, false)}; got != want {
+		if got := [2]bool{retrier.IsRetryable(err, true), retrier.IsRetryable(err, false)}; got != want {
 			t.Errorf("%s: %v", verdict, got)
 		}
 	}
-	if retrier.May(errors.New("unknown"), false) {
+	if retrier.IsRetryable(errors.New("unknown"), false) {
 		t.Error("an error without a verdict may have run")
 	}
 }
