--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -128,7 +128,7 @@
 	})
 	f.Limiter = limiter.New[*router.Slot](limiter.Options{Queue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
-		s.Attach(f.Dialer.Open, f.Limiter.Kick)
+		s.Attach(f.Dialer.Open, f.Limiter.Dispatch)
 	}
 	f.gate.init()
 	ctx, stop := context.WithCancel(context.Background())
@@ -288,7 +288,7 @@
 			return
 		case <-tick.C:
 		}
-		f.Limiter.Kick()
+		f.Limiter.Dispatch()
 		if i%keepEvery == 0 {
 			f.keep()
 		}
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -159,8 +159,8 @@
 	l.dispatch()
 }
 
-// Kick looks for places anew, for instance after more slots were lent.
-func (l *Limiter[T]) Kick() {
+// Dispatch looks for places anew, for instance after more slots were lent.
+func (l *Limiter[T]) Dispatch() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.dispatch()
