--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -81,7 +81,7 @@
 	q.Take = func(bool) (*router.Slot, error) {
 		return f.Router.Take(f.table(), router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid})
 	}
-	place, err := f.Limiter.Try(q)
+	place, err := f.Limiter.TryAcquire(q)
 	if err != nil {
 		return nil
 	}
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// Try takes a place only if one is free and nobody waits. It returns ErrBusy
+// TryAcquire takes a place only if one is free and nobody waits. It returns ErrBusy
 // otherwise.
-func (l *Limiter[T]) Try(q Request[T]) (T, error) {
+func (l *Limiter[T]) TryAcquire(q Request[T]) (T, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	s := l.service(q.Service)
