--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -126,7 +126,7 @@
 		Silence:     time.Duration(o.Traffic.Silence),
 		Connections: o.Connections,
 	})
-	f.Limiter = limiter.New[*router.Slot](limiter.Options{Queue: o.Traffic.Queue})
+	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
 		s.Attach(f.Dialer.Open, f.Limiter.Dispatch)
 	}
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -52,7 +52,7 @@
 
 // Options bound the queues.
 type Options struct {
-	Queue int              // waiting requests for each tenant and class; 0 lets none wait
+	MaxQueue int              // waiting requests for each tenant and class; 0 lets none wait
 	Now   func() time.Time // time.Now if nil
 }
 
@@ -136,7 +136,7 @@
 		return nil, place, s.refusal("late", "the deadline would be missed", wait)
 	}
 	queue := t.queue(q.Class)
-	if len(queue.waiters) >= l.Options.Queue {
+	if len(queue.waiters) >= l.Options.MaxQueue {
 		var none T
 		return nil, none, s.refusal("overloaded", "the queue of the tenant and class is full", wait)
 	}
--- a/internal/traffic/limiter/limiter_test.go
+++ b/internal/traffic/limiter/limiter_test.go
@@ -31,7 +31,7 @@
 }
 
 func newBed(places int, takes time.Duration) *bed {
-	return &bed{Limiter: limiter.New[int](limiter.Options{Queue: 64}), free: places, takes: takes, all: counts{}}
+	return &bed{Limiter: limiter.New[int](limiter.Options{MaxQueue: 64}), free: places, takes: takes, all: counts{}}
 }
 
 func (b *bed) request(tenant string, weight int, deadline time.Duration) {
@@ -168,7 +168,7 @@
 
 func ExampleLimiter_Acquire() {
 	free := 1
-	l := limiter.New[int](limiter.Options{Queue: 8})
+	l := limiter.New[int](limiter.Options{MaxQueue: 8})
 	place, err := l.Acquire(context.Background(), limiter.Request[int]{
 		Service: "desk", Tenant: "minara", Deadline: time.Now().Add(time.Second),
 		Take: func(bool) (int, error) {
