--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Keep drops the pools of workers for which known is false.
-func (d *Dialer) Keep(known func(worker string) bool) {
+// Prune drops the pools of workers for which known is false.
+func (d *Dialer) Prune(known func(worker string) bool) {
 	d.lock.Lock()
 	var gone []*Pool
 	for worker, p := range d.pools {
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -307,7 +307,7 @@
 			known[b.Worker] = true
 		}
 	}
-	f.Dialer.Keep(func(worker string) bool { return known[worker] })
+	f.Dialer.Prune(func(worker string) bool { return known[worker] })
 }
 
 // weights finds a team's weight in the latest list.
