--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -88,8 +88,8 @@
 	return d.pool(b).send(r)
 }
 
-// Open returns the number of open connections to the worker.
-func (d *Dialer) Open(worker string) int {
+// OpenConnections returns the number of open connections to the worker.
+func (d *Dialer) OpenConnections(worker string) int {
 	d.lock.Lock()
 	p := d.pools[worker]
 	d.lock.Unlock()
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -56,7 +56,7 @@
 		d := start(dialer.Options{})
 		first := read(d.Send(backend(address), request("GET", address, "")))
 		Expect(read(d.Send(backend(address), request("GET", address, "")))).To(Equal(first))
-		Expect(d.Open("w")).To(Equal(1))
+		Expect(d.OpenConnections("w")).To(Equal(1))
 	})
 
 	It("sends a request that looks replayable once when a kept connection breaks", func() {
@@ -85,7 +85,7 @@
 		d := start(dialer.Options{})
 		_, err := d.Send(backend(address), request("POST", address, "hold"))
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
-		Expect(d.Open("w")).To(BeZero())
+		Expect(d.OpenConnections("w")).To(BeZero())
 	})
 
 	It("opens no more connections than are lent", func() {
@@ -143,9 +143,9 @@
 		for range 3 {
 			<-done
 		}
-		Expect(d.Open("w")).To(Equal(3))
+		Expect(d.OpenConnections("w")).To(Equal(3))
 		lent.Store(1)
-		Eventually(func() int { return d.Open("w") }).Should(Equal(1))
+		Eventually(func() int { return d.OpenConnections("w") }).Should(Equal(1))
 	})
 
 	It("closes an idle connection that does not answer a probe", func() {
@@ -161,9 +161,9 @@
 		address := server.Listener.Addr().String()
 		d := start(dialer.Options{Silence: 40 * time.Millisecond})
 		read(d.Send(backend(address), request("GET", address, "")))
-		Consistently(func() int { return d.Open("w") }, "100ms").Should(Equal(1))
+		Consistently(func() int { return d.OpenConnections("w") }, "100ms").Should(Equal(1))
 		silent.Store(true)
-		Eventually(func() int { return d.Open("w") }).Should(BeZero())
+		Eventually(func() int { return d.OpenConnections("w") }).Should(BeZero())
 	})
 
 	It("does not take the caller's own pause for silence", func() {
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -128,7 +128,7 @@
 	})
 	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
-		s.Attach(f.Dialer.Open, f.Limiter.Dispatch)
+		s.Attach(f.Dialer.OpenConnections, f.Limiter.Dispatch)
 	}
 	f.gate.init()
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/traffic/forwarder/forwarder_test.go
+++ b/internal/traffic/forwarder/forwarder_test.go
@@ -166,7 +166,7 @@
 		Expect(status).To(Equal(http.StatusGatewayTimeout))
 		Expect(f.Code).To(Equal("silent"))
 		Expect(f.Verdict).To(Equal("may-have-run"))
-		Expect(b.entry.Dialer.Open("wa")).To(BeZero())
+		Expect(b.entry.Dialer.OpenConnections("wa")).To(BeZero())
 	})
 
 	It("replaces a silent connection for an idempotent request", func() {
