--- a/internal/traffic/dialer/carrier.go
+++ b/internal/traffic/dialer/carrier.go
@@ -63,7 +63,7 @@
 		raw.Close()
 		return nil, net.ErrClosed
 	}
-	c.conn = &conn{Conn: raw, silence: c.options.Silence}
+	c.conn = &conn{Conn: raw, silence: c.options.StallTimeout}
 	c.conn.begin()
 	return c.conn, nil
 }
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -44,7 +44,7 @@
 
 // Options are the bounds of connections. Zero fields take the defaults.
 type Options struct {
-	Silence time.Duration // longest time without progress on a busy connection
+	StallTimeout time.Duration // longest time without progress on a busy connection
 	Connect time.Duration // longest time to open a connection
 	Age     time.Duration // older connections are not used again
 	Probe   time.Duration // idle connections are probed this often; half of Silence if 0
@@ -168,8 +168,8 @@
 }
 
 func withDefaults(o Options) Options {
-	if o.Silence <= 0 {
-		o.Silence = DefaultSilence
+	if o.StallTimeout <= 0 {
+		o.StallTimeout = DefaultSilence
 	}
 	if o.Connect <= 0 {
 		o.Connect = DefaultConnect
@@ -178,7 +178,7 @@
 		o.Age = DefaultAge
 	}
 	if o.Probe <= 0 {
-		o.Probe = o.Silence / 2
+		o.Probe = o.StallTimeout / 2
 	}
 	if o.Connections == nil {
 		o.Connections = func(b describer.Backend) int { return b.Connections }
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -127,7 +127,7 @@
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
 		d := start(dialer.Options{
-			Silence:     100 * time.Millisecond,
+			StallTimeout:     100 * time.Millisecond,
 			Connections: func(describer.Backend) int { return int(lent.Load()) },
 		})
 		done := make(chan struct{}, 3)
@@ -159,7 +159,7 @@
 		DeferCleanup(server.Close)
 		DeferCleanup(func() { close(held) })
 		address := server.Listener.Addr().String()
-		d := start(dialer.Options{Silence: 40 * time.Millisecond})
+		d := start(dialer.Options{StallTimeout: 40 * time.Millisecond})
 		read(d.Send(backend(address), request("GET", address, "")))
 		Consistently(func() int { return d.OpenConnections("w") }, "100ms").Should(Equal(1))
 		silent.Store(true)
@@ -170,7 +170,7 @@
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) }))
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
-		d := start(dialer.Options{Silence: 30 * time.Millisecond})
+		d := start(dialer.Options{StallTimeout: 30 * time.Millisecond})
 		in, out := io.Pipe()
 		r, _ := http.NewRequest(http.MethodPost, "http://"+address+"/", in)
 		go func() {
--- a/internal/traffic/dialer/pool.go
+++ b/internal/traffic/dialer/pool.go
@@ -108,7 +108,7 @@
 func (p *Pool) probe(ctx context.Context) {
 	for _, c := range p.stale() {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, p.options.Silence)
+			ctx, cancel := context.WithTimeout(ctx, p.options.StallTimeout)
 			defer cancel()
 			if c.probe(ctx) {
 				p.put(c)
