--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -10,7 +10,7 @@
 type Health struct {
 	MaxFailures int           // in a row that eject a backend server
 	Ejection    time.Duration // first ejection; doubles up to 16 times this
-	Floor    float64       // share of a service's open backend servers that stays in use
+	MinOpen    float64       // share of a service's open backend servers that stays in use
 	Slow     float64       // times the median latency of the others that counts as an outlier
 	Ramp     time.Duration // slow start after an ejection
 }
@@ -25,8 +25,8 @@
 	if h.Ejection <= 0 {
 		h.Ejection = DefaultEjection
 	}
-	if h.Floor <= 0 {
-		h.Floor = 0.7
+	if h.MinOpen <= 0 {
+		h.MinOpen = 0.7
 	}
 	if h.Slow <= 0 {
 		h.Slow = 3
@@ -157,7 +157,7 @@
 			used++
 		}
 	}
-	return float64(used-1) >= r.Options.Health.Floor*float64(open)
+	return float64(used-1) >= r.Options.Health.MinOpen*float64(open)
 }
 
 func (r *Router) row(p *Slot) []*server {
