--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -179,7 +179,7 @@
 		Traffic: parser.Traffic{Silence: parser.Duration(300 * time.Millisecond)},
 	}
 	if v.plain {
-		options.Health = router.Health{MaxFailures: 1 << 30, Slow: 1 << 30}
+		options.Health = router.Health{MaxFailures: 1 << 30, SlowFactor: 1 << 30}
 	}
 	teams := []describer.Team{{Name: "minara", Weight: 1}, {Name: "council", Weight: 1}}
 	f := forwarder.New(options, func() *describer.RoutingTable { return table }, func() []describer.Team { return teams }, nil, nil, zerolog.Nop())
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -11,7 +11,7 @@
 	MaxFailures int           // in a row that eject a backend server
 	Ejection    time.Duration // first ejection; doubles up to 16 times this
 	MinOpen    float64       // share of a service's open backend servers that stays in use
-	Slow     float64       // times the median latency of the others that counts as an outlier
+	SlowFactor     float64       // times the median latency of the others that counts as an outlier
 	Ramp     time.Duration // slow start after an ejection
 }
 
@@ -28,8 +28,8 @@
 	if h.MinOpen <= 0 {
 		h.MinOpen = 0.7
 	}
-	if h.Slow <= 0 {
-		h.Slow = 3
+	if h.SlowFactor <= 0 {
+		h.SlowFactor = 3
 	}
 	if h.Ramp <= 0 {
 		h.Ramp = 20 * time.Second
@@ -126,7 +126,7 @@
 			n++
 		}
 	}
-	return n >= 3 && p.server.latency > r.Options.Health.Slow*sum/float64(n)
+	return n >= 3 && p.server.latency > r.Options.Health.SlowFactor*sum/float64(n)
 }
 
 // eject takes the server out of use unless too few would remain.
