--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -12,7 +12,7 @@
 	Ejection    time.Duration // first ejection; doubles up to 16 times this
 	MinOpen    float64       // share of a service's open backend servers that stays in use
 	SlowFactor     float64       // times the median latency of the others that counts as an outlier
-	Ramp     time.Duration // slow start after an ejection
+	SlowStart     time.Duration // slow start after an ejection
 }
 
 // DefaultEjection is the first ejection's time.
@@ -31,8 +31,8 @@
 	if h.SlowFactor <= 0 {
 		h.SlowFactor = 3
 	}
-	if h.Ramp <= 0 {
-		h.Ramp = 20 * time.Second
+	if h.SlowStart <= 0 {
+		h.SlowStart = 20 * time.Second
 	}
 	return h
 }
@@ -48,8 +48,8 @@
 	if s.window > 0 {
 		out = min(out, s.window)
 	}
-	if since := now.Sub(s.returned); !s.returned.IsZero() && since < h.Ramp {
-		out = min(out, float64(slots)*float64(since)/float64(h.Ramp))
+	if since := now.Sub(s.returned); !s.returned.IsZero() && since < h.SlowStart {
+		out = min(out, float64(slots)*float64(since)/float64(h.SlowStart))
 	}
 	return max(1, int(out))
 }
