--- a/internal/traffic/dialer/carrier.go
+++ b/internal/traffic/dialer/carrier.go
@@ -48,7 +48,7 @@
 // dial opens the carrier's connection, once: over a second one the transport
 // would repeat requests that may have run.
 func (c *carrier) dial(ctx context.Context, network string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.options.Connect)
+	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
 	if c.isUsed() {
 		return nil, errors.New("dialer: connection was closed by the backend server")
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -45,7 +45,7 @@
 // Options are the bounds of connections. Zero fields take the defaults.
 type Options struct {
 	StallTimeout time.Duration // longest time without progress on a busy connection
-	Connect time.Duration // longest time to open a connection
+	ConnectTimeout time.Duration // longest time to open a connection
 	Age     time.Duration // older connections are not used again
 	Probe   time.Duration // idle connections are probed this often; half of Silence if 0
 	// Connections returns how many connections to the backend server may be
@@ -171,8 +171,8 @@
 	if o.StallTimeout <= 0 {
 		o.StallTimeout = DefaultSilence
 	}
-	if o.Connect <= 0 {
-		o.Connect = DefaultConnect
+	if o.ConnectTimeout <= 0 {
+		o.ConnectTimeout = DefaultConnect
 	}
 	if o.Age <= 0 {
 		o.Age = DefaultAge
