--- a/internal/traffic/dialer/carrier.go
+++ b/internal/traffic/dialer/carrier.go
@@ -130,7 +130,7 @@
 // usable reports whether the carrier may take another request.
 func (c *carrier) usable() bool {
 	conn := c.current()
-	return conn != nil && !conn.isBroken() && time.Since(c.opened) < c.options.Age
+	return conn != nil && !conn.isBroken() && time.Since(c.opened) < c.options.MaxAge
 }
 
 func (c *carrier) probe(ctx context.Context) bool {
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -46,7 +46,7 @@
 type Options struct {
 	StallTimeout time.Duration // longest time without progress on a busy connection
 	ConnectTimeout time.Duration // longest time to open a connection
-	Age     time.Duration // older connections are not used again
+	MaxAge     time.Duration // older connections are not used again
 	Probe   time.Duration // idle connections are probed this often; half of Silence if 0
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes all that it has.
@@ -174,8 +174,8 @@
 	if o.ConnectTimeout <= 0 {
 		o.ConnectTimeout = DefaultConnect
 	}
-	if o.Age <= 0 {
-		o.Age = DefaultAge
+	if o.MaxAge <= 0 {
+		o.MaxAge = DefaultAge
 	}
 	if o.Probe <= 0 {
 		o.Probe = o.StallTimeout / 2
