--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -47,7 +47,7 @@
 	StallTimeout time.Duration // longest time without progress on a busy connection
 	ConnectTimeout time.Duration // longest time to open a connection
 	MaxAge     time.Duration // older connections are not used again
-	Probe   time.Duration // idle connections are probed this often; half of Silence if 0
+	ProbeInterval   time.Duration // idle connections are probed this often; half of Silence if 0
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes all that it has.
 	Connections func(b describer.Backend) int
@@ -152,7 +152,7 @@
 }
 
 func (d *Dialer) probe(ctx context.Context) {
-	tick := time.NewTicker(d.Options.Probe)
+	tick := time.NewTicker(d.Options.ProbeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -177,8 +177,8 @@
 	if o.MaxAge <= 0 {
 		o.MaxAge = DefaultAge
 	}
-	if o.Probe <= 0 {
-		o.Probe = o.StallTimeout / 2
+	if o.ProbeInterval <= 0 {
+		o.ProbeInterval = o.StallTimeout / 2
 	}
 	if o.Connections == nil {
 		o.Connections = func(b describer.Backend) int { return b.Connections }
--- a/internal/traffic/dialer/pool.go
+++ b/internal/traffic/dialer/pool.go
@@ -137,7 +137,7 @@
 func (p *Pool) stale() []*carrier {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	limit := time.Now().Add(-p.options.Probe)
+	limit := time.Now().Add(-p.options.ProbeInterval)
 	fresh := p.idle[:0:0]
 	var out []*carrier
 	for _, c := range p.idle {
