--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -37,7 +37,7 @@
 
 // Defaults of Options.
 const (
-	DefaultSilence = 5 * time.Second
+	DefaultStallTimeout = 5 * time.Second
 	DefaultConnect = 2 * time.Second
 	DefaultAge     = 10 * time.Minute
 )
@@ -169,7 +169,7 @@
 
 func withDefaults(o Options) Options {
 	if o.StallTimeout <= 0 {
-		o.StallTimeout = DefaultSilence
+		o.StallTimeout = DefaultStallTimeout
 	}
 	if o.ConnectTimeout <= 0 {
 		o.ConnectTimeout = DefaultConnect
