--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -38,7 +38,7 @@
 // Defaults of Options.
 const (
 	DefaultStallTimeout = 5 * time.Second
-	DefaultConnect = 2 * time.Second
+	DefaultConnectTimeout = 2 * time.Second
 	DefaultAge     = 10 * time.Minute
 )
 
@@ -172,7 +172,7 @@
 		o.StallTimeout = DefaultStallTimeout
 	}
 	if o.ConnectTimeout <= 0 {
-		o.ConnectTimeout = DefaultConnect
+		o.ConnectTimeout = DefaultConnectTimeout
 	}
 	if o.MaxAge <= 0 {
 		o.MaxAge = DefaultAge
