--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -39,7 +39,7 @@
 const (
 	DefaultStallTimeout = 5 * time.Second
 	DefaultConnectTimeout = 2 * time.Second
-	DefaultAge     = 10 * time.Minute
+	DefaultMaxAge     = 10 * time.Minute
 )
 
 // Options are the bounds of connections. Zero fields take the defaults.
@@ -175,7 +175,7 @@
 		o.ConnectTimeout = DefaultConnectTimeout
 	}
 	if o.MaxAge <= 0 {
-		o.MaxAge = DefaultAge
+		o.MaxAge = DefaultMaxAge
 	}
 	if o.ProbeInterval <= 0 {
 		o.ProbeInterval = o.StallTimeout / 2
