--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -25,7 +25,7 @@
 // Budget bounds retries to a share of first attempts, with a small reserve
 // for quiet times.
 type Budget struct {
-	Share   float64 // 0 to 1
+	Ratio   float64 // 0 to 1
 	Reserve float64 // most retries that can be saved up
 
 	lock   sync.Mutex
@@ -34,14 +34,14 @@
 
 // NewBudget returns a budget with a full reserve.
 func NewBudget(share, reserve float64) *Budget {
-	return &Budget{Share: share, Reserve: reserve, tokens: reserve}
+	return &Budget{Ratio: share, Reserve: reserve, tokens: reserve}
 }
 
 // Deposit counts a first attempt.
 func (b *Budget) Deposit() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.tokens = min(b.tokens+b.Share, b.Reserve)
+	b.tokens = min(b.tokens+b.Ratio, b.Reserve)
 }
 
 // TryWithdraw uses up one retry and reports whether there was one.
