--- a/internal/traffic/forwarder/answer.go
+++ b/internal/traffic/forwarder/answer.go
@@ -130,7 +130,7 @@
 		return
 	}
 	c.afar += n + max(c.body.length, 0)
-	f.Link.Charge(n+max(c.body.length, 0), time.Now())
+	f.LinkBudget.Charge(n+max(c.body.length, 0), time.Now())
 }
 
 func announce(h, trailer http.Header) {
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -71,7 +71,7 @@
 	Router  *router.Router
 	Dialer  *dialer.Dialer
 	Limiter *limiter.Limiter[*router.Slot]
-	Link    *router.LinkBudget
+	LinkBudget    *router.LinkBudget
 	Done    chan struct{} // closed when upkeep has ended
 
 	table   func() *describer.RoutingTable
@@ -104,7 +104,7 @@
 	f := &Forwarder{
 		Options: o,
 		born:    time.Now().UnixNano(),
-		Link:    link,
+		LinkBudget:    link,
 		Done:    make(chan struct{}),
 		table:   table,
 		teams:   teams,
