--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -119,7 +119,7 @@
 		Region: o.Region,
 		Policy: o.Policy,
 		Health: o.Health,
-		Link:   link,
+		LinkBudget:   link,
 		Seed:   o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -70,7 +70,7 @@
 	Region string
 	Policy Policy // LeastLoaded if nil
 	Health Health // zero fields take defaults
-	Link   *LinkBudget  // nil forbids other regions
+	LinkBudget   *LinkBudget  // nil forbids other regions
 	Seed   uint64
 	Now    func() time.Time // time.Now if nil
 }
@@ -119,7 +119,7 @@
 			if !q.CrossRegion {
 				break
 			}
-			if len(row) > 0 && !r.Options.Link.Allow(q.Bytes, r.Options.Now()) {
+			if len(row) > 0 && !r.Options.LinkBudget.Allow(q.Bytes, r.Options.Now()) {
 				return nil, ErrLinkBudget
 			}
 		}
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -41,7 +41,7 @@
 	BeforeEach(func() {
 		c = &clock{now: time.Unix(1000, 0)}
 		r = router.New(router.Options{
-			Domain: "d", Region: "r", Seed: 7, Link: router.NewLinkBudget(1000), Now: func() time.Time { return c.now },
+			Domain: "d", Region: "r", Seed: 7, LinkBudget: router.NewLinkBudget(1000), Now: func() time.Time { return c.now },
 		}, &router.FixedShare{Hosts: 2})
 	})
 	take := func(t *describer.RoutingTable) *router.Slot {
@@ -90,7 +90,7 @@
 		place, err := r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(place.CrossRegion).To(BeTrue())
-		r.Options.Link.Charge(600, c.now)
+		r.Options.LinkBudget.Charge(600, c.now)
 		_, err = r.Take(t, far)
 		Expect(err).To(MatchError(router.ErrLinkBudget))
 		c.now = c.now.Add(time.Second)
