--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -29,17 +29,17 @@
 // Worker is the account of one worker.
 type Worker struct {
 	Host     describer.Host
-	Grants   map[describer.TaskID]Grant // changed by Hold, Adopt, Resize and Drop only, but for reports
-	Granted  describer.Resources        // sum of Grants
-	Reserved describer.Resources        // kept for the backend server, never granted
-	Used     describer.Resources        // latest lagging report
-	Reports  map[string]runner.LatencyReport  // latest lagging report by service
-	Closed   bool                       // draining, drained, leaving or set aside: nothing is placed here
-	Opened   time.Time                  // when Closed last became false; gradual restore starts from it
-	KeepOff  time.Time                  // no batch task is placed before this time
-	Limited  bool                       // restoring: batch grants stay within Limit
-	Limit    int64                      // millicores of batch grants while Limited
-	Heard    time.Time                  // last inventory
+	Grants   map[describer.TaskID]Grant      // changed by Hold, Adopt, Resize and Drop only, but for reports
+	Granted  describer.Resources             // sum of Grants
+	Reserved describer.Resources             // kept for the backend server, never granted
+	Used     describer.Resources             // latest lagging report
+	Reports  map[string]runner.LatencyReport // latest lagging report by service
+	Closed   bool                            // draining, drained, leaving or set aside: nothing is placed here
+	Opened   time.Time                       // when Closed last became false; gradual restore starts from it
+	KeepOff  time.Time                       // no batch task is placed before this time
+	Limited  bool                            // restoring: batch grants stay within Limit
+	Limit    int64                           // millicores of batch grants while Limited
+	Heard    time.Time                       // last inventory
 
 	jobs    map[string]int   // grants by job
 	classes map[string]int64 // millicores of batch grants by class
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -93,9 +93,9 @@
 type SyncResult struct {
 	Clock    time.Time           `json:"clock,omitzero"` // the worker's, when it answered
 	Capacity describer.Resources `json:"capacity"`
-	Running  []ActiveRun           `json:"running"`
-	Finished []FinishedRun          `json:"finished"` // kept until acknowledged
-	Latency  []LatencyReport           `json:"latency"`  // lagging reports
+	Running  []ActiveRun         `json:"running"`
+	Finished []FinishedRun       `json:"finished"` // kept until acknowledged
+	Latency  []LatencyReport     `json:"latency"`  // lagging reports
 }
 
 // ActiveRun is a run in progress with its lagging usage.
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -37,17 +37,17 @@
 
 // Defaults of Options.
 const (
-	DefaultStallTimeout = 5 * time.Second
+	DefaultStallTimeout   = 5 * time.Second
 	DefaultConnectTimeout = 2 * time.Second
-	DefaultMaxAge     = 10 * time.Minute
+	DefaultMaxAge         = 10 * time.Minute
 )
 
 // Options are the bounds of connections. Zero fields take the defaults.
 type Options struct {
-	StallTimeout time.Duration // longest time without progress on a busy connection
+	StallTimeout   time.Duration // longest time without progress on a busy connection
 	ConnectTimeout time.Duration // longest time to open a connection
-	MaxAge     time.Duration // older connections are not used again
-	ProbeInterval   time.Duration // idle connections are probed this often; half of Silence if 0
+	MaxAge         time.Duration // older connections are not used again
+	ProbeInterval  time.Duration // idle connections are probed this often; half of Silence if 0
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes all that it has.
 	Connections func(b describer.Backend) int
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -127,8 +127,8 @@
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
 		d := start(dialer.Options{
-			StallTimeout:     100 * time.Millisecond,
-			Connections: func(describer.Backend) int { return int(lent.Load()) },
+			StallTimeout: 100 * time.Millisecond,
+			Connections:  func(describer.Backend) int { return int(lent.Load()) },
 		})
 		done := make(chan struct{}, 3)
 		for range 3 {
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -51,15 +51,15 @@
 
 // Options are the settings of a forwarder. Zero fields take defaults.
 type Options struct {
-	Name    string // of the entry host
-	Domain  string // its failure domain
-	Region  string
-	Traffic parser.Traffic
-	Slots   router.SlotSource  // nil: a third of each worker's slots, for tests
-	Policy  router.Policy // router.LeastLoaded if nil
-	Health  router.Health
-	HedgeRatio   float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
-	Seed    uint64
+	Name       string // of the entry host
+	Domain     string // its failure domain
+	Region     string
+	Traffic    parser.Traffic
+	Slots      router.SlotSource // nil: a third of each worker's slots, for tests
+	Policy     router.Policy     // router.LeastLoaded if nil
+	Health     router.Health
+	HedgeRatio float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
+	Seed       uint64
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes eight for each slot lent.
 	Connections func(b describer.Backend) int
@@ -67,12 +67,12 @@
 
 // Forwarder is an http.Handler for callers.
 type Forwarder struct {
-	Options Options
-	Router  *router.Router
-	Dialer  *dialer.Dialer
-	Limiter *limiter.Limiter[*router.Slot]
-	LinkBudget    *router.LinkBudget
-	Done    chan struct{} // closed when upkeep has ended
+	Options    Options
+	Router     *router.Router
+	Dialer     *dialer.Dialer
+	Limiter    *limiter.Limiter[*router.Slot]
+	LinkBudget *router.LinkBudget
+	Done       chan struct{} // closed when upkeep has ended
 
 	table   func() *describer.RoutingTable
 	teams   func() []describer.Team
@@ -102,29 +102,29 @@
 	o = withDefaults(o)
 	link := router.NewLinkBudget(o.Traffic.Link)
 	f := &Forwarder{
-		Options: o,
-		born:    time.Now().UnixNano(),
-		LinkBudget:    link,
-		Done:    make(chan struct{}),
-		table:   table,
-		teams:   teams,
-		claimer: claimer,
-		log:     log.With().Str("part", "forwarder").Logger(),
-		metrics: newMetrics(scope),
-		retries: retrier.NewBudget(o.Traffic.Budget, retryReserve),
-		hedges:  retrier.NewBudget(o.HedgeRatio, hedgeReserve),
+		Options:    o,
+		born:       time.Now().UnixNano(),
+		LinkBudget: link,
+		Done:       make(chan struct{}),
+		table:      table,
+		teams:      teams,
+		claimer:    claimer,
+		log:        log.With().Str("part", "forwarder").Logger(),
+		metrics:    newMetrics(scope),
+		retries:    retrier.NewBudget(o.Traffic.Budget, retryReserve),
+		hedges:     retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
-		Domain: o.Domain,
-		Region: o.Region,
-		Policy: o.Policy,
-		Health: o.Health,
-		LinkBudget:   link,
-		Seed:   o.Seed,
+		Domain:     o.Domain,
+		Region:     o.Region,
+		Policy:     o.Policy,
+		Health:     o.Health,
+		LinkBudget: link,
+		Seed:       o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
-		StallTimeout:     time.Duration(o.Traffic.Silence),
-		Connections: o.Connections,
+		StallTimeout: time.Duration(o.Traffic.Silence),
+		Connections:  o.Connections,
 	})
 	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -53,7 +53,7 @@
 // Options bound the queues.
 type Options struct {
 	MaxQueue int              // waiting requests for each tenant and class; 0 lets none wait
-	Now   func() time.Time // time.Now if nil
+	Now      func() time.Time // time.Now if nil
 }
 
 // Limiter admits requests of all services.
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -10,12 +10,12 @@
 
 // Settings describe a load, from a file in JSON with comments.
 type Settings struct {
-	Targets  []string        `json:"targets"`  // base URLs of entry hosts, used in turn
-	Rate     float64         `json:"rate"`     // requests a second, all kinds together
-	Duration parser.Duration `json:"duration"` // such as "30s"
-	Seed     int64           `json:"seed"`     // of due times and kinds
-	MaxInFlight   int             `json:"flight"`   // most requests in flight; more are counted as unsent
-	Mix      []Kind          `json:"mix"`
+	Targets     []string        `json:"targets"`  // base URLs of entry hosts, used in turn
+	Rate        float64         `json:"rate"`     // requests a second, all kinds together
+	Duration    parser.Duration `json:"duration"` // such as "30s"
+	Seed        int64           `json:"seed"`     // of due times and kinds
+	MaxInFlight int             `json:"flight"`   // most requests in flight; more are counted as unsent
+	Mix         []Kind          `json:"mix"`
 }
 
 // Kind is one kind of request.
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -10,9 +10,9 @@
 type Health struct {
 	MaxFailures int           // in a row that eject a backend server
 	Ejection    time.Duration // first ejection; doubles up to 16 times this
-	MinOpen    float64       // share of a service's open backend servers that stays in use
-	SlowFactor     float64       // times the median latency of the others that counts as an outlier
-	SlowStart     time.Duration // slow start after an ejection
+	MinOpen     float64       // share of a service's open backend servers that stays in use
+	SlowFactor  float64       // times the median latency of the others that counts as an outlier
+	SlowStart   time.Duration // slow start after an ejection
 }
 
 // DefaultEjection is the first ejection's time.
--- a/internal/traffic/router/policy.go
+++ b/internal/traffic/router/policy.go
@@ -4,7 +4,7 @@
 
 // Candidate is a backend server with a free slot.
 type Candidate struct {
-	InFlight       int     // requests in flight from this entry host
+	InFlight     int     // requests in flight from this entry host
 	Limit        int     // of requests in flight, at least Flight + 1
 	Interference float64 // expected relative slow-down, 0 is none
 	Latency      float64 // recent mean in seconds, 0 is unknown
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -29,9 +29,9 @@
 // Reasons for which Take finds no place, found with errors.Is.
 var (
 	ErrUnknownService = errors.New("router: unknown service")
-	ErrNoSlot    = errors.New("router: every slot is in use")
-	ErrNoBackend    = errors.New("router: no backend server is open")
-	ErrLinkBudget    = errors.New("router: no budget left on the link between regions")
+	ErrNoSlot         = errors.New("router: every slot is in use")
+	ErrNoBackend      = errors.New("router: no backend server is open")
+	ErrLinkBudget     = errors.New("router: no budget left on the link between regions")
 )
 
 // SlotSource lends the slots of workers to this entry host. Its methods never wait.
@@ -45,17 +45,17 @@
 
 // Request says what a place is wanted for.
 type Request struct {
-	Service  string
-	Deadline time.Time
-	Bytes    int64           // expected on the link, both ways
-	CrossRegion     bool            // other regions are allowed
-	Avoid    map[string]bool // workers already tried
+	Service     string
+	Deadline    time.Time
+	Bytes       int64           // expected on the link, both ways
+	CrossRegion bool            // other regions are allowed
+	Avoid       map[string]bool // workers already tried
 }
 
 // Slot is a slot of one backend server.
 type Slot struct {
-	Backend describer.Backend
-	CrossRegion    bool // in another region; its bytes count against the link
+	Backend     describer.Backend
+	CrossRegion bool // in another region; its bytes count against the link
 
 	router  *Router
 	server  *server
@@ -66,13 +66,13 @@
 
 // Options place the entry host.
 type Options struct {
-	Domain string
-	Region string
-	Policy Policy // LeastLoaded if nil
-	Health Health // zero fields take defaults
-	LinkBudget   *LinkBudget  // nil forbids other regions
-	Seed   uint64
-	Now    func() time.Time // time.Now if nil
+	Domain     string
+	Region     string
+	Policy     Policy      // LeastLoaded if nil
+	Health     Health      // zero fields take defaults
+	LinkBudget *LinkBudget // nil forbids other regions
+	Seed       uint64
+	Now        func() time.Time // time.Now if nil
 }
 
 // Router chooses among backend servers.
--- a/internal/traffic/router/rows.go
+++ b/internal/traffic/router/rows.go
@@ -11,9 +11,9 @@
 
 // Distances, nearest first.
 const (
-	SameDomain Distance = iota // own failure domain
-	SameRegion                 // another failure domain of the own region
-	OtherRegion                   // another region
+	SameDomain  Distance = iota // own failure domain
+	SameRegion                  // another failure domain of the own region
+	OtherRegion                 // another region
 	distances
 )
 
