--- a/coord/coord.go
+++ b/coord/coord.go
@@ -101,7 +101,7 @@
 )
 
 // VerdictOf returns the verdict of err, MayHaveRun if it has none.
-func VerdictOf(err error) Verdict { return classifier.Of(err) }
+func VerdictOf(err error) Verdict { return classifier.VerdictOf(err) }
 
 // Calls between processes and membership.
 type (
@@ -133,7 +133,7 @@
 	// LenderOptions configure a Lender.
 	LenderOptions = lender.Options
 	// Seat is a right to a base share that needs nobody's consent.
-	Seat = lender.Seat
+	Seat = lender.ShareLease
 	// Backend is a shared server.
 	Backend = describer.Backend
 	// Table says who owns which shard.
@@ -142,7 +142,7 @@
 
 // NewSeat seeks a seat in the domain until Close and keeps it.
 func NewSeat(store Store, domain, name string, log zerolog.Logger) *Seat {
-	return lender.NewSeat(store, domain, name, lender.DefaultTerm, log)
+	return lender.NewShareLease(store, domain, name, lender.DefaultTerm, log)
 }
 
 // NewLender starts borrowing and lending. valid reports whether this process
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -41,7 +41,7 @@
 	Epoch   int64
 	Worker  string
 	Address string
-	Start   runner.Start
+	Start   runner.StartRequest
 }
 
 // StopTask asks a worker to end a run. The answer is StopAnswered.
@@ -50,7 +50,7 @@
 	Epoch   int64
 	Worker  string
 	Address string
-	Stop    runner.Stop
+	Stop    runner.StopRequest
 }
 
 // ThrottleTask changes a run's processor grant. There is no answer; the next
@@ -58,7 +58,7 @@
 type ThrottleTask struct {
 	Worker   string
 	Address  string
-	Throttle runner.Throttle
+	Throttle runner.ThrottleRequest
 }
 
 // SyncWorker renews leases and fetches the inventory. The answer is
@@ -66,7 +66,7 @@
 type SyncWorker struct {
 	Worker  string
 	Address string
-	Sync    runner.Sync
+	Sync    runner.SyncRequest
 }
 
 // Reply answers a request. Exactly one of the pointers is set.
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -114,7 +114,7 @@
 	Epoch  int64
 	Worker string
 	SentAt time.Time // when the call began; leases run from here
-	Synced runner.Synced
+	Synced runner.SyncResult
 }
 
 // WorkerSyncFailed says that a SyncWorker had no answer.
@@ -143,7 +143,7 @@
 	Worker  string
 	Task    describer.TaskID
 	Token   describer.Token
-	Stopped runner.Stopped
+	Stopped runner.StopResult
 	Err     string
 }
 
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -22,12 +22,12 @@
 	epoch    int64
 	fences   map[describer.TaskID]describer.Token
 	runs     map[describer.TaskID]*fakeRun
-	ended    map[runner.Run]runner.Stopped
-	finished map[runner.Run]runner.Finished
+	ended    map[runner.Run]runner.StopResult
+	finished map[runner.Run]runner.FinishedRun
 }
 
 type fakeRun struct {
-	runner.Start
+	runner.StartRequest
 	began     time.Time
 	lease     time.Time
 	length    time.Duration
@@ -57,8 +57,8 @@
 	m.epoch = 0
 	m.fences = make(map[describer.TaskID]describer.Token)
 	m.runs = make(map[describer.TaskID]*fakeRun)
-	m.ended = make(map[runner.Run]runner.Stopped)
-	m.finished = make(map[runner.Run]runner.Finished)
+	m.ended = make(map[runner.Run]runner.StopResult)
+	m.finished = make(map[runner.Run]runner.FinishedRun)
 }
 
 func (m *fakeWorker) clock() time.Time { return m.world.now.Add(m.offset) }
@@ -77,25 +77,25 @@
 		r := m.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
 		done := r.began.Add(r.length)
-		f := runner.Finished{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
+		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
 		case !done.After(m.clock()) && !done.After(r.lease):
-			f = runner.Finished{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.ended[run] = runner.Stopped{Ran: true, Finished: f.OK, Result: f.Result}
+			f = runner.FinishedRun{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
+			m.ended[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
 				m.world.store.complete(run)
 			}
 		case r.lease.After(m.clock()):
 			continue
 		default:
-			m.ended[run] = runner.Stopped{Ran: true, Checkpoint: f.Checkpoint}
+			m.ended[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
 		}
 		m.finished[run] = f
 		delete(m.runs, id)
 	}
 }
 
-func (m *fakeWorker) start(s runner.Start) string {
+func (m *fakeWorker) start(s runner.StartRequest) string {
 	m.advance()
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	_, known := m.ended[run]
@@ -113,7 +113,7 @@
 	m.fences[s.Task] = s.Token
 	m.world.audit(m, s)
 	m.runs[s.Task] = &fakeRun{
-		Start: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
+		StartRequest: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
 	}
 	if sum := m.granted(); !sum.Fits(m.capacity) {
 		m.world.t.Fatalf("%s is overfilled: %v", m.name, sum)
@@ -129,10 +129,10 @@
 	return sum
 }
 
-func (m *fakeWorker) stop(s runner.Stop) (runner.Stopped, string) {
+func (m *fakeWorker) stop(s runner.StopRequest) (runner.StopResult, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
-		return runner.Stopped{}, "fenced"
+		return runner.StopResult{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	if m.fences[s.Task].Less(s.Token) {
@@ -141,14 +141,14 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(m.runs, s.Task)
-		m.ended[run] = runner.Stopped{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+		m.ended[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
 	} else if _, ok := m.ended[run]; !ok {
-		m.ended[run] = runner.Stopped{}
+		m.ended[run] = runner.StopResult{}
 	}
 	return m.ended[run], ""
 }
 
-func (m *fakeWorker) throttle(t runner.Throttle) {
+func (m *fakeWorker) throttle(t runner.ThrottleRequest) {
 	m.advance()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
 	r := m.runs[t.Task]
@@ -162,10 +162,10 @@
 	}
 }
 
-func (m *fakeWorker) sync(s runner.Sync) (runner.Synced, string) {
+func (m *fakeWorker) sync(s runner.SyncRequest) (runner.SyncResult, string) {
 	m.advance()
 	if s.Epoch < m.epoch {
-		return runner.Synced{}, "fenced"
+		return runner.SyncResult{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	for _, run := range s.Ack {
@@ -179,17 +179,17 @@
 			}
 		}
 	}
-	out := runner.Synced{Clock: m.clock(), Capacity: m.capacity}
+	out := runner.SyncResult{Clock: m.clock(), Capacity: m.capacity}
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
-		out.Running = append(out.Running, runner.Running{
+		out.Running = append(out.Running, runner.ActiveRun{
 			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.throttled,
 		})
 	}
 	for _, f := range m.finished {
 		out.Finished = append(out.Finished, f)
 	}
-	slices.SortFunc(out.Finished, func(a, b runner.Finished) int { return compareStrings(a.Task.String(), b.Task.String()) })
+	slices.SortFunc(out.Finished, func(a, b runner.FinishedRun) int { return compareStrings(a.Task.String(), b.Task.String()) })
 	return out, ""
 }
 
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -17,7 +17,7 @@
 
 // adaptGrants lets grants follow measured use. A run is resized only when the
 // inventory shows the booked grant in force, so no older change is on its way.
-func (sh *shard) adaptGrants(w *worker, running []runner.Running) {
+func (sh *shard) adaptGrants(w *worker, running []runner.ActiveRun) {
 	if sh.state.now.Sub(w.resizedAt) < resizeInterval {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // adapt resizes one run by its use. Growth leaves room to tasks that wait.
-func (sh *shard) adaptGrant(t *task, w *worker, r *runner.Running) bool {
+func (sh *shard) adaptGrant(t *task, w *worker, r *runner.ActiveRun) bool {
 	if t.job.Kind != describer.Batch {
 		return false
 	}
@@ -95,7 +95,7 @@
 // what was not carried out. A smaller grant is booked only when the worker has
 // taken the throttle itself: a low grant may be older than a growth that is
 // still on its way.
-func (sh *shard) reconcileGrant(t *task, r *runner.Running) {
+func (sh *shard) reconcileGrant(t *task, r *runner.ActiveRun) {
 	switch {
 	case t.shrinkTo > 0 && r.Order.Epoch == sh.epoch && r.Order.Sequence >= t.shrinkSequence:
 		t.shrinkTo = 0
@@ -117,7 +117,7 @@
 	sh.state.emit(ThrottleTask{
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Throttle: runner.Throttle{
+		Throttle: runner.ThrottleRequest{
 			Epoch: sh.epoch, Sequence: sh.lastSequence, Task: t.id(), Token: t.token, CPU: cpu,
 		},
 	})
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -27,7 +27,7 @@
 		calls := taken[SyncWorker](d)
 		Expect(calls).To(HaveLen(1))
 		Expect(calls[0].Sync.Renew).To(Equal([]runner.Run{run}))
-		done := runner.Synced{Finished: []runner.Finished{{Run: run, OK: true, Result: json.RawMessage(`"ok"`)}}}
+		done := runner.SyncResult{Finished: []runner.FinishedRun{{Run: run, OK: true, Result: json.RawMessage(`"ok"`)}}}
 		d.do(WorkerSynced{Shard: "bne-1", Epoch: 1, Worker: "w1", SentAt: d.now, Synced: done})
 
 		d.wait(6 * time.Second)
@@ -96,7 +96,7 @@
 		for _, s := range stops {
 			d.do(StopAnswered{
 				Shard: "bne-1", Epoch: 1, Worker: "w1", Task: s.Stop.Task, Token: s.Stop.Token,
-				Stopped: runner.Stopped{Ran: true},
+				Stopped: runner.StopResult{Ran: true},
 			})
 		}
 		d.durable()
--- a/internal/control/reducer/ledgers_test.go
+++ b/internal/control/reducer/ledgers_test.go
@@ -194,7 +194,7 @@
 }
 
 // audit checks a run that begins against what is durable and what runs.
-func (w *world) audit(m *fakeWorker, s runner.Start) {
+func (w *world) audit(m *fakeWorker, s runner.StartRequest) {
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	at, ok := w.store.started[run]
 	if !ok {
@@ -227,7 +227,7 @@
 }
 
 // checkAck checks that a completion is forgotten only when it is durable.
-func (s *ledgers) checkAck(f runner.Finished) {
+func (s *ledgers) checkAck(f runner.FinishedRun) {
 	if !f.OK || s.cancelled[f.Task.Job] > 0 {
 		return
 	}
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -43,7 +43,7 @@
 }
 
 // observe takes in what an inventory reports on use and latency.
-func (sh *shard) observeInventory(w *worker, in *runner.Synced) {
+func (sh *shard) observeInventory(w *worker, in *runner.SyncResult) {
 	fresh := false
 	for i := range in.Latency {
 		fresh = sh.observeLatency(w, &in.Latency[i]) || fresh
@@ -58,12 +58,12 @@
 }
 
 // observeLatency teaches the learner what the interval's colocation cost.
-func (sh *shard) observeLatency(w *worker, l *runner.Latency) bool {
+func (sh *shard) observeLatency(w *worker, l *runner.LatencyReport) bool {
 	if last, ok := w.account.Reports[l.Service]; ok && !l.To.After(last.To) {
 		return false
 	}
 	if w.account.Reports == nil {
-		w.account.Reports = make(map[string]runner.Latency)
+		w.account.Reports = make(map[string]runner.LatencyReport)
 	}
 	w.account.Reports[l.Service] = *l
 	if shares, ok := sh.state.timeline.Average(w.name, l.From, l.To); ok {
@@ -72,7 +72,7 @@
 	return true
 }
 
-func (sh *shard) observeRun(w *worker, r *runner.Running) {
+func (sh *shard) observeRun(w *worker, r *runner.ActiveRun) {
 	g, ok := w.account.Grants[r.Task]
 	if !ok {
 		return
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -41,7 +41,7 @@
 		Epoch:   sh.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
-		Stop:    runner.Stop{Epoch: sh.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
+		Stop:    runner.StopRequest{Epoch: sh.epoch, Task: r.Task, Token: r.Token, Checkpoint: checkpoint},
 	})
 }
 
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -51,7 +51,7 @@
 	w.syncs++
 	w.syncPending = true
 	w.syncSentAt = sh.state.now
-	call := runner.Sync{
+	call := runner.SyncRequest{
 		Shard: sh.id,
 		Epoch: sh.epoch,
 		Lease: sh.state.options.TaskLease,
@@ -217,7 +217,7 @@
 }
 
 // takeRunning confirms runs and stops those that nobody wants any more.
-func (sh *shard) reconcileRunning(w *worker, running []runner.Running) {
+func (sh *shard) reconcileRunning(w *worker, running []runner.ActiveRun) {
 	var used describer.Resources
 	for i := range running {
 		r := &running[i]
@@ -251,7 +251,7 @@
 }
 
 // takeFinished records ends. A run is acknowledged once that is durable.
-func (sh *shard) reconcileFinished(w *worker, finished []runner.Finished) {
+func (sh *shard) reconcileFinished(w *worker, finished []runner.FinishedRun) {
 	w.ackTasks = w.ackTasks[:0]
 	w.ackTokens = w.ackTokens[:0]
 	for i := range finished {
@@ -275,7 +275,7 @@
 	}
 }
 
-func (sh *shard) recordEnd(t *task, w *worker, f *runner.Finished) {
+func (sh *shard) recordEnd(t *task, w *worker, f *runner.FinishedRun) {
 	switch {
 	case f.OK:
 		sh.recordFinished(t, w, f.Result)
--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -24,34 +24,34 @@
 // New makes a client of all workers.
 func New(client *http.Client) *Client {
 	s := sender.New("runner", "", client)
-	s.Codes = map[string]error{"fenced": ErrFenced, "full": ErrFull}
+	s.ErrorsByCode = map[string]error{"fenced": ErrFenced, "full": ErrFull}
 	return &Client{sender: s}
 }
 
 // Start implements Worker.
-func (c *Client) Start(ctx context.Context, address string, s Start) error {
+func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
 	c.Counts.Start.Add(1)
 	return c.sender.Send(ctx, "http://"+address+"/v1/start", s, nil)
 }
 
 // Stop implements Worker.
-func (c *Client) Stop(ctx context.Context, address string, s Stop) (Stopped, error) {
+func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (StopResult, error) {
 	c.Counts.Stop.Add(1)
-	var out Stopped
+	var out StopResult
 	err := c.sender.Send(ctx, "http://"+address+"/v1/stop", s, &out)
 	return out, err
 }
 
 // Throttle implements Worker.
-func (c *Client) Throttle(ctx context.Context, address string, t Throttle) error {
+func (c *Client) Throttle(ctx context.Context, address string, t ThrottleRequest) error {
 	c.Counts.Throttle.Add(1)
 	return c.sender.Send(ctx, "http://"+address+"/v1/throttle", t, nil)
 }
 
 // Sync implements Worker.
-func (c *Client) Sync(ctx context.Context, address string, s Sync) (Synced, error) {
+func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error) {
 	c.Counts.Sync.Add(1)
-	var out Synced
+	var out SyncResult
 	err := c.sender.Send(ctx, "http://"+address+"/v1/sync", s, &out)
 	return out, err
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -22,8 +22,8 @@
 	epoch    int64                                // highest seen
 	fences   map[describer.TaskID]describer.Token // highest seen
 	runs     map[describer.TaskID]*run
-	ended    map[runner.Run]runner.Stopped
-	finished map[runner.Run]runner.Finished
+	ended    map[runner.Run]runner.StopResult
+	finished map[runner.Run]runner.FinishedRun
 	timer    *time.Timer // fires at the next end of a run
 	paused   bool
 	dead     bool
@@ -51,8 +51,8 @@
 		audit:    a,
 		fences:   make(map[describer.TaskID]describer.Token),
 		runs:     make(map[describer.TaskID]*run),
-		ended:    make(map[runner.Run]runner.Stopped),
-		finished: make(map[runner.Run]runner.Finished),
+		ended:    make(map[runner.Run]runner.StopResult),
+		finished: make(map[runner.Run]runner.FinishedRun),
 		meter:    meter{lag: o.Lag, slots: o.Host.Slots},
 	}
 	m.timer = time.AfterFunc(time.Hour, m.wake)
@@ -61,7 +61,7 @@
 
 // Start begins a run. It reports whether one began, which a repetition does
 // not do.
-func (m *Agent) Start(s runner.Start) (bool, error) {
+func (m *Agent) Start(s runner.StartRequest) (bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
@@ -104,12 +104,12 @@
 }
 
 // Stop ends a run and fences its token.
-func (m *Agent) Stop(s runner.Stop) (runner.Stopped, error) {
+func (m *Agent) Stop(s runner.StopRequest) (runner.StopResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
 	if err := m.fence(max(s.Epoch, s.Token.Epoch)); err != nil {
-		return runner.Stopped{}, err
+		return runner.StopResult{}, err
 	}
 	if m.fences[s.Task].Less(s.Token) {
 		m.fences[s.Task] = s.Token
@@ -123,14 +123,14 @@
 		m.ended[id] = m.end(r, auditor.Stopped, checkpoint)
 	}
 	if _, ok := m.ended[id]; !ok {
-		m.ended[id] = runner.Stopped{}
+		m.ended[id] = runner.StopResult{}
 	}
 	m.schedule()
 	return m.ended[id], nil
 }
 
 // Throttle sets a run's processor grant.
-func (m *Agent) Throttle(t runner.Throttle) error {
+func (m *Agent) Throttle(t runner.ThrottleRequest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
@@ -153,12 +153,12 @@
 }
 
 // Sync renews leases, forgets acknowledged ends and returns the inventory.
-func (m *Agent) Sync(s runner.Sync) (runner.Synced, error) {
+func (m *Agent) Sync(s runner.SyncRequest) (runner.SyncResult, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
 	if err := m.fence(s.Epoch); err != nil {
-		return runner.Synced{}, err
+		return runner.SyncResult{}, err
 	}
 	for _, id := range s.Ack {
 		delete(m.finished, id)
@@ -173,8 +173,8 @@
 	return m.inventory(now), nil
 }
 
-func (m *Agent) inventory(now time.Time) runner.Synced {
-	out := runner.Synced{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
+func (m *Agent) inventory(now time.Time) runner.SyncResult {
+	out := runner.SyncResult{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
 	for _, r := range m.runs {
 		out.Running = append(out.Running, r.report(now, m.options.Lag))
 	}
@@ -279,7 +279,7 @@
 }
 
 func (m *Agent) complete(r *run) {
-	f := runner.Finished{Run: r.id(), OK: !r.payload.Fail}
+	f := runner.FinishedRun{Run: r.id(), OK: !r.payload.Fail}
 	if !f.OK {
 		f.Reason = "task failed"
 		m.end(r, auditor.Failed, "")
@@ -288,21 +288,21 @@
 	}
 	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: m.options.Host.Name})
 	m.end(r, auditor.Completed, "")
-	m.ended[f.Run] = runner.Stopped{Ran: true, Finished: true, Result: f.Result}
+	m.ended[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
 	m.finished[f.Run] = f
 }
 
 func (m *Agent) lapse(r *run) {
-	f := runner.Finished{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
+	f := runner.FinishedRun{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
 	m.end(r, auditor.Lapsed, f.Checkpoint)
 	m.finished[f.Run] = f
 }
 
 // end takes a run out and remembers the answer for repeated stops.
-func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.Stopped {
+func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.StopResult {
 	delete(m.runs, r.start.Task)
 	m.audit.Ended(r.start.Task, m.options.Host.Name, e)
-	out := runner.Stopped{Ran: true, Checkpoint: checkpoint}
+	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
 	m.ended[r.id()] = out
 	return out
 }
--- a/internal/state/journaler/write.go
+++ b/internal/state/journaler/write.go
@@ -90,7 +90,7 @@
 		if err == nil {
 			return nil
 		}
-		mustRead = errors.Is(err, storer.ErrConflict) || classifier.Of(err) != classifier.NotRun
+		mustRead = errors.Is(err, storer.ErrConflict) || classifier.VerdictOf(err) != classifier.NotRun
 		return err
 	})
 	return revision, err
--- a/internal/traffic/dialer/carrier.go
+++ b/internal/traffic/dialer/carrier.go
@@ -48,7 +48,7 @@
 // dial opens the carrier's connection, once: over a second one the transport
 // would repeat requests that may have run.
 func (c *carrier) dial(ctx context.Context, network string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.options.Connect)
+	ctx, cancel := context.WithTimeout(ctx, c.options.ConnectTimeout)
 	defer cancel()
 	if c.isUsed() {
 		return nil, errors.New("dialer: connection was closed by the backend server")
@@ -63,7 +63,7 @@
 		raw.Close()
 		return nil, net.ErrClosed
 	}
-	c.conn = &conn{Conn: raw, silence: c.options.Silence}
+	c.conn = &conn{Conn: raw, silence: c.options.StallTimeout}
 	c.conn.begin()
 	return c.conn, nil
 }
@@ -130,7 +130,7 @@
 // usable reports whether the carrier may take another request.
 func (c *carrier) usable() bool {
 	conn := c.current()
-	return conn != nil && !conn.isBroken() && time.Since(c.opened) < c.options.Age
+	return conn != nil && !conn.isBroken() && time.Since(c.opened) < c.options.MaxAge
 }
 
 func (c *carrier) probe(ctx context.Context) bool {
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -56,7 +56,7 @@
 		d := start(dialer.Options{})
 		first := read(d.Send(backend(address), request("GET", address, "")))
 		Expect(read(d.Send(backend(address), request("GET", address, "")))).To(Equal(first))
-		Expect(d.Open("w")).To(Equal(1))
+		Expect(d.OpenConnections("w")).To(Equal(1))
 	})
 
 	It("sends a request that looks replayable once when a kept connection breaks", func() {
@@ -74,7 +74,7 @@
 		r := request("POST", address, "")
 		r.Header.Set("Idempotency-Key", "7f3a")
 		_, err := d.Send(backend(address), r)
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
@@ -84,8 +84,8 @@
 		listener.Close()
 		d := start(dialer.Options{})
 		_, err := d.Send(backend(address), request("POST", address, "hold"))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
-		Expect(d.Open("w")).To(BeZero())
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
+		Expect(d.OpenConnections("w")).To(BeZero())
 	})
 
 	It("opens no more connections than are lent", func() {
@@ -127,8 +127,8 @@
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
 		d := start(dialer.Options{
-			Silence:     100 * time.Millisecond,
-			Connections: func(describer.Backend) int { return int(lent.Load()) },
+			StallTimeout: 100 * time.Millisecond,
+			Connections:  func(describer.Backend) int { return int(lent.Load()) },
 		})
 		done := make(chan struct{}, 3)
 		for range 3 {
@@ -143,9 +143,9 @@
 		for range 3 {
 			<-done
 		}
-		Expect(d.Open("w")).To(Equal(3))
+		Expect(d.OpenConnections("w")).To(Equal(3))
 		lent.Store(1)
-		Eventually(func() int { return d.Open("w") }).Should(Equal(1))
+		Eventually(func() int { return d.OpenConnections("w") }).Should(Equal(1))
 	})
 
 	It("closes an idle connection that does not answer a probe", func() {
@@ -159,18 +159,18 @@
 		DeferCleanup(server.Close)
 		DeferCleanup(func() { close(held) })
 		address := server.Listener.Addr().String()
-		d := start(dialer.Options{Silence: 40 * time.Millisecond})
+		d := start(dialer.Options{StallTimeout: 40 * time.Millisecond})
 		read(d.Send(backend(address), request("GET", address, "")))
-		Consistently(func() int { return d.Open("w") }, "100ms").Should(Equal(1))
+		Consistently(func() int { return d.OpenConnections("w") }, "100ms").Should(Equal(1))
 		silent.Store(true)
-		Eventually(func() int { return d.Open("w") }).Should(BeZero())
+		Eventually(func() int { return d.OpenConnections("w") }).Should(BeZero())
 	})
 
 	It("does not take the caller's own pause for silence", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) }))
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
-		d := start(dialer.Options{Silence: 30 * time.Millisecond})
+		d := start(dialer.Options{StallTimeout: 30 * time.Millisecond})
 		in, out := io.Pipe()
 		r, _ := http.NewRequest(http.MethodPost, "http://"+address+"/", in)
 		go func() {
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -17,9 +17,9 @@
 
 // attempt sends the request to the place and, for an idempotent request that
 // takes unusually long, to a second one. The first answer wins.
-func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Place, avoid map[string]bool) (*answer, error) {
+func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool) (*answer, error) {
 	avoid[place.Backend.Worker] = true
-	if f.Options.Hedge < 0 || !c.idempotent || c.body.source != nil {
+	if f.Options.HedgeRatio < 0 || !c.idempotent || c.body.source != nil {
 		return f.dispatch(ctx, c, place)
 	}
 	delay := f.delays.hedge(c.service)
@@ -29,10 +29,10 @@
 	return f.race(ctx, c, place, avoid, delay)
 }
 
-func (f *Forwarder) race(ctx context.Context, c *call, place *router.Place, avoid map[string]bool, delay time.Duration) (*answer, error) {
+func (f *Forwarder) race(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool, delay time.Duration) (*answer, error) {
 	ends := make(chan result, 2)
 	var cancels []context.CancelFunc
-	run := func(p *router.Place) {
+	run := func(p *router.Slot) {
 		number := len(cancels)
 		ctx, cancel := context.WithCancel(ctx)
 		cancels = append(cancels, cancel)
@@ -56,7 +56,7 @@
 		case r := <-ends:
 			running--
 			if r.err != nil && running > 0 {
-				sent = sent || classifier.Of(r.err) != classifier.NotRun
+				sent = sent || classifier.VerdictOf(r.err) != classifier.NotRun
 				continue
 			}
 			if r.err != nil {
@@ -73,15 +73,15 @@
 
 // second takes another place in the own region if one is free and the budget
 // allows it.
-func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Place {
-	if !f.hedges.Take() {
+func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Slot {
+	if !f.hedges.TryWithdraw() {
 		return nil
 	}
 	q := f.request(c, avoid)
-	q.Take = func(bool) (*router.Place, error) {
+	q.Take = func(bool) (*router.Slot, error) {
 		return f.Router.Take(f.table(), router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid})
 	}
-	place, err := f.Limiter.Try(q)
+	place, err := f.Limiter.TryAcquire(q)
 	if err != nil {
 		return nil
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-func (f *Forwarder) giveBack(c *call, place *router.Place) {
+func (f *Forwarder) giveBack(c *call, place *router.Slot) {
 	place.Release(router.Unknown)
 	f.Limiter.Release(c.service, 0)
 }
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -17,8 +17,8 @@
 // send makes attempts until one brings the head of an answer, or until the
 // verdict, the retry budget or the deadline forbids another.
 func (f *Forwarder) send(ctx context.Context, c *call) (*answer, error) {
-	f.retries.First()
-	f.hedges.First()
+	f.retries.Deposit()
+	f.hedges.Deposit()
 	tries := retrier.New()
 	avoid := make(map[string]bool)
 	sent := false
@@ -35,11 +35,11 @@
 		if err == nil {
 			return out, nil
 		}
-		again := retrier.May(err, c.idempotent) && c.body.isReplayable()
-		if !again || ctx.Err() != nil || !f.retries.Take() || !tries.Wait(ctx) {
+		again := retrier.IsRetryable(err, c.idempotent) && c.body.isReplayable()
+		if !again || ctx.Err() != nil || !f.retries.TryWithdraw() || !tries.Wait(ctx) {
 			return nil, withHistory(err, sent)
 		}
-		sent = sent || classifier.Of(err) != classifier.NotRun
+		sent = sent || classifier.VerdictOf(err) != classifier.NotRun
 		c.retries++
 	}
 }
@@ -58,7 +58,7 @@
 }
 
 // acquire waits for a place in the order of the limiter.
-func (f *Forwarder) acquire(ctx context.Context, c *call, avoid map[string]bool) (*router.Place, error) {
+func (f *Forwarder) acquire(ctx context.Context, c *call, avoid map[string]bool) (*router.Slot, error) {
 	start := time.Now()
 	place, err := f.Limiter.Acquire(ctx, f.request(c, avoid))
 	c.queued += time.Since(start)
@@ -68,33 +68,33 @@
 	return nil, admission(ctx, err)
 }
 
-func (f *Forwarder) request(c *call, avoid map[string]bool) limiter.Request[*router.Place] {
-	return limiter.Request[*router.Place]{
+func (f *Forwarder) request(c *call, avoid map[string]bool) limiter.Request[*router.Slot] {
+	return limiter.Request[*router.Slot]{
 		Service:  c.service,
 		Tenant:   c.tenant,
 		Class:    c.class,
 		Weight:   c.weight,
 		Deadline: c.ends,
-		Take:     func(late bool) (*router.Place, error) { return f.take(c, avoid, late) },
+		Take:     func(late bool) (*router.Slot, error) { return f.take(c, avoid, late) },
 	}
 }
 
 // take seeks a place in the own region, and in others if the request would
 // miss its deadline here.
-func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Place, error) {
+func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
 	table := f.table()
-	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, Afar: late}
+	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, CrossRegion: late}
 	q.Bytes = max(c.body.length, 0) + f.delays.bytes(c.service)
 	place, err := f.Router.Take(table, q)
-	if errors.Is(err, router.ErrNone) && !late {
-		q.Afar = true
+	if errors.Is(err, router.ErrNoBackend) && !late {
+		q.CrossRegion = true
 		place, err = f.Router.Take(table, q)
 	}
-	if errors.Is(err, router.ErrNone) && len(avoid) > 0 {
+	if errors.Is(err, router.ErrNoBackend) && len(avoid) > 0 {
 		clear(avoid)
 		place, err = f.Router.Take(table, q)
 	}
-	if errors.Is(err, router.ErrFull) {
+	if errors.Is(err, router.ErrNoSlot) {
 		return nil, limiter.ErrBusy
 	}
 	return place, err
@@ -111,12 +111,12 @@
 		out.Status = http.StatusGatewayTimeout
 		out.Code = "deadline"
 		out.Message = "the request ended while it waited"
-	case errors.Is(err, router.ErrUnknown):
+	case errors.Is(err, router.ErrUnknownService):
 		out.Status = http.StatusNotFound
 		out.Code = "service"
 		out.Field = "path"
 		out.Message = "unknown service"
-	case errors.Is(err, router.ErrLink):
+	case errors.Is(err, router.ErrLinkBudget):
 		out.Code = "link"
 		out.Message = "only other regions have room, and the link's budget is used up"
 	default:
@@ -127,7 +127,7 @@
 }
 
 // dispatch sends one attempt to one backend server.
-func (f *Forwarder) dispatch(ctx context.Context, c *call, place *router.Place) (*answer, error) {
+func (f *Forwarder) dispatch(ctx context.Context, c *call, place *router.Slot) (*answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	out := &answer{forwarder: f, call: c, place: place, cancel: cancel, start: time.Now()}
 	response, err := f.Dialer.Send(place.Backend, f.outgoing(ctx, c, place)) //nolint:bodyclose // answer.close does
@@ -154,7 +154,7 @@
 }
 
 // outgoing makes the request for the backend server.
-func (f *Forwarder) outgoing(ctx context.Context, c *call, place *router.Place) *http.Request {
+func (f *Forwarder) outgoing(ctx context.Context, c *call, place *router.Slot) *http.Request {
 	in := c.request
 	path, err := url.PathUnescape(c.path)
 	if err != nil {
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -25,7 +25,7 @@
 // Budget bounds retries to a share of first attempts, with a small reserve
 // for quiet times.
 type Budget struct {
-	Share   float64 // 0 to 1
+	Ratio   float64 // 0 to 1
 	Reserve float64 // most retries that can be saved up
 
 	lock   sync.Mutex
@@ -34,18 +34,18 @@
 
 // NewBudget returns a budget with a full reserve.
 func NewBudget(share, reserve float64) *Budget {
-	return &Budget{Share: share, Reserve: reserve, tokens: reserve}
+	return &Budget{Ratio: share, Reserve: reserve, tokens: reserve}
 }
 
-// First counts a first attempt.
-func (b *Budget) First() {
+// Deposit counts a first attempt.
+func (b *Budget) Deposit() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.tokens = min(b.tokens+b.Share, b.Reserve)
+	b.tokens = min(b.tokens+b.Ratio, b.Reserve)
 }
 
-// Take uses up one retry and reports whether there was one.
-func (b *Budget) Take() bool {
+// TryWithdraw uses up one retry and reports whether there was one.
+func (b *Budget) TryWithdraw() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if b.tokens < 1 {
@@ -81,9 +81,9 @@
 	return &Retrier{Attempts: 1, delay: delay}
 }
 
-// May reports whether the verdict of err allows another attempt.
-func May(err error, idempotent bool) bool {
-	switch classifier.Of(err) {
+// IsRetryable reports whether the verdict of err allows another attempt.
+func IsRetryable(err error, idempotent bool) bool {
+	switch classifier.VerdictOf(err) {
 	case classifier.NotRun:
 		return true
 	case classifier.MayHaveRun:
--- a/internal/traffic/retrier/retrier_test.go
+++ b/internal/traffic/retrier/retrier_test.go
@@ -21,9 +21,9 @@
 		first, retries := 0, 0
 		for _, isFirst := range rapid.SliceOf(rapid.Bool()).Draw(t, "order") {
 			if isFirst {
-				b.First()
+				b.Deposit()
 				first++
-			} else if b.Take() {
+			} else if b.TryWithdraw() {
 				retries++
 			}
 		}
@@ -40,11 +40,11 @@
 		classifier.Ran:        {false, false},
 	} {
 		err := &classifier.Error{Verdict: verdict}
-		if got := [2]bool{retrier.May(err, true), retrier.May(err, false)}; got != want {
+		if got := [2]bool{retrier.IsRetryable(err, true), retrier.IsRetryable(err, false)}; got != want {
 			t.Errorf("%s: %v", verdict, got)
 		}
 	}
-	if retrier.May(errors.New("unknown"), false) {
+	if retrier.IsRetryable(errors.New("unknown"), false) {
 		t.Error("an error without a verdict may have run")
 	}
 }
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -41,16 +41,16 @@
 	BeforeEach(func() {
 		c = &clock{now: time.Unix(1000, 0)}
 		r = router.New(router.Options{
-			Domain: "d", Region: "r", Seed: 7, Link: router.NewLink(1000), Now: func() time.Time { return c.now },
+			Domain: "d", Region: "r", Seed: 7, LinkBudget: router.NewLinkBudget(1000), Now: func() time.Time { return c.now },
 		}, &router.FixedShare{Hosts: 2})
 	})
-	take := func(t *describer.RoutingTable) *router.Place {
+	take := func(t *describer.RoutingTable) *router.Slot {
 		place, err := r.Take(t, q)
 		Expect(err).NotTo(HaveOccurred())
 		return place
 	}
 	// finish lets n requests end one after another and counts them by worker.
-	finish := func(t *describer.RoutingTable, n int, end func(p *router.Place)) map[string]int {
+	finish := func(t *describer.RoutingTable, n int, end func(p *router.Slot)) map[string]int {
 		out := make(map[string]int)
 		for range n {
 			place := take(t)
@@ -59,7 +59,7 @@
 		}
 		return out
 	}
-	answered := func(p *router.Place) { c.now = c.now.Add(time.Millisecond); p.Release(router.Answered) }
+	answered := func(p *router.Slot) { c.now = c.now.Add(time.Millisecond); p.Release(router.Answered) }
 
 	It("spreads requests evenly and stops at the slots lent", func() {
 		t := fleet(5, nil)
@@ -71,7 +71,7 @@
 			Expect(n).To(Equal(4))
 		}
 		_, err := r.Take(t, q)
-		Expect(err).To(MatchError(router.ErrFull))
+		Expect(err).To(MatchError(router.ErrNoSlot))
 	})
 
 	It("prefers the own failure domain, then the region", func() {
@@ -85,14 +85,14 @@
 	It("goes to another region only when allowed and within the budget", func() {
 		t := fleet(1, func(_ int, b *describer.Backend) { b.Region, b.Domain = "x", "x" })
 		_, err := r.Take(t, q)
-		Expect(err).To(MatchError(router.ErrNone))
-		far := router.Request{Service: "desk", Afar: true, Bytes: 600}
+		Expect(err).To(MatchError(router.ErrNoBackend))
+		far := router.Request{Service: "desk", CrossRegion: true, Bytes: 600}
 		place, err := r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(place.Afar).To(BeTrue())
-		r.Options.Link.Charge(600, c.now)
+		Expect(place.CrossRegion).To(BeTrue())
+		r.Options.LinkBudget.Charge(600, c.now)
 		_, err = r.Take(t, far)
-		Expect(err).To(MatchError(router.ErrLink))
+		Expect(err).To(MatchError(router.ErrLinkBudget))
 		c.now = c.now.Add(time.Second)
 		_, err = r.Take(t, far)
 		Expect(err).NotTo(HaveOccurred())
@@ -110,7 +110,7 @@
 
 	It("ejects a failing backend server, down to a floor, and starts it slowly again", func() {
 		t := fleet(10, nil)
-		fail := func(p *router.Place) {
+		fail := func(p *router.Slot) {
 			if p.Backend.Worker < "w005" {
 				p.Release(router.Failed)
 				return
@@ -120,11 +120,11 @@
 		finish(t, 400, fail)
 		used := finish(t, 400, answered)
 		Expect(used).To(HaveLen(7), "the floor of 0.7 keeps 7 of 10 in use")
-		c.now = c.now.Add(router.DefaultEject)
+		c.now = c.now.Add(router.DefaultEjection)
 		places := make(map[string]int)
 		for {
 			place, err := r.Take(t, q)
-			if errors.Is(err, router.ErrFull) {
+			if errors.Is(err, router.ErrNoSlot) {
 				break
 			}
 			places[place.Backend.Worker]++
@@ -141,7 +141,7 @@
 
 	It("ejects a backend server that is far slower than the others", func() {
 		t := fleet(8, nil)
-		finish(t, 400, func(p *router.Place) {
+		finish(t, 400, func(p *router.Slot) {
 			if p.Backend.Worker == "w003" {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
@@ -153,7 +153,7 @@
 	It("does not eject on few answers", func() {
 		t := fleet(8, nil)
 		n := 0
-		finish(t, 40, func(p *router.Place) {
+		finish(t, 40, func(p *router.Slot) {
 			if n++; p.Backend.Worker == "w003" && n > 20 {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
@@ -164,7 +164,7 @@
 
 	It("learns a lower limit from refusals and raises it again", func() {
 		t := fleet(1, nil)
-		first := []*router.Place{take(t), take(t), take(t)}
+		first := []*router.Slot{take(t), take(t), take(t)}
 		first[0].Release(router.Overloaded)
 		first[1].Release(router.Overloaded)
 		Expect(r.Capacity(t, "desk")).To(Equal(1))
