--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -147,9 +147,9 @@
 	Percent int
 }
 
-// HoldWorker renews the lease on everything that runs on a worker, and lists
+// PollWorker renews the lease on everything that runs on a worker, and lists
 // it. The answer is Held or HoldFailed.
-type HoldWorker struct {
+type PollWorker struct {
 	Worker   specifier.Worker
 	Observed int64         // ends up to this number are durable
 	Until    time.Duration // by the worker's clock: the lease; 0 before the first answer
@@ -191,7 +191,7 @@
 func (StartRun) effect()   {}
 func (StopRun) effect()    {}
 func (PaceRun) effect()    {}
-func (HoldWorker) effect() {}
+func (PollWorker) effect() {}
 func (Commit) effect()     {}
 func (Publish) effect()    {}
 func (Log) effect()        {}
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -165,7 +165,7 @@
 	return NoFault
 }
 
-func (m *fakeWorker) hold(token int64, e HoldWorker) (specifier.Inventory, Fault) {
+func (m *fakeWorker) hold(token int64, e PollWorker) (specifier.Inventory, Fault) {
 	if m.fenced(token) {
 		return specifier.Inventory{}, Fenced
 	}
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -50,7 +50,7 @@
 		}
 		for range 40 {
 			d.pass(250 * time.Millisecond)
-			for _, h := range taken[HoldWorker](d) {
+			for _, h := range taken[PollWorker](d) {
 				if h.Worker.ID == "w2" {
 					d.do(HoldFailed{Worker: "w2", Born: 1, Fault: Unknown})
 				}
@@ -187,7 +187,7 @@
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
 		for range 40 {
 			d.pass(250 * time.Millisecond)
-			for _, h := range taken[HoldWorker](d) {
+			for _, h := range taken[PollWorker](d) {
 				if h.Worker.ID == start.Worker.ID {
 					d.do(HoldFailed{Worker: h.Worker.ID, Born: 1, Fault: Unknown})
 				}
@@ -277,11 +277,11 @@
 
 	It("does not go on without the store for longer than a successor counts on", func() {
 		d := newDesk(queue, "w1")
-		taken[HoldWorker](d)
+		taken[PollWorker](d)
 		d.do(StoreReached{OK: false})
 		d.now = d.now.Add(worldOutage + time.Second)
 		d.do(Tick{}, JobArrived{Job: oneStep(1, nil)})
-		Expect(taken[HoldWorker](d)).To(BeEmpty())
+		Expect(taken[PollWorker](d)).To(BeEmpty())
 		Expect(taken[StartRun](d)).To(BeEmpty())
 	})
 })
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -269,7 +269,7 @@
 			return StopAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
 		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: Unknown})
 	case PaceRun:
-	case HoldWorker:
+	case PollWorker:
 		sent := w.now
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			inventory, fault := m.hold(o.token, e)
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -256,7 +256,7 @@
 		fault := o.m.workers.Pace(limited, token, e)
 		o.m.metrics.fault("pace", fault)
 		o.post(dispatcher.PaceAnswered{Worker: e.Worker.ID, Task: e.Task, Run: e.Run, Fault: fault})
-	case dispatcher.HoldWorker:
+	case dispatcher.PollWorker:
 		limited, cancel := context.WithTimeout(ctx, callTimeout+e.Wait)
 		defer cancel()
 		sent := time.Now()
