--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -28,7 +28,7 @@
 				d.do(StartAnswered{Worker: start.Worker.ID, Born: 1, Task: start.Task, Run: start.Run})
 				d.now = d.now.Add(50 * time.Millisecond)
 				numbers[start.Worker.ID]++
-				d.do(Held{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
+				d.do(PollAnswered{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
 					Born: 1, Clock: d.now.Sub(epoch),
 					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.Done}},
 				}})
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -181,7 +181,7 @@
 		s.arrive(e.Job)
 	case JobCancelled:
 		s.cancel(e.ID)
-	case Held:
+	case PollAnswered:
 		s.held(e)
 	case HoldFailed:
 		s.holdFailed(e)
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -32,8 +32,8 @@
 // JobCancelled delivers an accepted cancellation.
 type JobCancelled struct{ ID string }
 
-// Held is a worker's answer to HoldWorker.
-type Held struct {
+// PollAnswered is a worker's answer to HoldWorker.
+type PollAnswered struct {
 	Worker    string
 	Sent      time.Time // when the call began
 	Inventory specifier.Inventory
@@ -109,7 +109,7 @@
 func (JobLoaded) event()     {}
 func (JobArrived) event()    {}
 func (JobCancelled) event()  {}
-func (Held) event()          {}
+func (PollAnswered) event()          {}
 func (HoldFailed) event()    {}
 func (StartAnswered) event() {}
 func (StopAnswered) event()  {}
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -16,7 +16,7 @@
 )
 
 // held takes in a worker's inventory.
-func (s *Shard) held(e Held) {
+func (s *Shard) held(e PollAnswered) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
@@ -140,7 +140,7 @@
 }
 
 // takeActive compares the runs that a worker lists with those it should have.
-func (s *Shard) takeActive(w *worker, e Held) {
+func (s *Shard) takeActive(w *worker, e PollAnswered) {
 	listed := make(map[specifier.TaskID]int64, len(e.Inventory.Active))
 	for _, a := range e.Inventory.Active {
 		listed[a.Task] = a.Number
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -276,7 +276,7 @@
 			if fault != NoFault {
 				return HoldFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
 			}
-			return Held{Worker: m.id, Sent: sent, Inventory: inventory}
+			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
 		}, HoldFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: Unknown})
 	}
 }
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -266,7 +266,7 @@
 			o.m.metrics.holds.RecordDuration(time.Since(sent))
 		}
 		if fault == dispatcher.NoFault {
-			o.post(dispatcher.Held{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
+			o.post(dispatcher.PollAnswered{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
 			return
 		}
 		o.post(dispatcher.HoldFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: fault})
