--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -183,7 +183,7 @@
 		s.cancel(e.ID)
 	case PollAnswered:
 		s.held(e)
-	case HoldFailed:
+	case PollFailed:
 		s.holdFailed(e)
 	case StartAnswered:
 		s.startAnswered(e)
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -63,8 +63,8 @@
 	}[f]
 }
 
-// HoldFailed is the outcome of a HoldWorker without an inventory.
-type HoldFailed struct {
+// PollFailed is the outcome of a HoldWorker without an inventory.
+type PollFailed struct {
 	Worker string
 	Born   int64
 	Fault  Fault
@@ -110,7 +110,7 @@
 func (JobArrived) event()    {}
 func (JobCancelled) event()  {}
 func (PollAnswered) event()          {}
-func (HoldFailed) event()    {}
+func (PollFailed) event()    {}
 func (StartAnswered) event() {}
 func (StopAnswered) event()  {}
 func (PaceAnswered) event()  {}
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -274,7 +274,7 @@
 	return until
 }
 
-func (s *Shard) holdFailed(e HoldFailed) {
+func (s *Shard) holdFailed(e PollFailed) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -274,10 +274,10 @@
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			inventory, fault := m.hold(o.token, e)
 			if fault != NoFault {
-				return HoldFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
+				return PollFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
 			}
 			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
-		}, HoldFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: Unknown})
+		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: Unknown})
 	}
 }
 
