--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -19,7 +19,7 @@
 
 func newDesk(queue specifier.Queue, workers ...string) *desk {
 	d := &desk{Shard: New(Options{
-		Name: "desk", Service: "desk", Lease: worldLease, OutageLimit: worldOutage, HoldWait: time.Second,
+		Name: "desk", Service: "desk", Lease: worldLease, OutageLimit: worldOutage, PollWait: time.Second,
 	}, epoch)}
 	var list []specifier.Worker
 	for _, id := range workers {
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -69,7 +69,7 @@
 
 	Lease       time.Duration // granted to everything that runs on a worker with each renewal
 	OutageLimit time.Duration // how long an owner that can't reach the store goes on
-	HoldWait    time.Duration // how long a renewal waits at the worker for an end
+	PollWait    time.Duration // how long a renewal waits at the worker for an end
 	ClockError  time.Duration // by which the time of day may be off, ahead of a due time
 }
 
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -251,7 +251,7 @@
 		h.Until = s.until(w)
 	}
 	if w.synced && len(w.ends) == 0 && w.failing == 0 {
-		h.Wait = s.options.HoldWait
+		h.Wait = s.options.PollWait
 		if w.tail > watchedTail && w.used.filler > 0 {
 			h.Wait = paceInterval
 		}
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -164,7 +164,7 @@
 	o.shard = New(Options{
 		Name: "desk", Service: "desk", Epoch: w.epoch, Workers: slices.Clone(w.used),
 		Released: w.released, Leftovers: w.left,
-		Lease: worldLease, OutageLimit: worldOutage, HoldWait: 500 * time.Millisecond,
+		Lease: worldLease, OutageLimit: worldOutage, PollWait: 500 * time.Millisecond,
 	}, w.now)
 	w.epoch++
 	w.released, w.left = false, nil
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -50,7 +50,7 @@
 		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, Leftovers: fence.Leftovers,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
-		HoldWait:    holdWait,
+		PollWait:    holdWait,
 		ClockError:  m.options.ClockError,
 	}, time.Now())
 	return o
