--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -69,7 +69,7 @@
 	Start(ctx context.Context, token int64, order dispatcher.StartRun) dispatcher.Fault
 	Stop(ctx context.Context, token int64, order dispatcher.StopRun) dispatcher.Fault
 	Pace(ctx context.Context, token int64, order dispatcher.PaceRun) dispatcher.Fault
-	Hold(ctx context.Context, token int64, order dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault)
+	Poll(ctx context.Context, token int64, order dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault)
 }
 
 // Adviser knows which workers may run a step.
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -123,7 +123,7 @@
 	return dispatcher.NoFault
 }
 
-func (f *fleet) Hold(ctx context.Context, token int64, o dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault) {
+func (f *fleet) Poll(ctx context.Context, token int64, o dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault) {
 	if !f.reaches(ctx, o.Worker.ID, token) {
 		return specifier.Inventory{}, dispatcher.Unknown
 	}
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -260,7 +260,7 @@
 		limited, cancel := context.WithTimeout(ctx, callTimeout+e.Wait)
 		defer cancel()
 		sent := time.Now()
-		inventory, fault := o.m.workers.Hold(limited, token, e)
+		inventory, fault := o.m.workers.Poll(limited, token, e)
 		o.m.metrics.fault("hold", fault)
 		if e.Wait == 0 {
 			o.m.metrics.holds.RecordDuration(time.Since(sent))
