--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -45,7 +45,7 @@
 // Faults.
 const (
 	NoFault   Fault = iota
-	Unknown         // no answer: the order may have been carried out, or may be yet
+	OutcomeUnknown         // no answer: the order may have been carried out, or may be yet
 	Fenced          // a higher token was seen there
 	Stale           // the run is not higher than one that ended there
 	Late            // the lease had ended
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -286,7 +286,7 @@
 		Message: "start not done", Task: e.Task.String(), Job: e.Task.Job, Worker: e.Worker, Run: e.Run,
 		Reason: e.Fault.String(), Age: s.now.Sub(r.ordered),
 	})
-	if e.Fault == Unknown {
+	if e.Fault == OutcomeUnknown {
 		r.phase = unsettled
 		r.settled = s.now
 		return
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -263,11 +263,11 @@
 	case StartRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			return StartAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
-		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: Unknown})
+		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			return StopAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
-		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: Unknown})
+		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
 	case PollWorker:
 		sent := w.now
@@ -277,7 +277,7 @@
 				return PollFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
 			}
 			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
-		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: Unknown})
+		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: OutcomeUnknown})
 	}
 }
 
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -81,7 +81,7 @@
 
 func (f *fleet) Start(ctx context.Context, token int64, o dispatcher.StartRun) dispatcher.Fault {
 	if !f.reaches(ctx, o.Worker.ID, token) {
-		return dispatcher.Unknown
+		return dispatcher.OutcomeUnknown
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +125,7 @@
 
 func (f *fleet) Poll(ctx context.Context, token int64, o dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault) {
 	if !f.reaches(ctx, o.Worker.ID, token) {
-		return specifier.Inventory{}, dispatcher.Unknown
+		return specifier.Inventory{}, dispatcher.OutcomeUnknown
 	}
 	time.Sleep(50 * time.Millisecond)
 	f.mu.Lock()
