--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -47,7 +47,7 @@
 	NoFault   Fault = iota
 	OutcomeUnknown         // no answer: the order may have been carried out, or may be yet
 	Fenced          // a higher token was seen there
-	Stale           // the run is not higher than one that ended there
+	StaleRun           // the run is not higher than one that ended there
 	Late            // the lease had ended
 	NoRoom          // the worker has no room
 	NoTicket        // the ticket is not valid
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -101,10 +101,10 @@
 		if r.number == e.Run {
 			return NoFault
 		}
-		return Stale
+		return StaleRun
 	}
 	if e.Run <= m.highest[e.Task] {
-		return Stale
+		return StaleRun
 	}
 	step := &w.store[e.Task.Job].job.Steps[e.Task.Step]
 	w.note("%s starts %s run %d", m.id, e.Task, e.Run)
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -305,7 +305,7 @@
 	if r == nil {
 		return
 	}
-	if e.Fault == NoFault || e.Fault == Stale {
+	if e.Fault == NoFault || e.Fault == StaleRun {
 		r.settled = s.now
 	}
 }
