--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -48,7 +48,7 @@
 	OutcomeUnknown         // no answer: the order may have been carried out, or may be yet
 	Fenced          // a higher token was seen there
 	StaleRun           // the run is not higher than one that ended there
-	Late            // the lease had ended
+	LeaseExpired            // the lease had ended
 	NoRoom          // the worker has no room
 	NoTicket        // the ticket is not valid
 	Invalid         // the worker could not read the order
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -94,7 +94,7 @@
 		return Fenced
 	}
 	if e.Until <= m.clock() {
-		return Late
+		return LeaseExpired
 	}
 	m.extend(e.Until)
 	if r := m.runs[e.Task]; r != nil {
