--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -50,7 +50,7 @@
 	StaleRun           // the run is not higher than one that ended there
 	LeaseExpired            // the lease had ended
 	NoRoom          // the worker has no room
-	NoTicket        // the ticket is not valid
+	InvalidTicket        // the ticket is not valid
 	Invalid         // the worker could not read the order
 	Unhealthy       // refused by an unhealthy worker; nothing was done
 	Reborn          // another life answers at the address
