--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -51,7 +51,7 @@
 	LeaseExpired            // the lease had ended
 	NoRoom          // the worker has no room
 	InvalidTicket        // the ticket is not valid
-	Invalid         // the worker could not read the order
+	InvalidOrder         // the worker could not read the order
 	Unhealthy       // refused by an unhealthy worker; nothing was done
 	Reborn          // another life answers at the address
 	Unsent          // nothing reached the worker
