--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -53,7 +53,7 @@
 	InvalidTicket        // the ticket is not valid
 	InvalidOrder         // the worker could not read the order
 	Unhealthy       // refused by an unhealthy worker; nothing was done
-	Reborn          // another life answers at the address
+	WorkerRestarted          // another life answers at the address
 	Unsent          // nothing reached the worker
 )
 
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -295,7 +295,7 @@
 	r.task.later = s.now.Add(orderRetry)
 	w.avoided = s.now.Add(refusedWait)
 	s.drop(r)
-	if e.Fault == Reborn {
+	if e.Fault == WorkerRestarted {
 		w.synced = false
 	}
 }
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -285,7 +285,7 @@
 	switch e.Fault {
 	case Fenced:
 		s.resign(w)
-	case Reborn:
+	case WorkerRestarted:
 		// The registration tells the time of birth; until then nothing is known.
 		w.synced = false
 	}
