--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -54,7 +54,7 @@
 	InvalidOrder         // the worker could not read the order
 	Unhealthy       // refused by an unhealthy worker; nothing was done
 	WorkerRestarted          // another life answers at the address
-	Unsent          // nothing reached the worker
+	NotSent          // nothing reached the worker
 )
 
 func (f Fault) String() string {
