--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -173,7 +173,7 @@
 		r.moved = s.now
 	}
 	r.percent = a.Percent
-	r.figure = a.Figure
+	r.figure = a.Metric
 	if r.task != nil && a.Checkpoint != "" {
 		r.task.checkpoint = a.Checkpoint
 	}
@@ -195,7 +195,7 @@
 // has no use for it.
 func (s *Shard) adopt(w *worker, a specifier.Run) {
 	t := s.find(a.Task)
-	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.Percent, figure: a.Figure, pace: unknownPace}
+	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.Percent, figure: a.Metric, pace: unknownPace}
 	if t != nil {
 		r.needs = t.step.needs
 		t.number = max(t.number, a.Number)
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -56,7 +56,7 @@
 	Number     int64
 	Checkpoint string
 	Percent    int     // of the work that is done; of a lasting task 100 when it is at work
-	Figure     float64 // last half second: tail latency in ms of a task with a target, otherwise CPU in use, in thousandths of a core
+	Metric     float64 // last half second: tail latency in ms of a task with a target, otherwise CPU in use, in thousandths of a core
 }
 
 // End is a run that has ended. Numbers rise within one life of the worker.
