--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -176,7 +176,7 @@
 	}
 	inventory := specifier.Inventory{Born: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
 	for _, id := range sortedFake(m.runs) {
-		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, Percent: m.percent(m.runs[id])})
+		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.percent(m.runs[id])})
 	}
 	return inventory, NoFault
 }
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -169,10 +169,10 @@
 	if r.phase == starting || r.phase == unsettled {
 		s.begin(r)
 	}
-	if r.percent != a.Percent {
+	if r.percent != a.ProgressPercent {
 		r.moved = s.now
 	}
-	r.percent = a.Percent
+	r.percent = a.ProgressPercent
 	r.figure = a.Metric
 	if r.task != nil && a.Checkpoint != "" {
 		r.task.checkpoint = a.Checkpoint
@@ -195,7 +195,7 @@
 // has no use for it.
 func (s *Shard) adopt(w *worker, a specifier.Run) {
 	t := s.find(a.Task)
-	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.Percent, figure: a.Metric, pace: unknownPace}
+	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.ProgressPercent, figure: a.Metric, pace: unknownPace}
 	if t != nil {
 		r.needs = t.step.needs
 		t.number = max(t.number, a.Number)
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -139,7 +139,7 @@
 	}
 	out := specifier.Inventory{Born: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
 	for _, r := range f.active[id] {
-		r.Percent = int(time.Since(f.start) / time.Millisecond) // it makes progress
+		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // it makes progress
 		out.Active = append(out.Active, r)
 	}
 	return out, dispatcher.NoFault
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -55,7 +55,7 @@
 	Task       TaskID
 	Number     int64
 	Checkpoint string
-	Percent    int     // of the work that is done; of a lasting task 100 when it is at work
+	ProgressPercent    int     // of the work that is done; of a lasting task 100 when it is at work
 	Metric     float64 // last half second: tail latency in ms of a task with a target, otherwise CPU in use, in thousandths of a core
 }
 
