--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -59,7 +59,7 @@
 // ticketFor returns a ticket that is valid on the worker.
 func (st *step) ticketFor(w *worker, now time.Time) (string, bool) {
 	v := st.advice.verdict[w.reg.ID]
-	if !v.allowed || v.born != w.reg.Born || !now.Before(v.expires) {
+	if !v.allowed || v.born != w.reg.Incarnation || !now.Before(v.expires) {
 		return "", false
 	}
 	return v.ticket, true
@@ -123,7 +123,7 @@
 		st.advice.verdict = make(map[string]verdict)
 	}
 	for _, w := range e.Asked {
-		v := verdict{born: w.Born}
+		v := verdict{born: w.Incarnation}
 		for _, t := range e.Tickets {
 			if t.Worker == w.ID {
 				v.allowed, v.ticket = true, t.Text
--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -24,7 +24,7 @@
 	var list []specifier.Worker
 	for _, id := range workers {
 		list = append(list, specifier.Worker{
-			ID: id, Born: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
+			ID: id, Incarnation: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
 		})
 	}
 	d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -53,7 +53,7 @@
 
 func (m *fakeWorker) registration() specifier.Worker {
 	return specifier.Worker{
-		ID: m.id, Born: m.born, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
+		ID: m.id, Incarnation: m.born, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
 		Capacity: describer.Resources{CPU: workerCPU, Memory: 10000},
 	}
 }
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -22,11 +22,11 @@
 		return
 	}
 	w.holding = false
-	if e.Inventory.Born > w.reg.Born {
+	if e.Inventory.Born > w.reg.Incarnation {
 		s.rebirth(w, e.Inventory.Born)
 		w.holding = false
 	}
-	if e.Inventory.Born != 0 && e.Inventory.Born < w.reg.Born {
+	if e.Inventory.Born != 0 && e.Inventory.Born < w.reg.Incarnation {
 		return
 	}
 	if w.failing > 0 {
@@ -267,7 +267,7 @@
 		return nil
 	}
 	r := w.runs[e.Task]
-	if r == nil || r.number != e.Run || r.phase != phase || e.Born != w.reg.Born {
+	if r == nil || r.number != e.Run || r.phase != phase || e.Born != w.reg.Incarnation {
 		return nil
 	}
 	return r
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -18,7 +18,7 @@
 	It("starts nothing on a worker before a commit names it", func() {
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage}, epoch)
 		effects := s.Reduce(epoch, Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		held := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}}
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1"}))))
 		effects = s.Reduce(epoch.Add(time.Second), held, JobArrived{Job: oneStep(1, nil)})
@@ -32,7 +32,7 @@
 		d := &desk{Shard: s}
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
 		d.pass(time.Second)
 		Expect(taken[StartRun](d)).To(BeEmpty())
@@ -94,7 +94,7 @@
 		d := &desk{Shard: s}
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
 		d.pass(lapse)
 		Expect(taken[StartRun](d)).To(BeEmpty())
@@ -116,7 +116,7 @@
 		job := oneStep(1, nil)
 		job.Steps = append(job.Steps, specifier.Step{Count: 1, Needs: resources(1000), Estimate: time.Second, After: []int{0}})
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
 			Born: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
 		}})
@@ -138,7 +138,7 @@
 		d := &desk{Shard: s}
 		room := describer.Resources{CPU: 4000, Memory: 1000}
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: room}, {ID: "w2", Born: 1, Capacity: room}, {ID: "w3", Born: 1, Capacity: room}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: room}, {ID: "w2", Incarnation: 1, Capacity: room}, {ID: "w3", Incarnation: 1, Capacity: room}}})
 		d.do(PollAnswered{Worker: "w3", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
 		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{
 			Born: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 2}},
@@ -221,7 +221,7 @@
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: 3 * worldOutage, Epoch: 1, Released: true, Leftovers: []recorder.Leftover{{Worker: "gone"}}}, epoch)
 		d := &desk{Shard: s}
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
-			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Born: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
+			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.now = d.now.Add(2 * time.Second)
 		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -110,15 +110,15 @@
 		s.hold(w)
 		return
 	}
-	if reg.Born > w.reg.Born {
-		s.rebirth(w, reg.Born)
+	if reg.Incarnation > w.reg.Incarnation {
+		s.rebirth(w, reg.Incarnation)
 	}
 	if reg.Draining && !w.reg.Draining {
 		s.emit(Log{Message: "worker drains", Worker: reg.ID})
 	}
-	born := w.reg.Born
+	born := w.reg.Incarnation
 	w.reg = reg
-	w.reg.Born = max(born, reg.Born)
+	w.reg.Incarnation = max(born, reg.Incarnation)
 	w.rack = reg.Rack()
 	w.missing = time.Time{}
 }
@@ -145,7 +145,7 @@
 func (s *Shard) rebirth(w *worker, born int64) {
 	s.emit(Log{Message: "worker born again", Worker: w.reg.ID})
 	s.dropRuns(w)
-	w.reg.Born = born
+	w.reg.Incarnation = born
 	w.synced, w.answered, w.clock, w.lapsed = false, time.Time{}, 0, time.Time{}
 	w.seen, w.observed, w.ends = 0, 0, nil
 	w.faults, w.avoided, w.tail = 0, time.Time{}, 0
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -262,22 +262,22 @@
 		w.after(w.delay(), func() { o.commit(e) })
 	case StartRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StartAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
-		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
+			return StartAnswered{Worker: m.id, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
+		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StopAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
-		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
+			return StopAnswered{Worker: m.id, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
+		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
 	case PollWorker:
 		sent := w.now
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			inventory, fault := m.hold(o.token, e)
 			if fault != NoFault {
-				return PollFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
+				return PollFailed{Worker: m.id, Born: e.Worker.Incarnation, Fault: fault}
 			}
 			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
-		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: OutcomeUnknown})
+		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Fault: OutcomeUnknown})
 	}
 }
 
@@ -290,21 +290,21 @@
 	switch {
 	case roll < w.late:
 		w.after(time.Duration(2000+w.random.IntN(10000))*time.Millisecond, func() {
-			if m.isUp() && m.born == reg.Born {
+			if m.isUp() && m.born == reg.Incarnation {
 				do(m)
 			}
 		})
 		w.after(timeout, func() { o.post(lost) })
 	case roll < w.late+w.lose:
 		w.after(w.delay(), func() {
-			if m.isUp() && !o.cut[m] && m.born == reg.Born {
+			if m.isUp() && !o.cut[m] && m.born == reg.Incarnation {
 				do(m)
 			}
 		})
 		w.after(timeout, func() { o.post(lost) })
 	default:
 		w.after(w.delay(), func() {
-			if !m.isUp() || o.cut[m] || m.born != reg.Born {
+			if !m.isUp() || o.cut[m] || m.born != reg.Incarnation {
 				w.after(timeout, func() { o.post(lost) })
 				return
 			}
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -53,7 +53,7 @@
 	var out []specifier.Worker
 	for _, id := range f.ids {
 		out = append(out, specifier.Worker{
-			ID: id, Born: 1, Service: "desk", Domain: cmp.Or(f.domain[id], "bne"), Address: id, Capacity: describer.Resources{CPU: 4000, Memory: 1000},
+			ID: id, Incarnation: 1, Service: "desk", Domain: cmp.Or(f.domain[id], "bne"), Address: id, Capacity: describer.Resources{CPU: 4000, Memory: 1000},
 		})
 	}
 	return out, nil
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -243,13 +243,13 @@
 		fault := o.m.workers.Start(limited, token, e)
 		o.m.metrics.starts.RecordDuration(time.Since(began))
 		o.m.metrics.fault("start", fault)
-		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.StopRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		fault := o.m.workers.Stop(limited, token, e)
 		o.m.metrics.fault("stop", fault)
-		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.PaceRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
@@ -269,7 +269,7 @@
 			o.post(dispatcher.PollAnswered{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
 			return
 		}
-		o.post(dispatcher.PollFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: fault})
+		o.post(dispatcher.PollFailed{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Fault: fault})
 	}
 }
 
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -11,7 +11,7 @@
 // Worker is one life of a host that runs tasks, as it registered itself.
 type Worker struct {
 	ID       string
-	Born     int64 // start of this life, Unix milliseconds; an id may be born again
+	Incarnation     int64 // start of this life, Unix milliseconds; an id may be born again
 	Address  string
 	Domain   string // failure domain
 	Service  string
