--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -29,7 +29,7 @@
 	}
 	d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
 	for _, id := range workers {
-		d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 	}
 	d.pass(100 * time.Millisecond)
 	return d
@@ -105,7 +105,7 @@
 		d.pass(time.Second)
 		d.do(StartAnswered{Worker: "w1", Born: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
 		d.pass(time.Second)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		Expect(taken[AskAdvice](d)).To(HaveLen(1))
 	})
--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -29,7 +29,7 @@
 				d.now = d.now.Add(50 * time.Millisecond)
 				numbers[start.Worker.ID]++
 				d.do(PollAnswered{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
-					Born: 1, Clock: d.now.Sub(epoch),
+					Incarnation: 1, Clock: d.now.Sub(epoch),
 					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.Done}},
 				}})
 				d.do(StoreReached{OK: true})
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -174,7 +174,7 @@
 		m.world.noteEnd(m.ends[0])
 		m.ends = m.ends[1:]
 	}
-	inventory := specifier.Inventory{Born: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
+	inventory := specifier.Inventory{Incarnation: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
 	for _, id := range sortedFake(m.runs) {
 		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.percent(m.runs[id])})
 	}
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -22,11 +22,11 @@
 		return
 	}
 	w.holding = false
-	if e.Inventory.Born > w.reg.Incarnation {
-		s.rebirth(w, e.Inventory.Born)
+	if e.Inventory.Incarnation > w.reg.Incarnation {
+		s.rebirth(w, e.Inventory.Incarnation)
 		w.holding = false
 	}
-	if e.Inventory.Born != 0 && e.Inventory.Born < w.reg.Incarnation {
+	if e.Inventory.Incarnation != 0 && e.Inventory.Incarnation < w.reg.Incarnation {
 		return
 	}
 	if w.failing > 0 {
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -19,7 +19,7 @@
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage}, epoch)
 		effects := s.Reduce(epoch, Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		held := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}}
+		held := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}}
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1"}))))
 		effects = s.Reduce(epoch.Add(time.Second), held, JobArrived{Job: oneStep(1, nil)})
 		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})))
@@ -33,11 +33,11 @@
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		d.pass(time.Second)
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.pass(worldOutage + 2*worldLease)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		starts := taken[StartRun](d)
 		Expect(starts).To(HaveLen(1))
 		Expect(starts[0].Run).To(Equal(int64(runsOfEpoch + 1)))
@@ -46,7 +46,7 @@
 	It("does not name a silent worker once its leases have lapsed", func() {
 		d := newDesk(queue, "w1", "w2")
 		answers := func(id string) {
-			d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: d.now.Sub(epoch)}})
+			d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		}
 		for range 40 {
 			d.pass(250 * time.Millisecond)
@@ -70,7 +70,7 @@
 		second := oneStep(1, nil)
 		second.ID = "0000000000000001"
 		effects := d.Reduce(d.now.Add(100*time.Millisecond), JobArrived{Job: second},
-			PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: d.now.Sub(epoch)}})
+			PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})), "no commit names it any more")
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1", "w2"}))))
 		effects = d.Reduce(d.now, Committed{Batch: d.Shard.batch})
@@ -80,7 +80,7 @@
 	It("waits for a predecessor that stopped as planned only until its leases have lapsed", func() {
 		before := newDesk(queue, "w1", "gone")
 		before.pass(time.Second)
-		before.do(PollAnswered{Worker: "w1", Sent: before.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute}})
+		before.do(PollAnswered{Worker: "w1", Sent: before.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		left := before.Leftovers(before.now)
 		Expect(left).To(HaveLen(2))
 		Expect(left[0].Worker).To(Equal("gone"))
@@ -95,7 +95,7 @@
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		d.pass(lapse)
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.pass(time.Millisecond)
@@ -118,17 +118,17 @@
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
-			Born: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
+			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
 		}})
 		d.pass(time.Second)
 		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.Stopped}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		again := taken[StartRun](d)
 		Expect(again).To(HaveLen(1), "its only run is known")
 		d.do(StartAnswered{Worker: "w1", Born: 1, Task: first, Run: again[0].Run})
 		d.pass(time.Second)
 		end = specifier.End{Number: 2, Task: first, Run: again[0].Run, Outcome: specifier.Done}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
 		Expect(taken[StartRun](d)).To(HaveLen(1), "nobody can have started the step after it")
 	})
 
@@ -139,13 +139,13 @@
 		room := describer.Resources{CPU: 4000, Memory: 1000}
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: room}, {ID: "w2", Incarnation: 1, Capacity: room}, {ID: "w3", Incarnation: 1, Capacity: room}}})
-		d.do(PollAnswered{Worker: "w3", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(PollAnswered{Worker: "w3", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{
-			Born: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 2}},
+			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 2}},
 		}})
 		d.pass(time.Second)
 		failed := func(number, run int64) specifier.Inventory {
-			return specifier.Inventory{Born: 1, Clock: 2 * time.Minute, Ended: []specifier.End{
+			return specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{
 				{Number: number, Task: first, Run: run, Outcome: specifier.Faulty},
 			}}
 		}
@@ -161,7 +161,7 @@
 		d := newDesk(queue, "w1")
 		d.do(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.Task{{Failed: []int64{1}}}}})
 		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.Faulty}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		Expect(d.jobs).To(HaveKey(first.Job))
 		Expect(d.jobs[first.Job].final).To(BeEmpty())
 	})
@@ -169,13 +169,13 @@
 	It("closes a worker that has runs of unknown needs", func() {
 		d := newDesk(queue, "w1")
 		strange := specifier.Run{Task: specifier.TaskID{Job: "0000000000000000"}, Number: 1}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute, Active: []specifier.Run{strange}}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Active: []specifier.Run{strange}}})
 		Expect(taken[StopRun](d)).To(HaveLen(1))
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.do(StopAnswered{Worker: "w1", Born: 1, Task: strange.Task, Run: 1})
 		d.now = d.now.Add(time.Second)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		Expect(taken[StartRun](d)).To(HaveLen(1))
 	})
 
@@ -192,7 +192,7 @@
 					d.do(PollFailed{Worker: h.Worker.ID, Born: 1, Fault: OutcomeUnknown})
 				}
 			}
-			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: d.now.Sub(epoch)}})
+			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		}
 		again := taken[StartRun](d)
 		Expect(again).To(HaveLen(1))
@@ -210,7 +210,7 @@
 		for range 28 { // 7 s, less than worldOutage
 			d.now = d.now.Add(250 * time.Millisecond)
 			d.do(Tick{}, PollFailed{Worker: start.Worker.ID, Born: 1, Fault: OutcomeUnknown})
-			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: d.now.Sub(epoch)}})
+			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		}
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.do(StoreReached{OK: true}, Tick{})
@@ -223,7 +223,7 @@
 		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.now = d.now.Add(2 * time.Second)
-		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.do(StoreReached{OK: true}, Tick{})
 		Expect(taken[StartRun](d)).To(HaveLen(1))
@@ -242,7 +242,7 @@
 		}
 		d.now = d.now.Add(time.Second)
 		d.do(PollAnswered{Worker: starts[0].Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
-			Born: 1, Clock: 2 * time.Minute,
+			Incarnation: 1, Clock: 2 * time.Minute,
 			Ended: []specifier.End{{Number: 1, Task: starts[0].Task, Run: 1, Outcome: specifier.Faulty}},
 		}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
@@ -257,7 +257,7 @@
 		for range 8 {
 			d.now = d.now.Add(time.Second)
 			d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
-				Born: 1, Clock: d.now.Sub(epoch),
+				Incarnation: 1, Clock: d.now.Sub(epoch),
 			}})
 			d.suspect(d.workers["w1"])
 		}
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -137,7 +137,7 @@
 	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Observed {
 		f.ended[id] = f.ended[id][1:]
 	}
-	out := specifier.Inventory{Born: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
+	out := specifier.Inventory{Incarnation: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
 	for _, r := range f.active[id] {
 		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // it makes progress
 		out.Active = append(out.Active, r)
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -71,7 +71,7 @@
 // Inventory is what a worker lists: its runs, and the ends that were not yet
 // acknowledged.
 type Inventory struct {
-	Born   int64
+	Incarnation   int64
 	Clock  time.Duration // worker's steady clock
 	Active []Run
 	Ended  []End
