--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -129,7 +129,7 @@
 	}
 	outcome := specifier.Done
 	if m.world.random.Float64() < m.world.faulty {
-		outcome = specifier.Faulty
+		outcome = specifier.OutcomeFailed
 	}
 	m.end(id, outcome)
 }
@@ -206,7 +206,7 @@
 	switch end.Outcome {
 	case specifier.Done:
 		w.rules.noted[end.Task] = true
-	case specifier.Faulty:
+	case specifier.OutcomeFailed:
 		w.rules.failed[end.Task]++
 	}
 }
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -96,7 +96,7 @@
 		}
 		s.completeAll(w, t)
 		return true
-	case specifier.Faulty:
+	case specifier.OutcomeFailed:
 		s.suspect(w)
 		s.fail(t, w, end.Run)
 		return true
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -146,7 +146,7 @@
 		d.pass(time.Second)
 		failed := func(number, run int64) specifier.Inventory {
 			return specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{
-				{Number: number, Task: first, Run: run, Outcome: specifier.Faulty},
+				{Number: number, Task: first, Run: run, Outcome: specifier.OutcomeFailed},
 			}}
 		}
 		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: failed(1, 2)})
@@ -160,7 +160,7 @@
 	It("counts a failure once, also when its end is listed again", func() {
 		d := newDesk(queue, "w1")
 		d.do(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.Task{{Failed: []int64{1}}}}})
-		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.Faulty}
+		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.OutcomeFailed}
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		Expect(d.jobs).To(HaveKey(first.Job))
 		Expect(d.jobs[first.Job].final).To(BeEmpty())
@@ -243,7 +243,7 @@
 		d.now = d.now.Add(time.Second)
 		d.do(PollAnswered{Worker: starts[0].Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
 			Incarnation: 1, Clock: 2 * time.Minute,
-			Ended: []specifier.End{{Number: 1, Task: starts[0].Task, Run: 1, Outcome: specifier.Faulty}},
+			Ended: []specifier.End{{Number: 1, Task: starts[0].Task, Run: 1, Outcome: specifier.OutcomeFailed}},
 		}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		d.pass(elsewhereWait)
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -43,7 +43,7 @@
 // Outcomes of runs.
 const (
 	Done    Outcome = "done"
-	Faulty  Outcome = "failed"  // by its own fault or the worker's
+	OutcomeFailed  Outcome = "failed"  // by its own fault or the worker's
 	Stopped Outcome = "stopped" // on our order
 	Lapsed  Outcome = "lapsed"  // its lease ended
 	Broken  Outcome = "broken"  // another member of its gang ended
