--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -30,7 +30,7 @@
 				numbers[start.Worker.ID]++
 				d.do(PollAnswered{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
 					Incarnation: 1, Clock: d.now.Sub(epoch),
-					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.Done}},
+					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.OutcomeDone}},
 				}})
 				d.do(StoreReached{OK: true})
 				d.effects = d.effects[:0]
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -127,7 +127,7 @@
 		m.world.after(time.Second, func() { m.work(id, r) })
 		return
 	}
-	outcome := specifier.Done
+	outcome := specifier.OutcomeDone
 	if m.world.random.Float64() < m.world.faulty {
 		outcome = specifier.OutcomeFailed
 	}
@@ -141,7 +141,7 @@
 	m.last++
 	m.world.note("%s ends %s run %d: %s", m.id, id, r.number, outcome)
 	m.ends = append(m.ends, specifier.End{Number: m.last, Task: id, Run: r.number, Outcome: outcome})
-	if outcome == specifier.Done {
+	if outcome == specifier.OutcomeDone {
 		m.world.rules.done[id] = true
 	}
 }
@@ -204,7 +204,7 @@
 // noteEnd takes in that an end was acknowledged.
 func (w *world) noteEnd(end specifier.End) {
 	switch end.Outcome {
-	case specifier.Done:
+	case specifier.OutcomeDone:
 		w.rules.noted[end.Task] = true
 	case specifier.OutcomeFailed:
 		w.rules.failed[end.Task]++
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -89,7 +89,7 @@
 // the change has to be durable before the end is acknowledged.
 func (s *Shard) applyEnd(w *worker, t *task, end specifier.End) bool {
 	switch end.Outcome {
-	case specifier.Done:
+	case specifier.OutcomeDone:
 		w.faults = 0
 		if t.step.spec.Lasting {
 			return false
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -127,7 +127,7 @@
 		Expect(again).To(HaveLen(1), "its only run is known")
 		d.do(StartAnswered{Worker: "w1", Born: 1, Task: first, Run: again[0].Run})
 		d.pass(time.Second)
-		end = specifier.End{Number: 2, Task: first, Run: again[0].Run, Outcome: specifier.Done}
+		end = specifier.End{Number: 2, Task: first, Run: again[0].Run, Outcome: specifier.OutcomeDone}
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
 		Expect(taken[StartRun](d)).To(HaveLen(1), "nobody can have started the step after it")
 	})
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -94,7 +94,7 @@
 	time.AfterFunc(f.took, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.end(id, o.Task, specifier.Done)
+		f.end(id, o.Task, specifier.OutcomeDone)
 	})
 	return dispatcher.NoFault
 }
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -42,7 +42,7 @@
 
 // Outcomes of runs.
 const (
-	Done    Outcome = "done"
+	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"  // by its own fault or the worker's
 	Stopped Outcome = "stopped" // on our order
 	Lapsed  Outcome = "lapsed"  // its lease ended
