--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -159,7 +159,7 @@
 	born := m.born
 	m.world.after(time.Duration(m.world.random.IntN(int(worldStop))), func() {
 		if m.born == born && m.runs[id] == r {
-			m.end(id, specifier.Stopped)
+			m.end(id, specifier.OutcomeStopped)
 		}
 	})
 	return NoFault
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -121,7 +121,7 @@
 			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
 		}})
 		d.pass(time.Second)
-		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.Stopped}
+		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.OutcomeStopped}
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		again := taken[StartRun](d)
 		Expect(again).To(HaveLen(1), "its only run is known")
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -115,7 +115,7 @@
 	if f.fenced(o.Worker.ID, token) {
 		return dispatcher.Fenced
 	}
-	f.end(o.Worker.ID, o.Task, specifier.Stopped)
+	f.end(o.Worker.ID, o.Task, specifier.OutcomeStopped)
 	return dispatcher.NoFault
 }
 
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -44,7 +44,7 @@
 const (
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"  // by its own fault or the worker's
-	Stopped Outcome = "stopped" // on our order
+	OutcomeStopped Outcome = "stopped" // on our order
 	Lapsed  Outcome = "lapsed"  // its lease ended
 	Broken  Outcome = "broken"  // another member of its gang ended
 	Alone   Outcome = "alone"   // the other members of its gang did not come
