--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -82,7 +82,7 @@
 	m.world.after(at.Sub(m.world.now), func() {
 		if m.born == born && !m.world.now.Before(m.lease) {
 			for _, id := range sortedFake(m.runs) {
-				m.end(id, specifier.Lapsed)
+				m.end(id, specifier.OutcomeLeaseExpired)
 			}
 		}
 	})
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -45,7 +45,7 @@
 	OutcomeDone    Outcome = "done"
 	OutcomeFailed  Outcome = "failed"  // by its own fault or the worker's
 	OutcomeStopped Outcome = "stopped" // on our order
-	Lapsed  Outcome = "lapsed"  // its lease ended
+	OutcomeLeaseExpired  Outcome = "lapsed"  // its lease ended
 	Broken  Outcome = "broken"  // another member of its gang ended
 	Alone   Outcome = "alone"   // the other members of its gang did not come
 )
