--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -46,7 +46,7 @@
 	OutcomeFailed  Outcome = "failed"  // by its own fault or the worker's
 	OutcomeStopped Outcome = "stopped" // on our order
 	OutcomeLeaseExpired  Outcome = "lapsed"  // its lease ended
-	Broken  Outcome = "broken"  // another member of its gang ended
+	OutcomeGangBroken  Outcome = "broken"  // another member of its gang ended
 	Alone   Outcome = "alone"   // the other members of its gang did not come
 )
 
