--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -47,7 +47,7 @@
 	OutcomeStopped Outcome = "stopped" // on our order
 	OutcomeLeaseExpired  Outcome = "lapsed"  // its lease ended
 	OutcomeGangBroken  Outcome = "broken"  // another member of its gang ended
-	Alone   Outcome = "alone"   // the other members of its gang did not come
+	OutcomeGangIncomplete   Outcome = "alone"   // the other members of its gang did not come
 )
 
 // Run is a run that a worker lists as active.
