--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -79,7 +79,7 @@
 func (s *Shard) newJob(spec specifier.Job) *job {
 	j := &job{spec: spec}
 	j.queue, _ = s.catalog.Queue(spec.Queue)
-	target := time.Duration(float64(spec.Chain())*j.queue.Slack) + j.queue.Completion
+	target := time.Duration(float64(spec.CriticalPath())*j.queue.Slack) + j.queue.Completion
 	j.objective = spec.Accepted.Add(target)
 	j.grace = spec.Accepted.Add(lateFactor * target)
 	for occurrence := range spec.Occurrences() {
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -99,7 +99,7 @@
 }
 
 func workOf(queue specifier.Queue, job *specifier.Job) admitter.Work {
-	w := admitter.Work{Chain: job.Chain()}
+	w := admitter.Work{Chain: job.CriticalPath()}
 	w.Objective = time.Duration(float64(w.Chain)*queue.Slack) + queue.Completion
 	for _, step := range job.Steps {
 		cpu := step.Needs.CPU * int64(step.Count)
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -147,8 +147,8 @@
 	return j.First.Add(time.Duration(occurrence) * j.Every)
 }
 
-// Chain is the longest chain of estimated run times through the steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath is the longest chain of estimated run times through the steps.
+func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i := range j.Steps {
--- a/internal/job/specifier/specifier_test.go
+++ b/internal/job/specifier/specifier_test.go
@@ -30,7 +30,7 @@
 	It("takes a job in order", func() {
 		job := valid()
 		Expect(job.Validate()).To(Succeed())
-		Expect(job.Chain()).To(Equal(3 * time.Second))
+		Expect(job.CriticalPath()).To(Equal(3 * time.Second))
 	})
 
 	DescribeTable("names the field of a fault", func(change func(*specifier.Job), field string) {
