--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -48,7 +48,7 @@
 	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
 	Target     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
 	Filler     bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
-	Away       int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
+	MaxUnavailable       int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
 	Budgeted   bool                `json:"budgeted,omitempty"`   // Away is in force
 }
 
@@ -122,7 +122,7 @@
 		return fault("count", fmt.Sprintf("is %d, wants 1 to %d", s.Count, MaxTasks))
 	case s.Needs.CPU < 0 || s.Needs.Memory < 0 || s.Needs.Accelerators < 0:
 		return fault("needs", "is negative")
-	case s.Estimate < 0 || s.Spread < 0 || s.Away < 0 || s.Target < 0:
+	case s.Estimate < 0 || s.Spread < 0 || s.MaxUnavailable < 0 || s.Target < 0:
 		return fault("estimate", "or another number is negative")
 	case s.Gang && s.Spread > 0 && s.Count > MaxTasks/2:
 		return fault("gang", "is too wide to be spread")
