--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -199,7 +199,7 @@
 			p.reserve(st, t)
 			return
 		}
-		if st.spec.Tight && need.Rack == "" {
+		if st.spec.TightlyCoupled && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
 		p.rooms[i].Take(&need)
@@ -307,7 +307,7 @@
 		if i < 0 {
 			return
 		}
-		if st.spec.Tight && need.Rack == "" {
+		if st.spec.TightlyCoupled && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
 		rooms[i].Take(&need)
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -39,7 +39,7 @@
 	After      []int               `json:"after,omitempty"` // earlier steps that must have completed
 	Checkpoint bool                `json:"checkpoint,omitempty"`
 	Gang       bool                `json:"gang,omitempty"`       // tasks run only together and end together
-	Tight      bool                `json:"tight,omitempty"`      // slower on more than one rack
+	TightlyCoupled      bool                `json:"tight,omitempty"`      // slower on more than one rack
 	Label      string              `json:"label,omitempty"`      // that the worker must have
 	Rack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
 	Spread     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
