--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -246,7 +246,7 @@
 	if used > workerCPU {
 		w.fail("%s overfills %s: %d of %d", e.Task, m.id, used, workerCPU)
 	}
-	if step.Spread > 0 && beside >= step.Spread {
+	if step.MaxPerWorker > 0 && beside >= step.MaxPerWorker {
 		w.fail("%s is number %d of its step on %s", e.Task, beside+1, m.id)
 	}
 }
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -227,7 +227,7 @@
 	for i, w := range p.workers {
 		ends := w.reg.Capacity.CPU - w.used.lasting // once the tasks that end have ended
 		fits := st.needs.counted.CPU <= ends && st.needs.counted.Memory <= w.reg.Capacity.Memory
-		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.Spread > 0 && w.perStep[st] >= st.spec.Spread {
+		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.MaxPerWorker > 0 && w.perStep[st] >= st.spec.MaxPerWorker {
 			continue
 		}
 		if best < 0 || p.rooms[i].Free.CPU > p.rooms[best].Free.CPU {
@@ -263,7 +263,7 @@
 		if st.spec.Filler && w.wouldHarm(p.rooms[i].Harm) || !p.isAdvised(st, w) {
 			return false
 		}
-		return st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread
+		return st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker
 	}
 	if t.last == "" {
 		return fitter.Choose(p.rooms, need, allowed)
@@ -301,7 +301,7 @@
 	for _, t := range st.tasks {
 		i := fitter.Choose(rooms, need, func(i int) bool {
 			w := p.workers[i]
-			free := st.spec.Spread == 0 || w.perStep[st]+count[i] < st.spec.Spread
+			free := st.spec.MaxPerWorker == 0 || w.perStep[st]+count[i] < st.spec.MaxPerWorker
 			return free && w.reg.HasLabel(st.spec.Label) && w.runs[t.id()] == nil && p.isAdvised(st, w)
 		})
 		if i < 0 {
@@ -359,7 +359,7 @@
 			continue
 		}
 		room := w.room()
-		if need.Fits(&room) && (st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread) && allowed(w) {
+		if need.Fits(&room) && (st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker) && allowed(w) {
 			return true
 		}
 	}
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -37,7 +37,7 @@
 			Needs:      resources(int64(rapid.IntRange(1, 30).Draw(t, "cpu")) * 100),
 			Estimate:   time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond,
 			Checkpoint: rapid.Bool().Draw(t, "checkpoint"),
-			Spread:     rapid.IntRange(0, 2).Draw(t, "spread"),
+			MaxPerWorker:     rapid.IntRange(0, 2).Draw(t, "spread"),
 			Lasting:    rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
 		}
 		if i > 0 && !job.Steps[i-1].Lasting {
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -42,7 +42,7 @@
 	TightlyCoupled      bool                `json:"tight,omitempty"`      // slower on more than one rack
 	Label      string              `json:"label,omitempty"`      // that the worker must have
 	Rack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
-	Spread     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
+	MaxPerWorker     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
 	Duplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
 	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
 	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
@@ -122,9 +122,9 @@
 		return fault("count", fmt.Sprintf("is %d, wants 1 to %d", s.Count, MaxTasks))
 	case s.Needs.CPU < 0 || s.Needs.Memory < 0 || s.Needs.Accelerators < 0:
 		return fault("needs", "is negative")
-	case s.Estimate < 0 || s.Spread < 0 || s.MaxUnavailable < 0 || s.Target < 0:
+	case s.Estimate < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.Target < 0:
 		return fault("estimate", "or another number is negative")
-	case s.Gang && s.Spread > 0 && s.Count > MaxTasks/2:
+	case s.Gang && s.MaxPerWorker > 0 && s.Count > MaxTasks/2:
 		return fault("gang", "is too wide to be spread")
 	}
 	for _, earlier := range s.After {
