--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -153,7 +153,7 @@
 	It("keeps its data's rack as long as there is room there", func() {
 		d := newDesk(queue, "w1", "w2")
 		d.workers["w2"].rack = "r1-2"
-		d.do(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.Rack = "r1-2" })})
+		d.do(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.PreferredRack = "r1-2" })})
 		count := make(map[string]int)
 		for _, s := range taken[StartRun](d) {
 			count[s.Worker.ID]++
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -176,7 +176,7 @@
 }
 
 func (st *step) fitterNeed() fitter.Need {
-	return fitter.Need{Counted: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.Rack}
+	return fitter.Need{Counted: st.needs.counted, Filler: st.needs.filler, Rack: st.spec.PreferredRack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -72,7 +72,7 @@
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
-		out.HasRack = out.HasRack || step.Rack != "" && slices.Contains(s.Load.Labels, step.Rack)
+		out.HasRack = out.HasRack || step.PreferredRack != "" && slices.Contains(s.Load.Labels, step.PreferredRack)
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
@@ -112,7 +112,7 @@
 		default:
 			w.Counted += work
 		}
-		w.NeedsRack = w.NeedsRack || step.Rack != ""
+		w.NeedsRack = w.NeedsRack || step.PreferredRack != ""
 	}
 	return w
 }
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -41,7 +41,7 @@
 	Gang       bool                `json:"gang,omitempty"`       // tasks run only together and end together
 	TightlyCoupled      bool                `json:"tight,omitempty"`      // slower on more than one rack
 	Label      string              `json:"label,omitempty"`      // that the worker must have
-	Rack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
+	PreferredRack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
 	MaxPerWorker     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
 	Duplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
 	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
