--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -47,7 +47,7 @@
 		}
 		spec := r.task.step.spec
 		latency := time.Duration(r.figure * float64(time.Millisecond))
-		w.tail = max(w.tail, float64(latency)/float64(spec.Target))
+		w.tail = max(w.tail, float64(latency)/float64(spec.LatencyTarget))
 		s.harm.Observe(learner.Sample{
 			Worker:  w.reg.ID,
 			Latency: runner.Latency{Service: spec.Image, P99: latency, Load: sampleLoad, Count: sampleCount, To: s.now},
@@ -65,7 +65,7 @@
 const full = 100 // percent
 
 func (r *run) isFiller() bool  { return r.task != nil && r.task.step.spec.Filler }
-func (r *run) isServing() bool { return r.task != nil && r.task.step.spec.Target > 0 }
+func (r *run) isServing() bool { return r.task != nil && r.task.step.spec.LatencyTarget > 0 }
 
 // pair is a serving image and a filler image.
 type pair struct{ serving, filler string }
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -247,7 +247,7 @@
 		switch {
 		case st.spec.Filler:
 			p.rooms[i].Harm = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
-		case st.spec.Target > 0:
+		case st.spec.LatencyTarget > 0:
 			p.rooms[i].Kin = w.servingOf(st.spec.Image)
 		}
 	}
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -46,7 +46,7 @@
 	Duplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
 	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
 	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
-	Target     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
+	LatencyTarget     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
 	Filler     bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
 	MaxUnavailable       int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
 	Budgeted   bool                `json:"budgeted,omitempty"`   // Away is in force
@@ -122,7 +122,7 @@
 		return fault("count", fmt.Sprintf("is %d, wants 1 to %d", s.Count, MaxTasks))
 	case s.Needs.CPU < 0 || s.Needs.Memory < 0 || s.Needs.Accelerators < 0:
 		return fault("needs", "is negative")
-	case s.Estimate < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.Target < 0:
+	case s.Estimate < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyTarget < 0:
 		return fault("estimate", "or another number is negative")
 	case s.Gang && s.MaxPerWorker > 0 && s.Count > MaxTasks/2:
 		return fault("gang", "is too wide to be spread")
