--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -101,15 +101,15 @@
 
 // Leftovers returns what a successor has to know of a shard that ends at now:
 // the workers that may have runs, and for how long leases there may go on.
-func (s *Shard) Leftovers(now time.Time) []recorder.Leftover {
+func (s *Shard) Leftovers(now time.Time) []recorder.WorkerLease {
 	used := s.usedWorkers()
-	left := make([]recorder.Leftover, 0, len(used))
+	left := make([]recorder.WorkerLease, 0, len(used))
 	for _, id := range used {
 		lapse := s.inherited[id].Sub(now)
 		if w := s.workers[id]; w != nil {
 			lapse = max(lapse, w.lapsed.Sub(now))
 		}
-		left = append(left, recorder.Leftover{Worker: id, Lapse: max(lapse, 0)})
+		left = append(left, recorder.WorkerLease{Worker: id, Lapse: max(lapse, 0)})
 	}
 	return left
 }
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -65,7 +65,7 @@
 	Workers []string // that may have runs of an earlier ownership
 
 	Released  bool                // the predecessor has stopped as planned
-	Leftovers []recorder.Leftover // after such a stop: Workers, with the time that their leases have left
+	Leftovers []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
 
 	Lease       time.Duration // granted to everything that runs on a worker with each renewal
 	OutageLimit time.Duration // how long an owner that can't reach the store goes on
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -152,11 +152,11 @@
 	// Released is that the owner has stopped as planned; Leftovers then stand
 	// in place of Workers.
 	Released  bool       `json:"released,omitempty"`
-	Leftovers []Leftover `json:"leftovers,omitempty"`
+	Leftovers []WorkerLease `json:"leftovers,omitempty"`
 }
 
-// Leftover is a worker that may have runs of an owner that has stopped as planned.
-type Leftover struct {
+// WorkerLease is a worker that may have runs of an owner that has stopped as planned.
+type WorkerLease struct {
 	Worker string        `json:"worker"`
 	Lapse  time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
 }
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -61,7 +61,7 @@
 	Workers []string
 
 	Released  bool                // the former owner had stopped as planned when this one claimed
-	Leftovers []recorder.Leftover // after such a stop: for how long leases on Workers may go on
+	Leftovers []recorder.WorkerLease // after such a stop: for how long leases on Workers may go on
 
 	store    Store
 	turn     chan struct{} // held by the goroutine that writes
@@ -189,7 +189,7 @@
 
 // Release takes the owner's record away, so that another may claim at once.
 // The next owner learns of the workers that may have runs.
-func (f *Fence) Release(ctx context.Context, owner string, left []recorder.Leftover) error {
+func (f *Fence) Release(ctx context.Context, owner string, left []recorder.WorkerLease) error {
 	leave, err := f.enter(ctx)
 	if err != nil {
 		return err
