--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -152,7 +152,7 @@
 	// Released is that the owner has stopped as planned; Leftovers then stand
 	// in place of Workers.
 	Released  bool       `json:"released,omitempty"`
-	Leftovers []WorkerLease `json:"leftovers,omitempty"`
+	WorkerLeases []WorkerLease `json:"leftovers,omitempty"`
 }
 
 // WorkerLease is a worker that may have runs of an owner that has stopped as planned.
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -105,7 +105,7 @@
 	}
 	f.revision = item.Revision
 	f.Epoch = former.Epoch + 1
-	f.Workers, f.Released, f.Leftovers = former.Workers, former.Released, former.Leftovers
+	f.Workers, f.Released, f.Leftovers = former.Workers, former.Released, former.WorkerLeases
 	for _, left := range f.Leftovers {
 		f.Workers = append(f.Workers, left.Worker)
 	}
@@ -196,7 +196,7 @@
 	}
 	defer leave()
 	record := f.record()
-	record.Workers, record.Released, record.Leftovers = nil, true, left
+	record.Workers, record.Released, record.WorkerLeases = nil, true, left
 	return f.offer(ctx, record, storer.Transaction{Remove: []string{owner}})
 }
 
