--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -109,7 +109,7 @@
 		if w := s.workers[id]; w != nil {
 			lapse = max(lapse, w.lapsed.Sub(now))
 		}
-		left = append(left, recorder.WorkerLease{Worker: id, Lapse: max(lapse, 0)})
+		left = append(left, recorder.WorkerLease{Worker: id, Remaining: max(lapse, 0)})
 	}
 	return left
 }
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -124,7 +124,7 @@
 	}
 	if o.Released {
 		for _, left := range o.Leftovers {
-			s.inherited[left.Worker] = now.Add(left.Lapse)
+			s.inherited[left.Worker] = now.Add(left.Remaining)
 		}
 		return s
 	}
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -84,9 +84,9 @@
 		left := before.Leftovers(before.now)
 		Expect(left).To(HaveLen(2))
 		Expect(left[0].Worker).To(Equal("gone"))
-		lapse := left[0].Lapse
-		Expect(lapse).To(BeNumerically("<", left[1].Lapse), "renewed later")
-		Expect(left[1].Lapse).To(BeNumerically("<=", stretch(worldLease)+lapseMargin))
+		lapse := left[0].Remaining
+		Expect(lapse).To(BeNumerically("<", left[1].Remaining), "renewed later")
+		Expect(left[1].Remaining).To(BeNumerically("<=", stretch(worldLease)+lapseMargin))
 		s := New(Options{
 			Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1,
 			Released: true, Leftovers: left,
@@ -107,7 +107,7 @@
 		left := s.Leftovers(epoch.Add(time.Second))
 		Expect(left).To(HaveLen(1))
 		Expect(left[0].Worker).To(Equal("gone"))
-		Expect(left[0].Lapse).To(BeNumerically(">", worldOutage))
+		Expect(left[0].Remaining).To(BeNumerically(">", worldOutage))
 	})
 
 	It("does not wait for other workers with a task that it has seen running", func() {
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -158,7 +158,7 @@
 // WorkerLease is a worker that may have runs of an owner that has stopped as planned.
 type WorkerLease struct {
 	Worker string        `json:"worker"`
-	Lapse  time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
+	Remaining  time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
 }
 
 // Claim identifies an ownership.
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -96,7 +96,7 @@
 		key := recorder.OwnerKey("menus")
 		first, second, third := New("menus", "a", client), New("menus", "b", client), New("menus", "c", client)
 		g.Expect(first.Claim(ctx, owner(ctx, g, client, "a"))).To(Succeed())
-		left := []recorder.WorkerLease{{Worker: "w1", Lapse: 6 * time.Second}}
+		left := []recorder.WorkerLease{{Worker: "w1", Remaining: 6 * time.Second}}
 		g.Expect(first.Release(ctx, key, left)).To(Succeed())
 		g.Expect(second.Claim(ctx, owner(ctx, g, client, "b"))).To(Succeed())
 		g.Expect(second.Released).To(BeTrue())
