--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -19,7 +19,7 @@
 		l.Workers++
 		l.Capacity = l.Capacity.Add(w.reg.Capacity)
 		l.Free = l.Free.Add(room.Free)
-		l.Turning += w.used.counted.CPU - w.used.lasting
+		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
 		l.Lasting += w.used.lasting
 		l.Unused += max(room.Unused, 0)
 		l.Fillers += w.used.filler
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -52,7 +52,7 @@
 }
 
 func full() recorder.Load {
-	return recorder.Load{Service: "desk", Workers: 4, Turning: 1000, Backlog: []recorder.Backlog{{Counted: 1_000_000}}}
+	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{Counted: 1_000_000}}}
 }
 
 func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *shards, store *faker.Client)) {
@@ -102,7 +102,7 @@
 
 func TestWorkAcceptedSinceTheSummaryCounts(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
-		s.load.Free.CPU, s.load.Turning = 0, 2000
+		s.load.Free.CPU, s.load.FiniteCPU = 0, 2000
 		accepted := 0
 		for n := range 40 {
 			job := testJob()
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -187,7 +187,7 @@
 	Capacity describer.Resources `json:"capacity"`
 	Free     describer.Resources `json:"free"`
 	Largest  describer.Resources `json:"largest"` // most that any worker has of each kind
-	Turning  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
+	FiniteCPU  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
 	Lasting  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
 	Limit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
 	Unused   int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
