--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -20,7 +20,7 @@
 		l.Capacity = l.Capacity.Add(w.reg.Capacity)
 		l.Free = l.Free.Add(room.Free)
 		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
-		l.Lasting += w.used.lasting
+		l.LastingCPU += w.used.lasting
 		l.Unused += max(room.Unused, 0)
 		l.Fillers += w.used.filler
 		l.Largest.CPU = max(l.Largest.CPU, w.reg.Capacity.CPU)
@@ -53,7 +53,7 @@
 			b.Counted += counted
 			b.Filler += filler
 			if st.spec.Lasting {
-				l.Lasting += int64(st.waiting) * st.needs.counted.CPU
+				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
 			}
 		}
 		backlog[j.queue.Priority] = b
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, Lasting: s.Load.Lasting, Limit: s.Load.Limit,
+			Name: name, Workers: s.Load.Workers, Lasting: s.Load.LastingCPU, Limit: s.Load.Limit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
 				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
 			}),
@@ -70,7 +70,7 @@
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	to := admitter.ChooseLasting(e.Lasting, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
-		s.Load.Lasting += e.Lasting
+		s.Load.LastingCPU += e.Lasting
 		m.view.Shards[to] = s
 	}
 	return to
