--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -189,7 +189,7 @@
 	Largest  describer.Resources `json:"largest"` // most that any worker has of each kind
 	FiniteCPU  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
 	LastingCPU  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
-	Limit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
+	LastingLimit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
 	Unused   int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
 	Fillers  int64               `json:"fillers"` // CPU that running fillers asked for, millicores
 	Queues   []QueueLoad         `json:"queues,omitempty"`
