--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -21,7 +21,7 @@
 		l.Free = l.Free.Add(room.Free)
 		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
 		l.LastingCPU += w.used.lasting
-		l.Unused += max(room.Unused, 0)
+		l.UnusedCPU += max(room.Unused, 0)
 		l.Fillers += w.used.filler
 		l.Largest.CPU = max(l.Largest.CPU, w.reg.Capacity.CPU)
 		l.Largest.Memory = max(l.Largest.Memory, w.reg.Capacity.Memory)
--- a/internal/job/manager/metrics.go
+++ b/internal/job/manager/metrics.go
@@ -61,7 +61,7 @@
 	scope := m.scope.Tagged(map[string]string{"shard": shard})
 	scope.Gauge("shard_workers").Update(float64(load.Workers))
 	scope.Gauge("shard_free_millicores").Update(float64(load.Free.CPU))
-	scope.Gauge("shard_unused_millicores").Update(float64(load.Unused))
+	scope.Gauge("shard_unused_millicores").Update(float64(load.UnusedCPU))
 	for _, q := range load.Queues {
 		scope.Tagged(map[string]string{"queue": q.Queue}).Gauge("queue_pending").Update(float64(q.Pending))
 	}
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -48,7 +48,7 @@
 }
 
 func idle() recorder.Load {
-	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, Unused: 64000}
+	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, UnusedCPU: 64000}
 }
 
 func full() recorder.Load {
