--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -22,7 +22,7 @@
 		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
 		l.LastingCPU += w.used.lasting
 		l.UnusedCPU += max(room.Unused, 0)
-		l.Fillers += w.used.filler
+		l.FillerCPU += w.used.filler
 		l.Largest.CPU = max(l.Largest.CPU, w.reg.Capacity.CPU)
 		l.Largest.Memory = max(l.Largest.Memory, w.reg.Capacity.Memory)
 		l.Largest.Accelerators = max(l.Largest.Accelerators, w.reg.Capacity.Accelerators)
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -65,7 +65,7 @@
 	out := admitter.Shard{
 		Name: name, Near: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
 		Workers: s.Load.Workers, Free: s.Load.Free, Lasting: s.Load.LastingCPU, Limit: s.Load.LastingLimit,
-		Turning: s.Load.FiniteCPU, Unused: s.Load.UnusedCPU, Fillers: s.Load.Fillers, HasLabel: true,
+		Turning: s.Load.FiniteCPU, Unused: s.Load.UnusedCPU, Fillers: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.Near {
 		out.Distance = afarDistance
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -191,7 +191,7 @@
 	LastingCPU  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
 	LastingLimit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
 	UnusedCPU   int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
-	Fillers  int64               `json:"fillers"` // CPU that running fillers asked for, millicores
+	FillerCPU  int64               `json:"fillers"` // CPU that running fillers asked for, millicores
 	Queues   []QueueLoad         `json:"queues,omitempty"`
 	Backlog  []Backlog           `json:"backlog,omitempty"`
 	Labels   []string            `json:"labels,omitempty"`
