--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -24,7 +24,7 @@
 	}
 	from, job := o.target.name, e.Job
 	job.Former = append(slices.Clone(job.Former), from)
-	entry := recorder.Entry{Shard: to, Queue: job.Queue, State: specifier.Queued}
+	entry := recorder.IndexEntry{Shard: to, Queue: job.Queue, State: specifier.Queued}
 	err := o.fence.Move(ctx, storer.Transaction{
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
 		Put: []storer.Write{
--- a/internal/job/manager/move_test.go
+++ b/internal/job/manager/move_test.go
@@ -42,7 +42,7 @@
 		const jobs = 4
 		for n := range jobs {
 			record := lastingJob(n)
-			entry := recorder.Entry{Shard: "desk@bne", Queue: record.Queue, State: specifier.Queued}
+			entry := recorder.IndexEntry{Shard: "desk@bne", Queue: record.Queue, State: specifier.Queued}
 			commit(storer.Write{Key: recorder.JobIndex(record.ID), Value: recorder.Encode(entry)},
 				storer.Write{Key: recorder.JobKey("desk@bne", record.ID), Value: recorder.Encode(record)})
 		}
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -279,7 +279,7 @@
 	var removes []string
 	shard := o.target.name
 	for _, change := range e.Changes {
-		entry := recorder.Entry{Shard: shard, Queue: change.Queue, State: change.State}
+		entry := recorder.IndexEntry{Shard: shard, Queue: change.Queue, State: change.State}
 		if change.State.IsFinal() {
 			entry.Ended = time.Now()
 			removes = append(removes,
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -199,7 +199,7 @@
 // accept writes a job and returns the revision of the write, or 0 if the job
 // was there before.
 func (r *Receiver) accept(ctx context.Context, shard string, job *specifier.Job) (int64, error) {
-	entry := recorder.Entry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
+	entry := recorder.IndexEntry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
 	tx := storer.Transaction{
 		If: []storer.Condition{{Key: recorder.JobIndex(job.ID)}},
 		Put: []storer.Write{
@@ -245,21 +245,21 @@
 }
 
 // entry reads the index entry of a job and its revision.
-func (r *Receiver) entry(ctx context.Context, id string) (recorder.Entry, int64, error) {
+func (r *Receiver) entry(ctx context.Context, id string) (recorder.IndexEntry, int64, error) {
 	delays := newDelays()
 	item, err := r.store.Get(ctx, recorder.JobIndex(id))
 	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Pause(ctx, delays.NextBackOff()) {
 		item, err = r.store.Get(ctx, recorder.JobIndex(id))
 	}
 	if errors.Is(err, storer.ErrNotFound) {
-		return recorder.Entry{}, 0, &classifier.Error{
+		return recorder.IndexEntry{}, 0, &classifier.Error{
 			Verdict: classifier.NotRun, Status: http.StatusGone, Code: "unknown", Message: "no such job", Field: "id",
 		}
 	}
 	if err != nil {
-		return recorder.Entry{}, 0, r.unreachable(err)
+		return recorder.IndexEntry{}, 0, r.unreachable(err)
 	}
-	var entry recorder.Entry
+	var entry recorder.IndexEntry
 	err = recorder.Decode(item.Value, &entry)
 	return entry, item.Revision, err
 }
@@ -277,7 +277,7 @@
 		}
 		_, err = r.store.Commit(ctx, storer.Transaction{
 			If:  []storer.Condition{{Key: recorder.JobIndex(id), Revision: revision}},
-			Put: []storer.Write{{Key: recorder.CancelKey(entry.Shard, id), Value: recorder.Encode(recorder.Entry{Shard: entry.Shard})}},
+			Put: []storer.Write{{Key: recorder.CancelKey(entry.Shard, id), Value: recorder.Encode(recorder.IndexEntry{Shard: entry.Shard})}},
 		})
 		if err == nil {
 			r.log.Info().Str("job", id).Str("shard", entry.Shard).Msg("cancellation accepted")
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -173,7 +173,7 @@
 func TestCancellationOfAnEndedJobChangesNothing(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
 		ctx := context.Background()
-		entry := recorder.Entry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
+		entry := recorder.IndexEntry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
 		_, err := store.Commit(ctx, storer.Transaction{
 			Put: []storer.Write{{Key: recorder.JobIndex(testJob().ID), Value: recorder.Encode(entry)}},
 		})
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -119,8 +119,8 @@
 	return id, true, ok
 }
 
-// Entry is a job's index entry.
-type Entry struct {
+// IndexEntry is a job's index entry.
+type IndexEntry struct {
 	Shard string          `json:"shard"`
 	Queue string          `json:"queue"`
 	State specifier.State `json:"state"`
--- a/internal/job/recorder/recorder_test.go
+++ b/internal/job/recorder/recorder_test.go
@@ -40,12 +40,12 @@
 	})
 
 	It("leave out what is empty", func() {
-		Expect(string(recorder.Encode(recorder.Entry{Shard: "a", Queue: "b", State: "queued"}))).To(Equal(`{"shard":"a","queue":"b","state":"queued"}`))
-		Expect(string(recorder.Encode(recorder.Entry{State: "failed", Ended: time.Unix(0, 0).UTC()}))).To(ContainSubstring("ended"))
+		Expect(string(recorder.Encode(recorder.IndexEntry{Shard: "a", Queue: "b", State: "queued"}))).To(Equal(`{"shard":"a","queue":"b","state":"queued"}`))
+		Expect(string(recorder.Encode(recorder.IndexEntry{State: "failed", Ended: time.Unix(0, 0).UTC()}))).To(ContainSubstring("ended"))
 	})
 
 	It("are refused when unreadable", func() {
-		var out recorder.Entry
+		var out recorder.IndexEntry
 		Expect(recorder.Decode([]byte("{"), &out)).To(HaveOccurred())
 	})
 })
