--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -327,7 +327,7 @@
 	for _, st := range j.steps {
 		for _, t := range st.tasks {
 			if t.done || len(t.failed) > 0 || t.checkpoint != "" {
-				p.Tasks = append(p.Tasks, recorder.Task{
+				p.Tasks = append(p.Tasks, recorder.TaskProgress{
 					Occurrence: st.occurrence, Step: st.number, Index: t.index,
 					Done: t.done, Failed: t.failed, Checkpoint: t.checkpointIfOpen(),
 				})
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -159,7 +159,7 @@
 
 	It("counts a failure once, also when its end is listed again", func() {
 		d := newDesk(queue, "w1")
-		d.do(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.Task{{Failed: []int64{1}}}}})
+		d.do(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.TaskProgress{{Failed: []int64{1}}}}})
 		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.OutcomeFailed}
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		Expect(d.jobs).To(HaveKey(first.Job))
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -129,11 +129,11 @@
 
 // Progress is what of a job has to survive its shard's owner.
 type Progress struct {
-	Tasks []Task `json:"tasks"`
+	Tasks []TaskProgress `json:"tasks"`
 }
 
-// Task is the progress of one task. Tasks that never ended are left out.
-type Task struct {
+// TaskProgress is the progress of one task. Tasks that never ended are left out.
+type TaskProgress struct {
 	Occurrence int     `json:"occurrence,omitempty"`
 	Step       int     `json:"step,omitempty"`
 	Index      int     `json:"index,omitempty"`
--- a/internal/job/recorder/recorder_test.go
+++ b/internal/job/recorder/recorder_test.go
@@ -33,7 +33,7 @@
 
 var _ = Describe("records", func() {
 	It("survive the store", func() {
-		in := recorder.Progress{Tasks: []recorder.Task{{Step: 1, Index: 2, Done: true}, {Failed: []int64{1, 1001}, Checkpoint: "c"}}}
+		in := recorder.Progress{Tasks: []recorder.TaskProgress{{Step: 1, Index: 2, Done: true}, {Failed: []int64{1, 1001}, Checkpoint: "c"}}}
 		var out recorder.Progress
 		Expect(recorder.Decode(recorder.Encode(in), &out)).To(Succeed())
 		Expect(out).To(Equal(in))
