--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -197,7 +197,7 @@
 		s.moved(e)
 	case Committed:
 		s.committedBatch(e.Batch)
-	case StoreReached:
+	case OwnershipChecked:
 		s.contact = s.now
 		if !e.OK {
 			s.contact = s.now.Add(-s.options.OutageLimit)
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -99,9 +99,9 @@
 // Committed says that a Commit is durable.
 type Committed struct{ Batch int64 }
 
-// StoreReached says that the store has confirmed the ownership, or, with OK
+// OwnershipChecked says that the store has confirmed the ownership, or, with OK
 // false, that it is in doubt: nothing is ordered until it is confirmed.
-type StoreReached struct{ OK bool }
+type OwnershipChecked struct{ OK bool }
 
 func (Tick) event()          {}
 func (Configured) event()    {}
@@ -115,7 +115,7 @@
 func (StopAnswered) event()  {}
 func (PaceAnswered) event()  {}
 func (Committed) event()     {}
-func (StoreReached) event()  {}
+func (OwnershipChecked) event()  {}
 
 // Effect is something to be done outside the state.
 type Effect interface{ effect() }
