--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -48,7 +48,7 @@
 
 func (d *desk) pass(t time.Duration) {
 	d.now = d.now.Add(t)
-	d.do(OwnershipChecked{OK: true}, Tick{})
+	d.do(OwnershipChecked{Confirmed: true}, Tick{})
 }
 
 // taken removes and returns the effects of one type.
--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -32,7 +32,7 @@
 					Incarnation: 1, Clock: d.now.Sub(epoch),
 					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.OutcomeDone}},
 				}})
-				d.do(OwnershipChecked{OK: true})
+				d.do(OwnershipChecked{Confirmed: true})
 				d.effects = d.effects[:0]
 			}
 		})
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -199,7 +199,7 @@
 		s.committedBatch(e.Batch)
 	case OwnershipChecked:
 		s.contact = s.now
-		if !e.OK {
+		if !e.Confirmed {
 			s.contact = s.now.Add(-s.options.OutageLimit)
 		}
 	}
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -101,7 +101,7 @@
 
 // OwnershipChecked says that the store has confirmed the ownership, or, with OK
 // false, that it is in doubt: nothing is ordered until it is confirmed.
-type OwnershipChecked struct{ OK bool }
+type OwnershipChecked struct{ Confirmed bool }
 
 func (Tick) event()          {}
 func (Configured) event()    {}
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -213,7 +213,7 @@
 			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		}
 		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(OwnershipChecked{OK: true}, Tick{})
+		d.do(OwnershipChecked{Confirmed: true}, Tick{})
 		Expect(taken[StartRun](d)).To(HaveLen(1))
 	})
 
@@ -225,7 +225,7 @@
 		d.now = d.now.Add(2 * time.Second)
 		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(OwnershipChecked{OK: true}, Tick{})
+		d.do(OwnershipChecked{Confirmed: true}, Tick{})
 		Expect(taken[StartRun](d)).To(HaveLen(1))
 	})
 
@@ -278,7 +278,7 @@
 	It("does not go on without the store for longer than a successor counts on", func() {
 		d := newDesk(queue, "w1")
 		taken[PollWorker](d)
-		d.do(OwnershipChecked{OK: false})
+		d.do(OwnershipChecked{Confirmed: false})
 		d.now = d.now.Add(worldOutage + time.Second)
 		d.do(Tick{}, JobArrived{Job: oneStep(1, nil)})
 		Expect(taken[PollWorker](d)).To(BeEmpty())
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -218,7 +218,7 @@
 	}
 	if !o.frozen {
 		if o.store && o.world.owner == o {
-			o.reduce(OwnershipChecked{OK: true}, WorkersListed{Workers: o.world.list()})
+			o.reduce(OwnershipChecked{Confirmed: true}, WorkersListed{Workers: o.world.list()})
 		}
 		o.reduce(Tick{})
 	}
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -111,7 +111,7 @@
 func (o *owned) reduce(ctx context.Context, events ...dispatcher.Event) {
 	if o.suspension.hasPassed() {
 		o.log.Warn().Msg("host was suspended, ownership is in doubt")
-		events = append([]dispatcher.Event{dispatcher.OwnershipChecked{OK: false}}, events...)
+		events = append([]dispatcher.Event{dispatcher.OwnershipChecked{Confirmed: false}}, events...)
 		o.m.lease.Poke()
 	}
 	began := time.Now()
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -264,7 +264,7 @@
 // renewed takes in that the store has renewed the lease.
 func (m *Manager) renewed() {
 	m.reached()
-	m.post(dispatcher.OwnershipChecked{OK: true})
+	m.post(dispatcher.OwnershipChecked{Confirmed: true})
 }
 
 // leaseEnded writes the owner's records anew. A shard that another daemon has
@@ -292,7 +292,7 @@
 		switch {
 		case err == nil:
 			m.log.Info().Str("shard", o.target.name).Msg("ownership confirmed")
-			o.post(dispatcher.OwnershipChecked{OK: true})
+			o.post(dispatcher.OwnershipChecked{Confirmed: true})
 			return
 		case errors.Is(err, fencer.ErrFenced):
 			o.lose("another owner has claimed it")
