--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -21,9 +21,9 @@
 	Workers []specifier.Worker
 }
 
-// Advised is the outcome of AskAdvice. Workers that were asked for and have no
+// AdviceAnswered is the outcome of AskAdvice. Workers that were asked for and have no
 // ticket may not run the step.
-type Advised struct {
+type AdviceAnswered struct {
 	Step     specifier.TaskID
 	Asked    []specifier.Worker
 	Tickets  []Ticket
@@ -38,7 +38,7 @@
 }
 
 func (AskAdvice) effect() {}
-func (Advised) event()    {}
+func (AdviceAnswered) event()    {}
 
 // advice is what is known of the workers that may run a step.
 type advice struct {
@@ -108,7 +108,7 @@
 }
 
 // advised takes in the answer.
-func (s *Shard) advised(e Advised) {
+func (s *Shard) advised(e AdviceAnswered) {
 	j := s.jobs[e.Step.Job]
 	if j == nil || j.task(e.Step) == nil {
 		return
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -189,7 +189,7 @@
 		s.startAnswered(e)
 	case StopAnswered:
 		s.stopAnswered(e)
-	case Advised:
+	case AdviceAnswered:
 		s.advised(e)
 	case PaceAnswered:
 		s.paceAnswered(e)
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -74,7 +74,7 @@
 
 // Adviser knows which workers may run a step.
 type Adviser interface {
-	Advise(ctx context.Context, ask dispatcher.AskAdvice) dispatcher.Advised
+	Advise(ctx context.Context, ask dispatcher.AskAdvice) dispatcher.AdviceAnswered
 }
 
 // Directory lists the registered workers.
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -216,8 +216,8 @@
 }
 
 // advise asks the adviser when it is this call's turn.
-func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.Advised {
-	failed := dispatcher.Advised{Step: e.Step, Failed: true}
+func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.AdviceAnswered {
+	failed := dispatcher.AdviceAnswered{Step: e.Step, Failed: true}
 	if m.options.Adviser == nil {
 		return failed
 	}
