--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -151,7 +151,7 @@
 // it. The answer is Held or HoldFailed.
 type PollWorker struct {
 	Worker   specifier.Worker
-	Observed int64         // ends up to this number are durable
+	Acknowledged int64         // ends up to this number are durable
 	Until    time.Duration // by the worker's clock: the lease; 0 before the first answer
 	Wait     time.Duration // for an end
 }
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -170,7 +170,7 @@
 		return specifier.Inventory{}, Fenced
 	}
 	m.extend(e.Until)
-	for len(m.ends) > 0 && m.ends[0].Number <= e.Observed {
+	for len(m.ends) > 0 && m.ends[0].Number <= e.Acknowledged {
 		m.world.noteEnd(m.ends[0])
 		m.ends = m.ends[1:]
 	}
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -245,7 +245,7 @@
 	if w.holding || s.now.Before(w.next) || !s.mayAct() {
 		return
 	}
-	h := PollWorker{Worker: w.reg, Observed: w.observed}
+	h := PollWorker{Worker: w.reg, Acknowledged: w.observed}
 	if w.failing == 0 {
 		// A silent worker is not renewed, so that its leases lapse at a known time.
 		h.Until = s.until(w)
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -134,7 +134,7 @@
 	if f.fenced(id, token) {
 		return specifier.Inventory{}, dispatcher.Fenced
 	}
-	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Observed {
+	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Acknowledged {
 		f.ended[id] = f.ended[id][1:]
 	}
 	out := specifier.Inventory{Incarnation: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
