--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -128,7 +128,7 @@
 	Payload    string
 	Checkpoint string
 	Ticket     string        // if the queue needs advice
-	Until      time.Duration // by the worker's clock: its lease
+	LeaseEnd      time.Duration // by the worker's clock: its lease
 }
 
 // StopRun asks a worker to stop a run. The answer is StopAnswered.
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -93,10 +93,10 @@
 	if m.fenced(token) {
 		return Fenced
 	}
-	if e.Until <= m.clock() {
+	if e.LeaseEnd <= m.clock() {
 		return LeaseExpired
 	}
-	m.extend(e.Until)
+	m.extend(e.LeaseEnd)
 	if r := m.runs[e.Task]; r != nil {
 		if r.number == e.Run {
 			return NoFault
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -337,7 +337,7 @@
 	}
 	w.add(&run{task: t, id: t.id(), worker: w, number: number, phase: starting, ordered: s.now, needs: t.step.needs, pace: full})
 	order := StartRun{
-		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, Until: s.until(w),
+		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, LeaseEnd: s.until(w),
 	}
 	if t.step.spec.Checkpoint {
 		order.Checkpoint = t.checkpoint
