--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -152,7 +152,7 @@
 type PollWorker struct {
 	Worker   specifier.Worker
 	Acknowledged int64         // ends up to this number are durable
-	Until    time.Duration // by the worker's clock: the lease; 0 before the first answer
+	LeaseEnd    time.Duration // by the worker's clock: the lease; 0 before the first answer
 	Wait     time.Duration // for an end
 }
 
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -169,7 +169,7 @@
 	if m.fenced(token) {
 		return specifier.Inventory{}, Fenced
 	}
-	m.extend(e.Until)
+	m.extend(e.LeaseEnd)
 	for len(m.ends) > 0 && m.ends[0].Number <= e.Acknowledged {
 		m.world.noteEnd(m.ends[0])
 		m.ends = m.ends[1:]
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -248,7 +248,7 @@
 	h := PollWorker{Worker: w.reg, Acknowledged: w.observed}
 	if w.failing == 0 {
 		// A silent worker is not renewed, so that its leases lapse at a known time.
-		h.Until = s.until(w)
+		h.LeaseEnd = s.until(w)
 	}
 	if w.synced && len(w.ends) == 0 && w.failing == 0 {
 		h.Wait = s.options.PollWait
