--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -40,7 +40,7 @@
 // Service is a pool of workers.
 type Service struct {
 	Name    string
-	Guarded bool // its workers refuse what exceeds their capacity
+	RejectsOverload bool // its workers refuse what exceeds their capacity
 	Standby bool // its hosts are off
 }
 
