--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -43,7 +43,7 @@
 	Label      string              `json:"label,omitempty"`      // that the worker must have
 	PreferredRack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
 	MaxPerWorker     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
-	Duplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
+	AllowDuplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
 	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
 	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
 	LatencyTarget     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
