--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -346,7 +346,7 @@
 			continue
 		}
 		spec := r.task.step.spec
-		leaves := spec.Checkpoint && w.reg.Left > 0 && w.reg.Left < checkpointNotice
+		leaves := spec.Checkpoint && w.reg.Remaining > 0 && w.reg.Remaining < checkpointNotice
 		if (spec.Lasting || leaves) && s.hasRoom(r, anyWorker) {
 			s.stopRun(r, "worker leaves")
 		}
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -19,7 +19,7 @@
 	Capacity describer.Resources
 	Labels   []string
 	Draining bool
-	Left     time.Duration // while draining: least time before it leaves
+	Remaining     time.Duration // while draining: least time before it leaves
 }
 
 // HasLabel reports whether the worker has the label; the empty label is always there.
