--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -183,7 +183,7 @@
 
 // decode reads a record below the shard's prefix.
 func (o *owned) decode(item storer.Item) (dispatcher.Event, error) {
-	id, isCancel, ok := recorder.ParseShard(o.target.name, item.Key)
+	id, isCancel, ok := recorder.ParseShardKey(o.target.name, item.Key)
 	if !ok {
 		return nil, fmt.Errorf("manager: unexpected key %q", item.Key)
 	}
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -105,9 +105,9 @@
 	return OtherView, ""
 }
 
-// ParseShard splits a key below ShardPrefix into the job and whether the key
+// ParseShardKey splits a key below ShardPrefix into the job and whether the key
 // is a cancellation.
-func ParseShard(shard, key string) (id string, isCancel, ok bool) {
+func ParseShardKey(shard, key string) (id string, isCancel, ok bool) {
 	rest, ok := strings.CutPrefix(key, ShardPrefix(shard))
 	if !ok {
 		return "", false, false
--- a/internal/job/recorder/recorder_test.go
+++ b/internal/job/recorder/recorder_test.go
@@ -22,11 +22,11 @@
 	})
 
 	It("tell jobs from cancellations", func() {
-		id, isCancel, ok := recorder.ParseShard("menus", recorder.JobKey("menus", "1"))
+		id, isCancel, ok := recorder.ParseShardKey("menus", recorder.JobKey("menus", "1"))
 		Expect([]any{id, isCancel, ok}).To(Equal([]any{"1", false, true}))
-		id, isCancel, ok = recorder.ParseShard("menus", recorder.CancelKey("menus", "1"))
+		id, isCancel, ok = recorder.ParseShardKey("menus", recorder.CancelKey("menus", "1"))
 		Expect([]any{id, isCancel, ok}).To(Equal([]any{"1", true, true}))
-		_, _, ok = recorder.ParseShard("menus", recorder.JobKey("other", "1"))
+		_, _, ok = recorder.ParseShardKey("menus", recorder.JobKey("other", "1"))
 		Expect(ok).To(BeFalse())
 	})
 })
