--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -63,7 +63,7 @@
 
 // takeView takes in one key. A record that can't be read changes nothing.
 func (m *Manager) takeView(item storer.Item) {
-	kind, name := recorder.ParseView(item.Key)
+	kind, name := recorder.ParseViewKey(item.Key)
 	s := m.view.Shards[name]
 	var err error
 	switch kind {
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -91,9 +91,9 @@
 	return [...]string{"other", "owner", "load", "layout"}[k]
 }
 
-// ParseView splits a key below ViewPrefix into its kind and the name of its
+// ParseViewKey splits a key below ViewPrefix into its kind and the name of its
 // shard, or of its service.
-func ParseView(key string) (ViewKind, string) {
+func ParseViewKey(key string) (ViewKind, string) {
 	for _, kind := range [...]struct {
 		prefix string
 		kind   ViewKind
--- a/internal/job/recorder/recorder_test.go
+++ b/internal/job/recorder/recorder_test.go
@@ -11,13 +11,13 @@
 
 var _ = Describe("keys", func() {
 	It("are read back", func() {
-		kind, name := recorder.ParseView(recorder.OwnerKey("menus@bne"))
+		kind, name := recorder.ParseViewKey(recorder.OwnerKey("menus@bne"))
 		Expect([]any{kind, name}).To(Equal([]any{recorder.OwnerView, "menus@bne"}))
-		kind, name = recorder.ParseView(recorder.LoadKey("menus"))
+		kind, name = recorder.ParseViewKey(recorder.LoadKey("menus"))
 		Expect([]any{kind, name}).To(Equal([]any{recorder.LoadView, "menus"}))
-		kind, name = recorder.ParseView(recorder.LayoutKey("menus"))
+		kind, name = recorder.ParseViewKey(recorder.LayoutKey("menus"))
 		Expect([]any{kind, name}).To(Equal([]any{recorder.LayoutView, "menus"}))
-		kind, _ = recorder.ParseView("elsewhere")
+		kind, _ = recorder.ParseViewKey("elsewhere")
 		Expect(kind).To(Equal(recorder.OtherView))
 	})
 
