--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -99,7 +99,7 @@
 
 // isMovable reports whether nothing of the job can have run anywhere.
 func (j *job) isMovable() bool {
-	if j.begun || j.moving || j.final != "" || len(j.spec.Former) >= maxMoves || j.arrived.IsZero() {
+	if j.begun || j.moving || j.final != "" || len(j.spec.FormerShards) >= maxMoves || j.arrived.IsZero() {
 		return false
 	}
 	for _, st := range j.steps {
--- a/internal/job/dispatcher/move_test.go
+++ b/internal/job/dispatcher/move_test.go
@@ -66,7 +66,7 @@
 		Expect(taken[MoveJob](d)).To(BeEmpty())
 		d.options.Domain = "bne"
 		for _, j := range d.jobs {
-			j.spec.Former = []string{"a", "b", "c"}
+			j.spec.FormerShards = []string{"a", "b", "c"}
 		}
 		d.pass(publishInterval)
 		Expect(taken[MoveJob](d)).To(BeEmpty())
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -23,7 +23,7 @@
 		return
 	}
 	from, job := o.target.name, e.Job
-	job.Former = append(slices.Clone(job.Former), from)
+	job.FormerShards = append(slices.Clone(job.FormerShards), from)
 	entry := recorder.IndexEntry{Shard: to, Queue: job.Queue, State: specifier.Queued}
 	err := o.fence.Move(ctx, storer.Transaction{
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
@@ -57,7 +57,7 @@
 	defer m.mu.Unlock()
 	var shards []admitter.Shard
 	for name, s := range m.view.Shards {
-		if s.Load.Service != from.service || name == from.name || slices.Contains(e.Job.Former, name) {
+		if s.Load.Service != from.service || name == from.name || slices.Contains(e.Job.FormerShards, name) {
 			continue
 		}
 		shards = append(shards, admitter.Shard{
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -28,7 +28,7 @@
 	First    time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
 	Every    time.Duration `json:"every,omitempty"`  // between due times
 	Accepted time.Time     `json:"accepted,omitzero"`
-	Former   []string      `json:"former,omitempty"` // shards that have handed it on
+	FormerShards   []string      `json:"former,omitempty"` // shards that have handed it on
 }
 
 // Step is a number of equal tasks.
