--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -146,7 +146,7 @@
 type Fence struct {
 	Owner   string   `json:"owner"`
 	Epoch   int64    `json:"epoch"`             // number of claims before this one
-	Write   string   `json:"write"`             // identifies the write; a random id
+	WriteID   string   `json:"write"`             // identifies the write; a random id
 	Workers []string `json:"workers,omitempty"` // that may have runs of this shard
 
 	// Released is that the owner has stopped as planned; Leftovers then stand
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -201,7 +201,7 @@
 }
 
 func (f *Fence) record() recorder.Fence {
-	return recorder.Fence{Owner: f.Daemon, Epoch: f.Epoch, Write: uuid.NewString(), Workers: f.Workers}
+	return recorder.Fence{Owner: f.Daemon, Epoch: f.Epoch, WriteID: uuid.NewString(), Workers: f.Workers}
 }
 
 // offer repeats a write until its outcome is known.
@@ -222,7 +222,7 @@
 			return err
 		}
 		if errors.Is(err, storer.ErrConflict) {
-			err = f.settle(ctx, key, fence.Write)
+			err = f.settle(ctx, key, fence.WriteID)
 			if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, ErrOwned) {
 				return err
 			}
@@ -259,7 +259,7 @@
 	if err := recorder.Decode(item.Value, &present); err != nil {
 		return err
 	}
-	if present.Write == write {
+	if present.WriteID == write {
 		f.revision = item.Revision
 		return nil
 	}
