--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -337,7 +337,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.view.Shards[shard]
-	s.Load, s.Received = load, time.Now()
+	s.Load, s.LoadReceived = load, time.Now()
 	m.view.Shards[shard] = s
 }
 
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -24,7 +24,7 @@
 type ShardView struct {
 	Owner    string // daemon; empty without an owner
 	Load     recorder.Load
-	Received time.Time // when the load came
+	LoadReceived time.Time // when the load came
 }
 
 // followRetry is the longest time between tries to read a store that does not
@@ -78,7 +78,7 @@
 		if !item.Deleted {
 			err = recorder.Decode(item.Value, &load)
 		}
-		s.Load, s.Received = load, time.Now()
+		s.Load, s.LoadReceived = load, time.Now()
 	case recorder.LayoutView:
 		var layout recorder.Layout
 		if err = recorder.Decode(item.Value, &layout); err == nil {
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	var shards []admitter.Shard
 	for name, s := range view.Shards {
-		if s.Load.Service == queue.Service && time.Since(s.Received) < staleView {
+		if s.Load.Service == queue.Service && time.Since(s.LoadReceived) < staleView {
 			shards = append(shards, r.shard(name, s, queue, job))
 		}
 	}
@@ -63,7 +63,7 @@
 // shard is the load of one shard, with what was accepted here since.
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
-		Name: name, Near: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
+		Name: name, Near: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
 		Workers: s.Load.Workers, Free: s.Load.Free, Lasting: s.Load.LastingCPU, Limit: s.Load.LastingLimit,
 		Turning: s.Load.FiniteCPU, Unused: s.Load.UnusedCPU, Fillers: s.Load.FillerCPU, HasLabel: true,
 	}
@@ -80,7 +80,7 @@
 			out.Filler += b.Filler
 		}
 	}
-	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
+	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.LoadReceived) })
 	r.accepted[name] = recent
 	for _, a := range recent {
 		out.Counted += a.work.Counted
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -32,7 +32,7 @@
 func (s *shards) Catalog() *specifier.Catalog { return &specifier.Catalog{Version: 1} }
 
 func (s *shards) View() manager.View {
-	return manager.View{Shards: map[string]manager.ShardView{"desk": {Owner: "x", Load: s.load, Received: time.Now()}}}
+	return manager.View{Shards: map[string]manager.ShardView{"desk": {Owner: "x", Load: s.load, LoadReceived: time.Now()}}}
 }
 
 func (s *shards) Cancelled(_, id string)                          { s.cancelled = append(s.cancelled, id) }
