--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -74,7 +74,7 @@
 func (m *Manager) claimable(now time.Time) ([]target, map[string]recorder.Layout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed || m.view.Read.IsZero() {
+	if !m.listed || m.view.ReadAt.IsZero() {
 		return nil, nil
 	}
 	var claims []target
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -15,7 +15,7 @@
 
 // View is what a daemon knows of all shards.
 type View struct {
-	Read    time.Time // when it was last read or confirmed; zero before the first time
+	ReadAt    time.Time // when it was last read or confirmed; zero before the first time
 	Shards  map[string]ShardView
 	Layouts map[string]recorder.Layout // by service
 }
@@ -38,7 +38,7 @@
 func (m *Manager) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return View{Read: m.view.Read, Shards: maps.Clone(m.view.Shards), Layouts: maps.Clone(m.view.Layouts)}
+	return View{ReadAt: m.view.ReadAt, Shards: maps.Clone(m.view.Shards), Layouts: maps.Clone(m.view.Layouts)}
 }
 
 // followView keeps the view until ctx ends.
@@ -50,7 +50,7 @@
 		if whole {
 			m.view = newView()
 		}
-		m.view.Read = time.Now()
+		m.view.ReadAt = time.Now()
 		for _, item := range items {
 			m.takeView(item)
 		}
