--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -10,7 +10,7 @@
 
 // summarize reports the shard's load to other entry hosts.
 func (s *Shard) summarize() recorder.Load {
-	l := recorder.Load{Service: s.options.Service, Domain: s.options.Domain, Made: s.now}
+	l := recorder.Load{Service: s.options.Service, Domain: s.options.Domain, MadeAt: s.now}
 	for _, w := range s.roster {
 		if !w.isUsable(s.now) {
 			continue
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -305,12 +305,12 @@
 
 // publish replaces the load summary in the store, if it says something new.
 func (o *owned) publish(ctx context.Context, load recorder.Load) {
-	made := load.Made
-	load.Made = o.last.Made
+	made := load.MadeAt
+	load.MadeAt = o.last.MadeAt
 	if string(recorder.Encode(load)) == string(recorder.Encode(o.last)) {
 		return
 	}
-	load.Made = made
+	load.MadeAt = made
 	o.last = load
 	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.FiniteCPU).
 		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LastingCPU).Int64("limit", load.LastingLimit)
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -182,7 +182,7 @@
 type Load struct {
 	Service  string              `json:"service"`
 	Domain   string              `json:"domain,omitempty"` // empty: of all failure domains
-	Made     time.Time           `json:"made"`
+	MadeAt     time.Time           `json:"made"`
 	Workers  int                 `json:"workers"`
 	Capacity describer.Resources `json:"capacity"`
 	Free     describer.Resources `json:"free"`
