--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -29,7 +29,7 @@
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
 		Put: []storer.Write{
 			{Key: recorder.JobKey(to, job.ID), Value: recorder.Encode(job)},
-			{Key: recorder.JobIndex(job.ID), Value: recorder.Encode(entry)},
+			{Key: recorder.IndexKey(job.ID), Value: recorder.Encode(entry)},
 		},
 		Remove: []string{recorder.JobKey(from, job.ID)},
 	})
--- a/internal/job/manager/move_test.go
+++ b/internal/job/manager/move_test.go
@@ -43,7 +43,7 @@
 		for n := range jobs {
 			record := lastingJob(n)
 			entry := recorder.IndexEntry{Shard: "desk@bne", Queue: record.Queue, State: specifier.Queued}
-			commit(storer.Write{Key: recorder.JobIndex(record.ID), Value: recorder.Encode(entry)},
+			commit(storer.Write{Key: recorder.IndexKey(record.ID), Value: recorder.Encode(entry)},
 				storer.Write{Key: recorder.JobKey("desk@bne", record.ID), Value: recorder.Encode(record)})
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -287,7 +287,7 @@
 		} else {
 			puts = append(puts, storer.Write{Key: recorder.ProgressKey(shard, change.ID), Value: recorder.Encode(change.Progress)})
 		}
-		puts = append(puts, storer.Write{Key: recorder.JobIndex(change.ID), Value: recorder.Encode(entry)})
+		puts = append(puts, storer.Write{Key: recorder.IndexKey(change.ID), Value: recorder.Encode(entry)})
 	}
 	began := time.Now()
 	err := o.fence.Write(ctx, e.Workers, puts, removes)
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -170,7 +170,7 @@
 
 // refuse turns a job away, unless it was accepted before.
 func (r *Receiver) refuse(ctx context.Context, job *specifier.Job, d admitter.Decision) error {
-	if _, err := r.store.Get(ctx, recorder.JobIndex(job.ID)); !errors.Is(err, storer.ErrNotFound) {
+	if _, err := r.store.Get(ctx, recorder.IndexKey(job.ID)); !errors.Is(err, storer.ErrNotFound) {
 		if err == nil {
 			return nil
 		}
@@ -201,9 +201,9 @@
 func (r *Receiver) accept(ctx context.Context, shard string, job *specifier.Job) (int64, error) {
 	entry := recorder.IndexEntry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
 	tx := storer.Transaction{
-		If: []storer.Condition{{Key: recorder.JobIndex(job.ID)}},
+		If: []storer.Condition{{Key: recorder.IndexKey(job.ID)}},
 		Put: []storer.Write{
-			{Key: recorder.JobIndex(job.ID), Value: recorder.Encode(entry)},
+			{Key: recorder.IndexKey(job.ID), Value: recorder.Encode(entry)},
 			{Key: recorder.JobKey(shard, job.ID), Value: recorder.Encode(job)},
 		},
 	}
@@ -247,9 +247,9 @@
 // entry reads the index entry of a job and its revision.
 func (r *Receiver) entry(ctx context.Context, id string) (recorder.IndexEntry, int64, error) {
 	delays := newDelays()
-	item, err := r.store.Get(ctx, recorder.JobIndex(id))
+	item, err := r.store.Get(ctx, recorder.IndexKey(id))
 	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Pause(ctx, delays.NextBackOff()) {
-		item, err = r.store.Get(ctx, recorder.JobIndex(id))
+		item, err = r.store.Get(ctx, recorder.IndexKey(id))
 	}
 	if errors.Is(err, storer.ErrNotFound) {
 		return recorder.IndexEntry{}, 0, &classifier.Error{
@@ -276,7 +276,7 @@
 			return nil
 		}
 		_, err = r.store.Commit(ctx, storer.Transaction{
-			If:  []storer.Condition{{Key: recorder.JobIndex(id), Revision: revision}},
+			If:  []storer.Condition{{Key: recorder.IndexKey(id), Revision: revision}},
 			Put: []storer.Write{{Key: recorder.CancelKey(entry.Shard, id), Value: recorder.Encode(recorder.IndexEntry{Shard: entry.Shard})}},
 		})
 		if err == nil {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -78,7 +78,7 @@
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
 		g.Expect(e.Status).To(Equal(http.StatusTooManyRequests))
 		g.Expect(e.RetryAfter).To(BeNumerically(">", 0))
-		_, err := store.Get(context.Background(), recorder.JobIndex(testJob().ID))
+		_, err := store.Get(context.Background(), recorder.IndexKey(testJob().ID))
 		g.Expect(err).To(MatchError(storer.ErrNotFound), "nothing was written")
 	})
 }
@@ -175,7 +175,7 @@
 		ctx := context.Background()
 		entry := recorder.IndexEntry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
 		_, err := store.Commit(ctx, storer.Transaction{
-			Put: []storer.Write{{Key: recorder.JobIndex(testJob().ID), Value: recorder.Encode(entry)}},
+			Put: []storer.Write{{Key: recorder.IndexKey(testJob().ID), Value: recorder.Encode(entry)}},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Cancel(ctx, testJob().ID)).To(Succeed())
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -42,8 +42,8 @@
 	layoutPrefix = ViewPrefix + "layout/"
 )
 
-// JobIndex is the key of a job's index entry.
-func JobIndex(id string) string { return "index/" + id }
+// IndexKey is the key of a job's index entry.
+func IndexKey(id string) string { return "index/" + id }
 
 // ShardPrefix is what an owner watches for new jobs and cancellations.
 func ShardPrefix(shard string) string { return "shard/" + shard + "/" }
