--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -75,8 +75,8 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// CheckID reports an id that is not 16 hexadecimal digits.
-func CheckID(id string) error {
+// ValidateID reports an id that is not 16 hexadecimal digits.
+func ValidateID(id string) error {
 	if len(id) != idDigits {
 		return &FieldError{Field: "id", Reason: fmt.Sprintf("has %d characters, wants %d hexadecimal digits", len(id), idDigits)}
 	}
@@ -88,7 +88,7 @@
 
 // Validate reports the first fault of a job as a *FieldError.
 func (j *Job) Validate() error {
-	if err := CheckID(j.ID); err != nil {
+	if err := ValidateID(j.ID); err != nil {
 		return err
 	}
 	if len(j.Payload) > MaxPayload {
