--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -32,7 +32,7 @@
 // Advice is how the service answers that knows which workers may run a step.
 type Advice struct {
 	Needed    bool
-	Decision  time.Duration // of one call
+	RequestTime  time.Duration // of one call
 	PerWorker time.Duration // more for each worker named
 	Validity  time.Duration // of a ticket
 }
