--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -33,7 +33,7 @@
 type Advice struct {
 	Needed    bool
 	RequestTime  time.Duration // of one call
-	PerWorker time.Duration // more for each worker named
+	PerWorkerTime time.Duration // more for each worker named
 	Validity  time.Duration // of a ticket
 }
 
