--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -50,7 +50,7 @@
 		b := backlog[j.queue.Priority]
 		for _, st := range j.steps {
 			counted, filler := st.waitingWork()
-			b.Counted += counted
+			b.FiniteWork += counted
 			b.Filler += filler
 			if st.spec.Lasting {
 				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -76,7 +76,7 @@
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
-			out.Counted += b.Counted
+			out.Counted += b.FiniteWork
 			out.Filler += b.Filler
 		}
 	}
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -206,7 +206,7 @@
 // Backlog is the work that waits in a shard at one priority.
 type Backlog struct {
 	Priority int   `json:"priority"`
-	Counted  int64 `json:"counted"` // millicore-seconds that need room
+	FiniteWork  int64 `json:"counted"` // millicore-seconds that need room
 	Filler   int64 `json:"filler"`  // millicore-seconds of fillers
 }
 
