--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -51,7 +51,7 @@
 		for _, st := range j.steps {
 			counted, filler := st.waitingWork()
 			b.FiniteWork += counted
-			b.Filler += filler
+			b.FillerWork += filler
 			if st.spec.Lasting {
 				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
 			}
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -77,7 +77,7 @@
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
 			out.Counted += b.FiniteWork
-			out.Filler += b.Filler
+			out.Filler += b.FillerWork
 		}
 	}
 	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.LoadReceived) })
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -207,7 +207,7 @@
 type Backlog struct {
 	Priority int   `json:"priority"`
 	FiniteWork  int64 `json:"counted"` // millicore-seconds that need room
-	Filler   int64 `json:"filler"`  // millicore-seconds of fillers
+	FillerWork   int64 `json:"filler"`  // millicore-seconds of fillers
 }
 
 // Encode is the stored form of a record.
