--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -23,9 +23,9 @@
 		l.LastingCPU += w.used.lasting
 		l.UnusedCPU += max(room.Unused, 0)
 		l.FillerCPU += w.used.filler
-		l.Largest.CPU = max(l.Largest.CPU, w.reg.Capacity.CPU)
-		l.Largest.Memory = max(l.Largest.Memory, w.reg.Capacity.Memory)
-		l.Largest.Accelerators = max(l.Largest.Accelerators, w.reg.Capacity.Accelerators)
+		l.MaxCapacity.CPU = max(l.MaxCapacity.CPU, w.reg.Capacity.CPU)
+		l.MaxCapacity.Memory = max(l.MaxCapacity.Memory, w.reg.Capacity.Memory)
+		l.MaxCapacity.Accelerators = max(l.MaxCapacity.Accelerators, w.reg.Capacity.Accelerators)
 		for _, label := range w.reg.Labels {
 			if !slices.Contains(l.Labels, label) {
 				l.Labels = append(l.Labels, label)
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -24,9 +24,9 @@
 	var largest describer.Resources
 	for _, s := range r.shards.View().Shards {
 		if s.Load.Service == queue.Service && s.Load.Workers > 0 {
-			largest.CPU = max(largest.CPU, s.Load.Largest.CPU)
-			largest.Memory = max(largest.Memory, s.Load.Largest.Memory)
-			largest.Accelerators = max(largest.Accelerators, s.Load.Largest.Accelerators)
+			largest.CPU = max(largest.CPU, s.Load.MaxCapacity.CPU)
+			largest.Memory = max(largest.Memory, s.Load.MaxCapacity.Memory)
+			largest.Accelerators = max(largest.Accelerators, s.Load.MaxCapacity.Accelerators)
 		}
 	}
 	if largest.IsZero() {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -85,7 +85,7 @@
 
 func TestSizesThatNoWorkerHas(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
-		s.load.Largest = describer.Resources{CPU: 900, Memory: 100}
+		s.load.MaxCapacity = describer.Resources{CPU: 900, Memory: 100}
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusBadRequest))
 		g.Expect(e.Field).To(Equal("steps[0].needs"))
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -186,7 +186,7 @@
 	Workers  int                 `json:"workers"`
 	Capacity describer.Resources `json:"capacity"`
 	Free     describer.Resources `json:"free"`
-	Largest  describer.Resources `json:"largest"` // most that any worker has of each kind
+	MaxCapacity  describer.Resources `json:"largest"` // most that any worker has of each kind
 	FiniteCPU  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
 	LastingCPU  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
 	LastingLimit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
