--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -27,7 +27,7 @@
 			ID: id, Incarnation: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
 		})
 	}
-	d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
+	d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
 	for _, id := range workers {
 		d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 	}
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -171,7 +171,7 @@
 	switch e := event.(type) {
 	case Tick:
 		s.tick()
-	case Configured:
+	case CatalogUpdated:
 		s.configure(e.Catalog)
 	case WorkersListed:
 		s.listWorkers(e.Workers)
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -13,8 +13,8 @@
 // Tick lets time pass.
 type Tick struct{}
 
-// Configured delivers a version of the operators' configuration.
-type Configured struct{ Catalog *specifier.Catalog }
+// CatalogUpdated delivers a version of the operators' configuration.
+type CatalogUpdated struct{ Catalog *specifier.Catalog }
 
 // WorkersListed delivers the registered workers of the shard.
 type WorkersListed struct{ Workers []specifier.Worker }
@@ -104,7 +104,7 @@
 type OwnershipChecked struct{ Confirmed bool }
 
 func (Tick) event()          {}
-func (Configured) event()    {}
+func (CatalogUpdated) event()    {}
 func (WorkersListed) event() {}
 func (JobLoaded) event()     {}
 func (JobArrived) event()    {}
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -17,7 +17,7 @@
 
 	It("starts nothing on a worker before a commit names it", func() {
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage}, epoch)
-		effects := s.Reduce(epoch, Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
+		effects := s.Reduce(epoch, CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		held := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}}
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1"}))))
@@ -30,7 +30,7 @@
 	It("starts nothing inherited before the workers of its predecessor have answered", func() {
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"gone"}}, epoch)
 		d := &desk{Shard: s}
-		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
+		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
@@ -92,7 +92,7 @@
 			Released: true, Leftovers: left,
 		}, epoch)
 		d := &desk{Shard: s}
-		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
+		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
@@ -115,7 +115,7 @@
 		d := &desk{Shard: s}
 		job := oneStep(1, nil)
 		job.Steps = append(job.Steps, specifier.Step{Count: 1, Needs: resources(1000), Estimate: time.Second, After: []int{0}})
-		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
+		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
 			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
@@ -137,7 +137,7 @@
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"w1", "w2"}}, epoch)
 		d := &desk{Shard: s}
 		room := describer.Resources{CPU: 4000, Memory: 1000}
-		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
+		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: room}, {ID: "w2", Incarnation: 1, Capacity: room}, {ID: "w3", Incarnation: 1, Capacity: room}}})
 		d.do(PollAnswered{Worker: "w3", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{
@@ -220,7 +220,7 @@
 	It("gives up waiting for inherited runs only while the store confirms the ownership", func() {
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: 3 * worldOutage, Epoch: 1, Released: true, Leftovers: []recorder.WorkerLease{{Worker: "gone"}}}, epoch)
 		d := &desk{Shard: s}
-		d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
+		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
 		d.now = d.now.Add(2 * time.Second)
 		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -170,7 +170,7 @@
 	w.released, w.left = false, nil
 	w.owner = o
 	w.note("claim %d", o.token)
-	events := []Event{Configured{Catalog: w.catalog}}
+	events := []Event{CatalogUpdated{Catalog: w.catalog}}
 	ids := sortedKeys(w.store)
 	for _, id := range ids {
 		if r := w.store[id]; !r.state.IsFinal() {
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -172,7 +172,7 @@
 		}
 	}
 	m.log.Info().Int64("version", c.Version).Int("queues", len(c.Queues)).Msg("configuration in force")
-	m.post(dispatcher.Configured{Catalog: c})
+	m.post(dispatcher.CatalogUpdated{Catalog: c})
 }
 
 // Catalog is the configuration in force.
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -207,7 +207,7 @@
 		progress[item.Key] = p
 	}
 	o := newOwned(m, t, fence, revision)
-	o.first = append(o.first, dispatcher.Configured{Catalog: m.Catalog()})
+	o.first = append(o.first, dispatcher.CatalogUpdated{Catalog: m.Catalog()})
 	for _, item := range items {
 		if o.isReplaced(item) {
 			return nil, fencer.ErrFenced
@@ -232,7 +232,7 @@
 
 func rank(event dispatcher.Event) int {
 	switch event.(type) {
-	case dispatcher.Configured:
+	case dispatcher.CatalogUpdated:
 		return 0
 	case dispatcher.JobCancelled:
 		return 2
