--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -65,7 +65,7 @@
 	Workers []string // that may have runs of an earlier ownership
 
 	Released  bool                // the predecessor has stopped as planned
-	Leftovers []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
+	WorkerLeases []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
 
 	Lease       time.Duration // granted to everything that runs on a worker with each renewal
 	OutageLimit time.Duration // how long an owner that can't reach the store goes on
@@ -123,7 +123,7 @@
 		contact:   now,
 	}
 	if o.Released {
-		for _, left := range o.Leftovers {
+		for _, left := range o.WorkerLeases {
 			s.inherited[left.Worker] = now.Add(left.Remaining)
 		}
 		return s
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -89,7 +89,7 @@
 		Expect(left[1].Remaining).To(BeNumerically("<=", stretch(worldLease)+lapseMargin))
 		s := New(Options{
 			Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1,
-			Released: true, Leftovers: left,
+			Released: true, WorkerLeases: left,
 		}, epoch)
 		d := &desk{Shard: s}
 		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
@@ -218,7 +218,7 @@
 	})
 
 	It("gives up waiting for inherited runs only while the store confirms the ownership", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: 3 * worldOutage, Epoch: 1, Released: true, Leftovers: []recorder.WorkerLease{{Worker: "gone"}}}, epoch)
+		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: 3 * worldOutage, Epoch: 1, Released: true, WorkerLeases: []recorder.WorkerLease{{Worker: "gone"}}}, epoch)
 		d := &desk{Shard: s}
 		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -163,7 +163,7 @@
 	o := &owner{world: w, token: w.token, alive: true, store: true, cut: make(map[*fakeWorker]bool)}
 	o.shard = New(Options{
 		Name: "desk", Service: "desk", Epoch: w.epoch, Workers: slices.Clone(w.used),
-		Released: w.released, Leftovers: w.left,
+		Released: w.released, WorkerLeases: w.left,
 		Lease: worldLease, OutageLimit: worldOutage, PollWait: 500 * time.Millisecond,
 	}, w.now)
 	w.epoch++
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -47,7 +47,7 @@
 	}
 	o.state = dispatcher.New(dispatcher.Options{
 		Name: t.name, Service: t.service, Domain: t.domain,
-		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, Leftovers: fence.Leftovers,
+		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.Leftovers,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
 		PollWait:    holdWait,
