--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -99,9 +99,9 @@
 	return len(w.runs) > 0 || len(w.ends) > 0 || !isSilent
 }
 
-// Leftovers returns what a successor has to know of a shard that ends at now:
+// WorkerLeases returns what a successor has to know of a shard that ends at now:
 // the workers that may have runs, and for how long leases there may go on.
-func (s *Shard) Leftovers(now time.Time) []recorder.WorkerLease {
+func (s *Shard) WorkerLeases(now time.Time) []recorder.WorkerLease {
 	used := s.usedWorkers()
 	left := make([]recorder.WorkerLease, 0, len(used))
 	for _, id := range used {
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -81,7 +81,7 @@
 		before := newDesk(queue, "w1", "gone")
 		before.pass(time.Second)
 		before.do(PollAnswered{Worker: "w1", Sent: before.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
-		left := before.Leftovers(before.now)
+		left := before.WorkerLeases(before.now)
 		Expect(left).To(HaveLen(2))
 		Expect(left[0].Worker).To(Equal("gone"))
 		lapse := left[0].Remaining
@@ -104,7 +104,7 @@
 
 	It("leaves behind how long its own predecessor may go on", func() {
 		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"gone"}}, epoch)
-		left := s.Leftovers(epoch.Add(time.Second))
+		left := s.WorkerLeases(epoch.Add(time.Second))
 		Expect(left).To(HaveLen(1))
 		Expect(left[0].Worker).To(Equal("gone"))
 		Expect(left[0].Remaining).To(BeNumerically(">", worldOutage))
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -194,7 +194,7 @@
 	}
 	w.note("owner %d stops as planned", o.token)
 	o.alive = false
-	w.left, w.released = o.shard.Leftovers(w.now), true
+	w.left, w.released = o.shard.WorkerLeases(w.now), true
 	w.used = nil
 	for _, left := range w.left {
 		w.used = append(w.used, left.Worker)
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -136,7 +136,7 @@
 func (o *owned) release(ctx context.Context) {
 	o.lose("planned stop")
 	<-o.done
-	left := o.state.Leftovers(time.Now())
+	left := o.state.WorkerLeases(time.Now())
 	limited, cancel := context.WithTimeout(ctx, releaseTime)
 	defer cancel()
 	o.m.noteRelease(o.fence, o.fence.Release(limited, recorder.OwnerKey(o.target.name), left))
