--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -285,8 +285,8 @@
 // Jobs counts the jobs that have not ended.
 func (s *Shard) Jobs() int { return len(s.jobs) }
 
-// State is a job's state. It is false for a job that is not here.
-func (s *Shard) State(id string) (specifier.State, bool) {
+// JobState is a job's state. It is false for a job that is not here.
+func (s *Shard) JobState(id string) (specifier.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return "", false
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -67,7 +67,7 @@
 func (o *owned) jobState(id string) (specifier.State, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.state.State(id)
+	return o.state.JobState(id)
 }
 
 // run feeds the state until the shard is lost or ctx ends.
