--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -282,8 +282,8 @@
 // isSettled reports whether it is known of every inherited run where it is.
 func (s *Shard) isSettled() bool { return len(s.inherited) == 0 && s.listed }
 
-// Jobs counts the jobs that have not ended.
-func (s *Shard) Jobs() int { return len(s.jobs) }
+// JobCount counts the jobs that have not ended.
+func (s *Shard) JobCount() int { return len(s.jobs) }
 
 // JobState is a job's state. It is false for a job that is not here.
 func (s *Shard) JobState(id string) (specifier.State, bool) {
