--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -66,7 +66,7 @@
 // PollFailed is the outcome of a HoldWorker without an inventory.
 type PollFailed struct {
 	Worker string
-	Born   int64
+	Incarnation   int64
 	Fault  Fault
 }
 
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -52,7 +52,7 @@
 			d.pass(250 * time.Millisecond)
 			for _, h := range taken[PollWorker](d) {
 				if h.Worker.ID == "w2" {
-					d.do(PollFailed{Worker: "w2", Born: 1, Fault: OutcomeUnknown})
+					d.do(PollFailed{Worker: "w2", Incarnation: 1, Fault: OutcomeUnknown})
 				}
 			}
 			answers("w1")
@@ -66,7 +66,7 @@
 		Expect(commits).NotTo(BeEmpty())
 		Expect(commits[0].Workers).To(Equal([]string{"w1"}))
 
-		d.do(PollFailed{Worker: "w1", Born: 1, Fault: OutcomeUnknown})
+		d.do(PollFailed{Worker: "w1", Incarnation: 1, Fault: OutcomeUnknown})
 		second := oneStep(1, nil)
 		second.ID = "0000000000000001"
 		effects := d.Reduce(d.now.Add(100*time.Millisecond), JobArrived{Job: second},
@@ -189,7 +189,7 @@
 			d.pass(250 * time.Millisecond)
 			for _, h := range taken[PollWorker](d) {
 				if h.Worker.ID == start.Worker.ID {
-					d.do(PollFailed{Worker: h.Worker.ID, Born: 1, Fault: OutcomeUnknown})
+					d.do(PollFailed{Worker: h.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
 				}
 			}
 			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
@@ -209,7 +209,7 @@
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
 		for range 28 { // 7 s, less than worldOutage
 			d.now = d.now.Add(250 * time.Millisecond)
-			d.do(Tick{}, PollFailed{Worker: start.Worker.ID, Born: 1, Fault: OutcomeUnknown})
+			d.do(Tick{}, PollFailed{Worker: start.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
 			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
 		}
 		Expect(taken[StartRun](d)).To(BeEmpty())
@@ -269,7 +269,7 @@
 
 	It("stops when a worker has seen a later owner", func() {
 		d := newDesk(queue, "w1")
-		d.do(PollFailed{Worker: "w1", Born: 1, Fault: Fenced})
+		d.do(PollFailed{Worker: "w1", Incarnation: 1, Fault: Fenced})
 		Expect(taken[Resign](d)).To(HaveLen(1))
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		Expect(taken[StartRun](d)).To(BeEmpty())
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -274,10 +274,10 @@
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			inventory, fault := m.hold(o.token, e)
 			if fault != NoFault {
-				return PollFailed{Worker: m.id, Born: e.Worker.Incarnation, Fault: fault}
+				return PollFailed{Worker: m.id, Incarnation: e.Worker.Incarnation, Fault: fault}
 			}
 			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
-		}, PollFailed{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Fault: OutcomeUnknown})
+		}, PollFailed{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Fault: OutcomeUnknown})
 	}
 }
 
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -269,7 +269,7 @@
 			o.post(dispatcher.PollAnswered{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
 			return
 		}
-		o.post(dispatcher.PollFailed{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Fault: fault})
+		o.post(dispatcher.PollFailed{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Fault: fault})
 	}
 }
 
