--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -103,7 +103,7 @@
 		starts := taken[StartRun](d)
 		Expect(starts).To(HaveLen(4))
 		d.pass(time.Second)
-		d.do(StartAnswered{Worker: "w1", Born: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
+		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
 		d.pass(time.Second)
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -25,7 +25,7 @@
 				d.do(JobArrived{Job: job})
 				start := taken[StartRun](d)[0]
 				d.effects = d.effects[:0]
-				d.do(StartAnswered{Worker: start.Worker.ID, Born: 1, Task: start.Task, Run: start.Run})
+				d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: start.Run})
 				d.now = d.now.Add(50 * time.Millisecond)
 				numbers[start.Worker.ID]++
 				d.do(PollAnswered{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -73,7 +73,7 @@
 // StartAnswered is the outcome of a StartRun.
 type StartAnswered struct {
 	Worker string
-	Born   int64
+	Incarnation   int64
 	Task   specifier.TaskID
 	Run    int64
 	Fault  Fault
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -267,7 +267,7 @@
 		return nil
 	}
 	r := w.runs[e.Task]
-	if r == nil || r.number != e.Run || r.phase != phase || e.Born != w.reg.Incarnation {
+	if r == nil || r.number != e.Run || r.phase != phase || e.Incarnation != w.reg.Incarnation {
 		return nil
 	}
 	return r
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -60,7 +60,7 @@
 		taken[Commit](d)
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: "w1", Born: 1, Task: start.Task, Run: start.Run})
+		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: start.Task, Run: start.Run})
 		d.pass(100 * time.Millisecond)
 		commits := taken[Commit](d)
 		Expect(commits).NotTo(BeEmpty())
@@ -125,7 +125,7 @@
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
 		again := taken[StartRun](d)
 		Expect(again).To(HaveLen(1), "its only run is known")
-		d.do(StartAnswered{Worker: "w1", Born: 1, Task: first, Run: again[0].Run})
+		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: first, Run: again[0].Run})
 		d.pass(time.Second)
 		end = specifier.End{Number: 2, Task: first, Run: again[0].Run, Outcome: specifier.OutcomeDone}
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
@@ -183,7 +183,7 @@
 		d := newDesk(queue, "w1", "w2")
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: start.Worker.ID, Born: 1, Task: start.Task, Run: 1})
+		d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
 		for range 40 {
 			d.pass(250 * time.Millisecond)
@@ -205,7 +205,7 @@
 		d := newDesk(queue, "w1", "w2")
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: start.Worker.ID, Born: 1, Task: start.Task, Run: 1})
+		d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
 		for range 28 { // 7 s, less than worldOutage
 			d.now = d.now.Add(250 * time.Millisecond)
@@ -238,7 +238,7 @@
 		starts := taken[StartRun](d)
 		Expect(starts).To(HaveLen(2))
 		for _, s := range starts {
-			d.do(StartAnswered{Worker: s.Worker.ID, Born: 1, Task: s.Task, Run: 1})
+			d.do(StartAnswered{Worker: s.Worker.ID, Incarnation: 1, Task: s.Task, Run: 1})
 		}
 		d.now = d.now.Add(time.Second)
 		d.do(PollAnswered{Worker: starts[0].Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -262,8 +262,8 @@
 		w.after(w.delay(), func() { o.commit(e) })
 	case StartRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StartAnswered{Worker: m.id, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
-		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
+			return StartAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
+		}, StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			return StopAnswered{Worker: m.id, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -243,7 +243,7 @@
 		fault := o.m.workers.Start(limited, token, e)
 		o.m.metrics.starts.RecordDuration(time.Since(began))
 		o.m.metrics.fault("start", fault)
-		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.StopRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
