--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -82,7 +82,7 @@
 // StopAnswered is the outcome of a StopRun.
 type StopAnswered struct {
 	Worker string
-	Born   int64
+	Incarnation   int64
 	Task   specifier.TaskID
 	Run    int64
 	Fault  Fault
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -173,7 +173,7 @@
 		Expect(taken[StopRun](d)).To(HaveLen(1))
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(StopAnswered{Worker: "w1", Born: 1, Task: strange.Task, Run: 1})
+		d.do(StopAnswered{Worker: "w1", Incarnation: 1, Task: strange.Task, Run: 1})
 		d.now = d.now.Add(time.Second)
 		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		Expect(taken[StartRun](d)).To(HaveLen(1))
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -266,8 +266,8 @@
 		}, StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StopAnswered{Worker: m.id, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
-		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
+			return StopAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
+		}, StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
 	case PollWorker:
 		sent := w.now
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -249,7 +249,7 @@
 		defer cancel()
 		fault := o.m.workers.Stop(limited, token, e)
 		o.m.metrics.fault("stop", fault)
-		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.PaceRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
