--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -178,8 +178,8 @@
 // Catalog is the configuration in force.
 func (m *Manager) Catalog() *specifier.Catalog { return m.catalog.Load() }
 
-// Contact is when the store last answered.
-func (m *Manager) Contact() time.Time { return time.Unix(0, m.contact.Load()) }
+// LastContact is when the store last answered.
+func (m *Manager) LastContact() time.Time { return time.Unix(0, m.contact.Load()) }
 
 func (m *Manager) reached() { m.contact.Store(time.Now().UnixNano()) }
 
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -53,7 +53,7 @@
 	View() manager.View
 	Cancelled(shard, id string)
 	JobState(shard, id string) (specifier.State, bool)
-	Contact() time.Time // when the store last answered
+	LastContact() time.Time // when the store last answered
 }
 
 // Store is the part of the store that the receiver uses.
@@ -113,7 +113,7 @@
 	if !r.isStoreUp() {
 		r.count(queue.Name, "unreachable")
 		r.log.Info().Str("job", job.ID).Str("reason", "store not reached").
-			Dur("age", time.Since(r.shards.Contact())).Msg("job refused")
+			Dur("age", time.Since(r.shards.LastContact())).Msg("job refused")
 		return r.unreachable(&classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "not tried"})
 	}
 	decision := r.admit(queue, &job)
@@ -152,7 +152,7 @@
 func (r *Receiver) isStoreUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	contact := r.shards.Contact()
+	contact := r.shards.LastContact()
 	return contact.After(r.failed) && time.Since(contact) < contactLimit
 }
 
