--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -37,8 +37,8 @@
 	Text   string
 }
 
-func (AskAdvice) effect() {}
-func (AdviceAnswered) event()    {}
+func (AskAdvice) effect()     {}
+func (AdviceAnswered) event() {}
 
 // advice is what is known of the workers that may run a step.
 type advice struct {
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -64,7 +64,7 @@
 	Epoch   int64    // number of ownerships before this one
 	Workers []string // that may have runs of an earlier ownership
 
-	Released  bool                // the predecessor has stopped as planned
+	Released     bool                   // the predecessor has stopped as planned
 	WorkerLeases []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
 
 	Lease       time.Duration // granted to everything that runs on a worker with each renewal
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -44,17 +44,17 @@
 
 // Faults.
 const (
-	NoFault   Fault = iota
-	OutcomeUnknown         // no answer: the order may have been carried out, or may be yet
-	Fenced          // a higher token was seen there
-	StaleRun           // the run is not higher than one that ended there
-	LeaseExpired            // the lease had ended
-	NoRoom          // the worker has no room
-	InvalidTicket        // the ticket is not valid
-	InvalidOrder         // the worker could not read the order
-	Unhealthy       // refused by an unhealthy worker; nothing was done
-	WorkerRestarted          // another life answers at the address
-	NotSent          // nothing reached the worker
+	NoFault         Fault = iota
+	OutcomeUnknown        // no answer: the order may have been carried out, or may be yet
+	Fenced                // a higher token was seen there
+	StaleRun              // the run is not higher than one that ended there
+	LeaseExpired          // the lease had ended
+	NoRoom                // the worker has no room
+	InvalidTicket         // the ticket is not valid
+	InvalidOrder          // the worker could not read the order
+	Unhealthy             // refused by an unhealthy worker; nothing was done
+	WorkerRestarted       // another life answers at the address
+	NotSent               // nothing reached the worker
 )
 
 func (f Fault) String() string {
@@ -65,27 +65,27 @@
 
 // PollFailed is the outcome of a HoldWorker without an inventory.
 type PollFailed struct {
-	Worker string
-	Incarnation   int64
-	Fault  Fault
+	Worker      string
+	Incarnation int64
+	Fault       Fault
 }
 
 // StartAnswered is the outcome of a StartRun.
 type StartAnswered struct {
-	Worker string
-	Incarnation   int64
-	Task   specifier.TaskID
-	Run    int64
-	Fault  Fault
+	Worker      string
+	Incarnation int64
+	Task        specifier.TaskID
+	Run         int64
+	Fault       Fault
 }
 
 // StopAnswered is the outcome of a StopRun.
 type StopAnswered struct {
-	Worker string
-	Incarnation   int64
-	Task   specifier.TaskID
-	Run    int64
-	Fault  Fault
+	Worker      string
+	Incarnation int64
+	Task        specifier.TaskID
+	Run         int64
+	Fault       Fault
 }
 
 // PaceAnswered is the outcome of a PaceRun.
@@ -103,19 +103,19 @@
 // false, that it is in doubt: nothing is ordered until it is confirmed.
 type OwnershipChecked struct{ Confirmed bool }
 
-func (Tick) event()          {}
-func (CatalogUpdated) event()    {}
-func (WorkersListed) event() {}
-func (JobLoaded) event()     {}
-func (JobArrived) event()    {}
-func (JobCancelled) event()  {}
-func (PollAnswered) event()          {}
-func (PollFailed) event()    {}
-func (StartAnswered) event() {}
-func (StopAnswered) event()  {}
-func (PaceAnswered) event()  {}
-func (Committed) event()     {}
-func (OwnershipChecked) event()  {}
+func (Tick) event()             {}
+func (CatalogUpdated) event()   {}
+func (WorkersListed) event()    {}
+func (JobLoaded) event()        {}
+func (JobArrived) event()       {}
+func (JobCancelled) event()     {}
+func (PollAnswered) event()     {}
+func (PollFailed) event()       {}
+func (StartAnswered) event()    {}
+func (StopAnswered) event()     {}
+func (PaceAnswered) event()     {}
+func (Committed) event()        {}
+func (OwnershipChecked) event() {}
 
 // Effect is something to be done outside the state.
 type Effect interface{ effect() }
@@ -128,7 +128,7 @@
 	Payload    string
 	Checkpoint string
 	Ticket     string        // if the queue needs advice
-	LeaseEnd      time.Duration // by the worker's clock: its lease
+	LeaseEnd   time.Duration // by the worker's clock: its lease
 }
 
 // StopRun asks a worker to stop a run. The answer is StopAnswered.
@@ -150,10 +150,10 @@
 // PollWorker renews the lease on everything that runs on a worker, and lists
 // it. The answer is Held or HoldFailed.
 type PollWorker struct {
-	Worker   specifier.Worker
+	Worker       specifier.Worker
 	Acknowledged int64         // ends up to this number are durable
-	LeaseEnd    time.Duration // by the worker's clock: the lease; 0 before the first answer
-	Wait     time.Duration // for an end
+	LeaseEnd     time.Duration // by the worker's clock: the lease; 0 before the first answer
+	Wait         time.Duration // for an end
 }
 
 // Commit makes changes durable. The answer is Committed.
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -10,7 +10,7 @@
 // MoveJob hands a job of which nothing has run to another shard of the service
 // that has room for its lasting tasks.
 type MoveJob struct {
-	Job     specifier.Job
+	Job        specifier.Job
 	LastingCPU int64 // CPU that its tasks reserve, millicores
 }
 
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -33,12 +33,12 @@
 	job := specifier.Job{ID: id}
 	for i := range rapid.IntRange(1, 3).Draw(t, "steps of job") {
 		step := specifier.Step{
-			Count:      rapid.IntRange(1, 5).Draw(t, "count"),
-			Needs:      resources(int64(rapid.IntRange(1, 30).Draw(t, "cpu")) * 100),
-			Estimate:   time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond,
-			Checkpoint: rapid.Bool().Draw(t, "checkpoint"),
-			MaxPerWorker:     rapid.IntRange(0, 2).Draw(t, "spread"),
-			Lasting:    rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
+			Count:        rapid.IntRange(1, 5).Draw(t, "count"),
+			Needs:        resources(int64(rapid.IntRange(1, 30).Draw(t, "cpu")) * 100),
+			Estimate:     time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond,
+			Checkpoint:   rapid.Bool().Draw(t, "checkpoint"),
+			MaxPerWorker: rapid.IntRange(0, 2).Draw(t, "spread"),
+			Lasting:      rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
 		}
 		if i > 0 && !job.Steps[i-1].Lasting {
 			step.After = []int{i - 1}
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -39,13 +39,13 @@
 	token   int64
 	catalog *specifier.Catalog
 
-	store    map[string]*record  // jobs by id
-	used     []string            // workers named by the last commit
-	released bool                // the last owner has stopped as planned
+	store    map[string]*record     // jobs by id
+	used     []string               // workers named by the last commit
+	released bool                   // the last owner has stopped as planned
 	left     []recorder.WorkerLease // by it
-	lose     float64             // share of calls whose answer is lost
-	late     float64             // share of calls that are carried out seconds later, unanswered
-	faulty   float64             // share of runs that fail
+	lose     float64                // share of calls whose answer is lost
+	late     float64                // share of calls that are carried out seconds later, unanswered
+	faulty   float64                // share of runs that fail
 	rules    rules
 	history  []string
 }
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -15,15 +15,15 @@
 
 // View is what a daemon knows of all shards.
 type View struct {
-	ReadAt    time.Time // when it was last read or confirmed; zero before the first time
+	ReadAt  time.Time // when it was last read or confirmed; zero before the first time
 	Shards  map[string]ShardView
 	Layouts map[string]recorder.Layout // by service
 }
 
 // ShardView is what a daemon knows of one shard.
 type ShardView struct {
-	Owner    string // daemon; empty without an owner
-	Load     recorder.Load
+	Owner        string // daemon; empty without an owner
+	Load         recorder.Load
 	LoadReceived time.Time // when the load came
 }
 
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -37,7 +37,7 @@
 
 func (s *shards) Cancelled(_, id string)                          { s.cancelled = append(s.cancelled, id) }
 func (s *shards) JobState(string, string) (specifier.State, bool) { return "", false }
-func (s *shards) LastContact() time.Time                              { return s.contact() }
+func (s *shards) LastContact() time.Time                          { return s.contact() }
 
 var queue = specifier.Queue{Name: "menus", Service: "desk", Slack: 2, Completion: time.Second}
 
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -146,19 +146,19 @@
 type Fence struct {
 	Owner   string   `json:"owner"`
 	Epoch   int64    `json:"epoch"`             // number of claims before this one
-	WriteID   string   `json:"write"`             // identifies the write; a random id
+	WriteID string   `json:"write"`             // identifies the write; a random id
 	Workers []string `json:"workers,omitempty"` // that may have runs of this shard
 
 	// Released is that the owner has stopped as planned; Leftovers then stand
 	// in place of Workers.
-	Released  bool       `json:"released,omitempty"`
+	Released     bool          `json:"released,omitempty"`
 	WorkerLeases []WorkerLease `json:"leftovers,omitempty"`
 }
 
 // WorkerLease is a worker that may have runs of an owner that has stopped as planned.
 type WorkerLease struct {
-	Worker string        `json:"worker"`
-	Remaining  time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
+	Worker    string        `json:"worker"`
+	Remaining time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
 }
 
 // Claim identifies an ownership.
@@ -180,21 +180,21 @@
 
 // Load is an owner's summary of its shard for other entry hosts.
 type Load struct {
-	Service  string              `json:"service"`
-	Domain   string              `json:"domain,omitempty"` // empty: of all failure domains
-	MadeAt     time.Time           `json:"made"`
-	Workers  int                 `json:"workers"`
-	Capacity describer.Resources `json:"capacity"`
-	Free     describer.Resources `json:"free"`
+	Service      string              `json:"service"`
+	Domain       string              `json:"domain,omitempty"` // empty: of all failure domains
+	MadeAt       time.Time           `json:"made"`
+	Workers      int                 `json:"workers"`
+	Capacity     describer.Resources `json:"capacity"`
+	Free         describer.Resources `json:"free"`
 	MaxCapacity  describer.Resources `json:"largest"` // most that any worker has of each kind
-	FiniteCPU  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
-	LastingCPU  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
-	LastingLimit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
-	UnusedCPU   int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
-	FillerCPU  int64               `json:"fillers"` // CPU that running fillers asked for, millicores
-	Queues   []QueueLoad         `json:"queues,omitempty"`
-	Backlog  []Backlog           `json:"backlog,omitempty"`
-	Labels   []string            `json:"labels,omitempty"`
+	FiniteCPU    int64               `json:"turning"` // CPU of counted tasks that will end, millicores
+	LastingCPU   int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
+	LastingLimit int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
+	UnusedCPU    int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
+	FillerCPU    int64               `json:"fillers"` // CPU that running fillers asked for, millicores
+	Queues       []QueueLoad         `json:"queues,omitempty"`
+	Backlog      []Backlog           `json:"backlog,omitempty"`
+	Labels       []string            `json:"labels,omitempty"`
 }
 
 // QueueLoad counts a queue's jobs in a shard.
@@ -205,9 +205,9 @@
 
 // Backlog is the work that waits in a shard at one priority.
 type Backlog struct {
-	Priority int   `json:"priority"`
-	FiniteWork  int64 `json:"counted"` // millicore-seconds that need room
-	FillerWork   int64 `json:"filler"`  // millicore-seconds of fillers
+	Priority   int   `json:"priority"`
+	FiniteWork int64 `json:"counted"` // millicore-seconds that need room
+	FillerWork int64 `json:"filler"`  // millicore-seconds of fillers
 }
 
 // Encode is the stored form of a record.
--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -31,17 +31,17 @@
 
 // Advice is how the service answers that knows which workers may run a step.
 type Advice struct {
-	Needed    bool
-	RequestTime  time.Duration // of one call
+	Needed        bool
+	RequestTime   time.Duration // of one call
 	PerWorkerTime time.Duration // more for each worker named
-	Validity  time.Duration // of a ticket
+	Validity      time.Duration // of a ticket
 }
 
 // Service is a pool of workers.
 type Service struct {
-	Name    string
+	Name            string
 	RejectsOverload bool // its workers refuse what exceeds their capacity
-	Standby bool // its hosts are off
+	Standby         bool // its hosts are off
 }
 
 // Limits bound callers' connections. Zero is no limit.
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -20,36 +20,36 @@
 // Job is a unit of submission. ID is chosen by the caller and makes the
 // submission idempotent.
 type Job struct {
-	ID       string        `json:"id"`
-	Queue    string        `json:"queue"`
-	Payload  string        `json:"payload,omitempty"` // handed to every task
-	Steps    []Step        `json:"steps"`
-	Repeat   int           `json:"repeat,omitempty"` // occurrences; 0 is once, at once
-	First    time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
-	Every    time.Duration `json:"every,omitempty"`  // between due times
-	Accepted time.Time     `json:"accepted,omitzero"`
-	FormerShards   []string      `json:"former,omitempty"` // shards that have handed it on
+	ID           string        `json:"id"`
+	Queue        string        `json:"queue"`
+	Payload      string        `json:"payload,omitempty"` // handed to every task
+	Steps        []Step        `json:"steps"`
+	Repeat       int           `json:"repeat,omitempty"` // occurrences; 0 is once, at once
+	First        time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
+	Every        time.Duration `json:"every,omitempty"`  // between due times
+	Accepted     time.Time     `json:"accepted,omitzero"`
+	FormerShards []string      `json:"former,omitempty"` // shards that have handed it on
 }
 
 // Step is a number of equal tasks.
 type Step struct {
-	Count      int                 `json:"count"`
-	Needs      describer.Resources `json:"needs"` // of each task
-	Estimate   time.Duration       `json:"estimate,omitempty"`
-	After      []int               `json:"after,omitempty"` // earlier steps that must have completed
-	Checkpoint bool                `json:"checkpoint,omitempty"`
-	Gang       bool                `json:"gang,omitempty"`       // tasks run only together and end together
-	TightlyCoupled      bool                `json:"tight,omitempty"`      // slower on more than one rack
-	Label      string              `json:"label,omitempty"`      // that the worker must have
-	PreferredRack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
-	MaxPerWorker     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
+	Count           int                 `json:"count"`
+	Needs           describer.Resources `json:"needs"` // of each task
+	Estimate        time.Duration       `json:"estimate,omitempty"`
+	After           []int               `json:"after,omitempty"` // earlier steps that must have completed
+	Checkpoint      bool                `json:"checkpoint,omitempty"`
+	Gang            bool                `json:"gang,omitempty"`       // tasks run only together and end together
+	TightlyCoupled  bool                `json:"tight,omitempty"`      // slower on more than one rack
+	Label           string              `json:"label,omitempty"`      // that the worker must have
+	PreferredRack   string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
+	MaxPerWorker    int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
 	AllowDuplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
-	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
-	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
-	LatencyTarget     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
-	Filler     bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
-	MaxUnavailable       int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
-	Budgeted   bool                `json:"budgeted,omitempty"`   // Away is in force
+	Lasting         bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
+	Image           string              `json:"image,omitempty"`      // tasks of one image behave alike
+	LatencyTarget   time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
+	Filler          bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
+	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
+	Budgeted        bool                `json:"budgeted,omitempty"`   // Away is in force
 }
 
 // State is a job's state as callers see it.
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -60,7 +60,7 @@
 	// the former owner.
 	Workers []string
 
-	Released  bool                // the former owner had stopped as planned when this one claimed
+	Released  bool                   // the former owner had stopped as planned when this one claimed
 	Leftovers []recorder.WorkerLease // after such a stop: for how long leases on Workers may go on
 
 	store    Store
