--- a/internal/job/dispatcher/bench_test.go
+++ b/internal/job/dispatcher/bench_test.go
@@ -25,14 +25,14 @@
 				d.do(JobArrived{Job: job})
 				start := taken[StartRun](d)[0]
 				d.effects = d.effects[:0]
-				d.do(StartAnswered{Worker: start.Worker.ID, Born: 1, Task: start.Task, Run: start.Run})
+				d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: start.Run})
 				d.now = d.now.Add(50 * time.Millisecond)
 				numbers[start.Worker.ID]++
-				d.do(Held{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
-					Born: 1, Clock: d.now.Sub(epoch),
-					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.Done}},
+				d.do(PollAnswered{Worker: start.Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
+					Incarnation: 1, Clock: d.now.Sub(epoch),
+					Ended: []specifier.End{{Number: numbers[start.Worker.ID], Task: start.Task, Run: start.Run, Outcome: specifier.OutcomeDone}},
 				}})
-				d.do(StoreReached{OK: true})
+				d.do(OwnershipChecked{Confirmed: true})
 				d.effects = d.effects[:0]
 			}
 		})
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -16,17 +16,17 @@
 )
 
 // held takes in a worker's inventory.
-func (s *Shard) held(e Held) {
+func (s *Shard) held(e PollAnswered) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	w.holding = false
-	if e.Inventory.Born > w.reg.Born {
-		s.rebirth(w, e.Inventory.Born)
+	if e.Inventory.Incarnation > w.reg.Incarnation {
+		s.rebirth(w, e.Inventory.Incarnation)
 		w.holding = false
 	}
-	if e.Inventory.Born != 0 && e.Inventory.Born < w.reg.Born {
+	if e.Inventory.Incarnation != 0 && e.Inventory.Incarnation < w.reg.Incarnation {
 		return
 	}
 	if w.failing > 0 {
@@ -89,14 +89,14 @@
 // the change has to be durable before the end is acknowledged.
 func (s *Shard) applyEnd(w *worker, t *task, end specifier.End) bool {
 	switch end.Outcome {
-	case specifier.Done:
+	case specifier.OutcomeDone:
 		w.faults = 0
 		if t.step.spec.Lasting {
 			return false
 		}
 		s.completeAll(w, t)
 		return true
-	case specifier.Faulty:
+	case specifier.OutcomeFailed:
 		s.suspect(w)
 		s.fail(t, w, end.Run)
 		return true
@@ -140,7 +140,7 @@
 }
 
 // takeActive compares the runs that a worker lists with those it should have.
-func (s *Shard) takeActive(w *worker, e Held) {
+func (s *Shard) takeActive(w *worker, e PollAnswered) {
 	listed := make(map[specifier.TaskID]int64, len(e.Inventory.Active))
 	for _, a := range e.Inventory.Active {
 		listed[a.Task] = a.Number
@@ -169,11 +169,11 @@
 	if r.phase == starting || r.phase == unsettled {
 		s.begin(r)
 	}
-	if r.percent != a.Percent {
+	if r.percent != a.ProgressPercent {
 		r.moved = s.now
 	}
-	r.percent = a.Percent
-	r.figure = a.Figure
+	r.percent = a.ProgressPercent
+	r.figure = a.Metric
 	if r.task != nil && a.Checkpoint != "" {
 		r.task.checkpoint = a.Checkpoint
 	}
@@ -195,7 +195,7 @@
 // has no use for it.
 func (s *Shard) adopt(w *worker, a specifier.Run) {
 	t := s.find(a.Task)
-	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.Percent, figure: a.Figure, pace: unknownPace}
+	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.ProgressPercent, figure: a.Metric, pace: unknownPace}
 	if t != nil {
 		r.needs = t.step.needs
 		t.number = max(t.number, a.Number)
@@ -267,7 +267,7 @@
 		return nil
 	}
 	r := w.runs[e.Task]
-	if r == nil || r.number != e.Run || r.phase != phase || e.Born != w.reg.Born {
+	if r == nil || r.number != e.Run || r.phase != phase || e.Incarnation != w.reg.Incarnation {
 		return nil
 	}
 	return r
@@ -286,7 +286,7 @@
 		Message: "start not done", Task: e.Task.String(), Job: e.Task.Job, Worker: e.Worker, Run: e.Run,
 		Reason: e.Fault.String(), Age: s.now.Sub(r.ordered),
 	})
-	if e.Fault == Unknown {
+	if e.Fault == OutcomeUnknown {
 		r.phase = unsettled
 		r.settled = s.now
 		return
@@ -295,7 +295,7 @@
 	r.task.later = s.now.Add(orderRetry)
 	w.avoided = s.now.Add(refusedWait)
 	s.drop(r)
-	if e.Fault == Reborn {
+	if e.Fault == WorkerRestarted {
 		w.synced = false
 	}
 }
@@ -305,7 +305,7 @@
 	if r == nil {
 		return
 	}
-	if e.Fault == NoFault || e.Fault == Stale {
+	if e.Fault == NoFault || e.Fault == StaleRun {
 		r.settled = s.now
 	}
 }
@@ -346,7 +346,7 @@
 			continue
 		}
 		spec := r.task.step.spec
-		leaves := spec.Checkpoint && w.reg.Left > 0 && w.reg.Left < checkpointNotice
+		leaves := spec.Checkpoint && w.reg.Remaining > 0 && w.reg.Remaining < checkpointNotice
 		if (spec.Lasting || leaves) && s.hasRoom(r, anyWorker) {
 			s.stopRun(r, "worker leaves")
 		}
--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -10,7 +10,7 @@
 
 // summarize reports the shard's load to other entry hosts.
 func (s *Shard) summarize() recorder.Load {
-	l := recorder.Load{Service: s.options.Service, Domain: s.options.Domain, Made: s.now}
+	l := recorder.Load{Service: s.options.Service, Domain: s.options.Domain, MadeAt: s.now}
 	for _, w := range s.roster {
 		if !w.isUsable(s.now) {
 			continue
@@ -19,20 +19,20 @@
 		l.Workers++
 		l.Capacity = l.Capacity.Add(w.reg.Capacity)
 		l.Free = l.Free.Add(room.Free)
-		l.Turning += w.used.counted.CPU - w.used.lasting
-		l.Lasting += w.used.lasting
-		l.Unused += max(room.UnusedCPU, 0)
-		l.Fillers += w.used.filler
-		l.Largest.CPU = max(l.Largest.CPU, w.reg.Capacity.CPU)
-		l.Largest.Memory = max(l.Largest.Memory, w.reg.Capacity.Memory)
-		l.Largest.Accelerators = max(l.Largest.Accelerators, w.reg.Capacity.Accelerators)
+		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
+		l.LastingCPU += w.used.lasting
+		l.UnusedCPU += max(room.UnusedCPU, 0)
+		l.FillerCPU += w.used.filler
+		l.MaxCapacity.CPU = max(l.MaxCapacity.CPU, w.reg.Capacity.CPU)
+		l.MaxCapacity.Memory = max(l.MaxCapacity.Memory, w.reg.Capacity.Memory)
+		l.MaxCapacity.Accelerators = max(l.MaxCapacity.Accelerators, w.reg.Capacity.Accelerators)
 		for _, label := range w.reg.Labels {
 			if !slices.Contains(l.Labels, label) {
 				l.Labels = append(l.Labels, label)
 			}
 		}
 	}
-	l.Limit = s.lastingLimit(l.Capacity.CPU)
+	l.LastingLimit = s.lastingLimit(l.Capacity.CPU)
 	s.countJobs(&l)
 	return l
 }
@@ -50,10 +50,10 @@
 		b := backlog[j.queue.Priority]
 		for _, st := range j.steps {
 			counted, filler := st.waitingWork()
-			b.Counted += counted
-			b.Filler += filler
+			b.FiniteWork += counted
+			b.FillerWork += filler
 			if st.spec.Lasting {
-				l.Lasting += int64(st.waiting) * st.needs.counted.CPU
+				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
 			}
 		}
 		backlog[j.queue.Priority] = b
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -39,13 +39,13 @@
 	token   int64
 	catalog *specifier.Catalog
 
-	store    map[string]*record  // jobs by id
-	used     []string            // workers named by the last commit
-	released bool                // the last owner has stopped as planned
-	left     []recorder.Leftover // by it
-	lose     float64             // share of calls whose answer is lost
-	late     float64             // share of calls that are carried out seconds later, unanswered
-	faulty   float64             // share of runs that fail
+	store    map[string]*record     // jobs by id
+	used     []string               // workers named by the last commit
+	released bool                   // the last owner has stopped as planned
+	left     []recorder.WorkerLease // by it
+	lose     float64                // share of calls whose answer is lost
+	late     float64                // share of calls that are carried out seconds later, unanswered
+	faulty   float64                // share of runs that fail
 	rules    rules
 	history  []string
 }
@@ -163,14 +163,14 @@
 	o := &owner{world: w, token: w.token, alive: true, store: true, cut: make(map[*fakeWorker]bool)}
 	o.shard = New(Options{
 		Name: "desk", Service: "desk", Epoch: w.epoch, Workers: slices.Clone(w.used),
-		Released: w.released, Leftovers: w.left,
-		Lease: worldLease, OutageLimit: worldOutage, HoldWait: 500 * time.Millisecond,
+		Released: w.released, WorkerLeases: w.left,
+		Lease: worldLease, OutageLimit: worldOutage, PollWait: 500 * time.Millisecond,
 	}, w.now)
 	w.epoch++
 	w.released, w.left = false, nil
 	w.owner = o
 	w.note("claim %d", o.token)
-	events := []Event{Configured{Catalog: w.catalog}}
+	events := []Event{CatalogUpdated{Catalog: w.catalog}}
 	ids := sortedKeys(w.store)
 	for _, id := range ids {
 		if r := w.store[id]; !r.state.IsFinal() {
@@ -194,7 +194,7 @@
 	}
 	w.note("owner %d stops as planned", o.token)
 	o.alive = false
-	w.left, w.released = o.shard.Leftovers(w.now), true
+	w.left, w.released = o.shard.WorkerLeases(w.now), true
 	w.used = nil
 	for _, left := range w.left {
 		w.used = append(w.used, left.Worker)
@@ -218,7 +218,7 @@
 	}
 	if !o.frozen {
 		if o.store && o.world.owner == o {
-			o.reduce(StoreReached{OK: true}, WorkersListed{Workers: o.world.list()})
+			o.reduce(OwnershipChecked{Confirmed: true}, WorkersListed{Workers: o.world.list()})
 		}
 		o.reduce(Tick{})
 	}
@@ -262,22 +262,22 @@
 		w.after(w.delay(), func() { o.commit(e) })
 	case StartRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StartAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
-		}, StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: Unknown})
+			return StartAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
+		}, StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
 		o.call(e.Worker, func(m *fakeWorker) Event {
-			return StopAnswered{Worker: m.id, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
-		}, StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: Unknown})
+			return StopAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
+		}, StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
-	case HoldWorker:
+	case PollWorker:
 		sent := w.now
 		o.call(e.Worker, func(m *fakeWorker) Event {
 			inventory, fault := m.hold(o.token, e)
 			if fault != NoFault {
-				return HoldFailed{Worker: m.id, Born: e.Worker.Born, Fault: fault}
+				return PollFailed{Worker: m.id, Incarnation: e.Worker.Incarnation, Fault: fault}
 			}
-			return Held{Worker: m.id, Sent: sent, Inventory: inventory}
-		}, HoldFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: Unknown})
+			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
+		}, PollFailed{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Fault: OutcomeUnknown})
 	}
 }
 
@@ -290,21 +290,21 @@
 	switch {
 	case roll < w.late:
 		w.after(time.Duration(2000+w.random.IntN(10000))*time.Millisecond, func() {
-			if m.isUp() && m.born == reg.Born {
+			if m.isUp() && m.born == reg.Incarnation {
 				do(m)
 			}
 		})
 		w.after(timeout, func() { o.post(lost) })
 	case roll < w.late+w.lose:
 		w.after(w.delay(), func() {
-			if m.isUp() && !o.cut[m] && m.born == reg.Born {
+			if m.isUp() && !o.cut[m] && m.born == reg.Incarnation {
 				do(m)
 			}
 		})
 		w.after(timeout, func() { o.post(lost) })
 	default:
 		w.after(w.delay(), func() {
-			if !m.isUp() || o.cut[m] || m.born != reg.Born {
+			if !m.isUp() || o.cut[m] || m.born != reg.Incarnation {
 				w.after(timeout, func() { o.post(lost) })
 				return
 			}
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -23,19 +23,19 @@
 		return
 	}
 	from, job := o.target.name, e.Job
-	job.Former = append(slices.Clone(job.Former), from)
-	entry := recorder.Entry{Shard: to, Queue: job.Queue, State: specifier.Queued}
+	job.FormerShards = append(slices.Clone(job.FormerShards), from)
+	entry := recorder.IndexEntry{Shard: to, Queue: job.Queue, State: specifier.Queued}
 	err := o.fence.Commit(ctx, storer.Transaction{
 		If: []storer.Condition{{Key: recorder.CancelKey(from, job.ID)}},
 		Put: []storer.Write{
 			{Key: recorder.JobKey(to, job.ID), Value: recorder.Encode(job)},
-			{Key: recorder.JobIndex(job.ID), Value: recorder.Encode(entry)},
+			{Key: recorder.IndexKey(job.ID), Value: recorder.Encode(entry)},
 		},
 		Remove: []string{recorder.JobKey(from, job.ID)},
 	})
 	switch {
 	case err == nil:
-		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.Lasting).Msg("job moved")
+		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.LastingCPU).Msg("job moved")
 	case errors.Is(err, fencer.ErrConditionFailed):
 		o.log.Info().Str("job", job.ID).Msg("job not moved: it is being cancelled")
 	case errors.Is(err, fencer.ErrFenced):
@@ -57,20 +57,20 @@
 	defer m.mu.Unlock()
 	var shards []admitter.Shard
 	for name, s := range m.view.Shards {
-		if s.Load.Service != from.service || name == from.name || slices.Contains(e.Job.Former, name) {
+		if s.Load.Service != from.service || name == from.name || slices.Contains(e.Job.FormerShards, name) {
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
+			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LastingCPU, LongRunningLimit: s.Load.LastingLimit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
 				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
 			}),
 		})
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
-	to := admitter.ChooseLongRunning(e.Lasting, shards, m.options.Random)
+	to := admitter.ChooseLongRunning(e.LastingCPU, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
-		s.Load.Lasting += e.Lasting
+		s.Load.LastingCPU += e.LastingCPU
 		m.view.Shards[to] = s
 	}
 	return to
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -47,10 +47,10 @@
 	}
 	o.state = dispatcher.New(dispatcher.Options{
 		Name: t.name, Service: t.service, Domain: t.domain,
-		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, Leftovers: fence.Leftovers,
+		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.Leftovers,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
-		HoldWait:    holdWait,
+		PollWait:    holdWait,
 		ClockError:  m.options.ClockError,
 	}, time.Now())
 	return o
@@ -67,7 +67,7 @@
 func (o *owned) jobState(id string) (specifier.State, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.state.State(id)
+	return o.state.JobState(id)
 }
 
 // run feeds the state until the shard is lost or ctx ends.
@@ -111,7 +111,7 @@
 func (o *owned) reduce(ctx context.Context, events ...dispatcher.Event) {
 	if o.suspension.hasPassed() {
 		o.log.Warn().Msg("host was suspended, ownership is in doubt")
-		events = append([]dispatcher.Event{dispatcher.StoreReached{OK: false}}, events...)
+		events = append([]dispatcher.Event{dispatcher.OwnershipChecked{Confirmed: false}}, events...)
 		o.m.lease.Poke()
 	}
 	began := time.Now()
@@ -136,7 +136,7 @@
 func (o *owned) release(ctx context.Context) {
 	o.lose("planned stop")
 	<-o.done
-	left := o.state.Leftovers(time.Now())
+	left := o.state.WorkerLeases(time.Now())
 	limited, cancel := context.WithTimeout(ctx, releaseTime)
 	defer cancel()
 	o.m.noteRelease(o.fence, o.fence.Release(limited, recorder.OwnerKey(o.target.name), left))
@@ -183,7 +183,7 @@
 
 // decode reads a record below the shard's prefix.
 func (o *owned) decode(item storer.Item) (dispatcher.Event, error) {
-	id, isCancel, ok := recorder.ParseShard(o.target.name, item.Key)
+	id, isCancel, ok := recorder.ParseShardKey(o.target.name, item.Key)
 	if !ok {
 		return nil, fmt.Errorf("manager: unexpected key %q", item.Key)
 	}
@@ -216,8 +216,8 @@
 }
 
 // advise asks the adviser when it is this call's turn.
-func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.Advised {
-	failed := dispatcher.Advised{Step: e.Step, Failed: true}
+func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.AdviceAnswered {
+	failed := dispatcher.AdviceAnswered{Step: e.Step, Failed: true}
 	if m.options.Adviser == nil {
 		return failed
 	}
@@ -243,33 +243,33 @@
 		fault := o.m.workers.Start(limited, token, e)
 		o.m.metrics.starts.RecordDuration(time.Since(began))
 		o.m.metrics.fault("start", fault)
-		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.StopRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		fault := o.m.workers.Stop(limited, token, e)
 		o.m.metrics.fault("stop", fault)
-		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Born: e.Worker.Born, Task: e.Task, Run: e.Run, Fault: fault})
+		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.PaceRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		fault := o.m.workers.Pace(limited, token, e)
 		o.m.metrics.fault("pace", fault)
 		o.post(dispatcher.PaceAnswered{Worker: e.Worker.ID, Task: e.Task, Run: e.Run, Fault: fault})
-	case dispatcher.HoldWorker:
+	case dispatcher.PollWorker:
 		limited, cancel := context.WithTimeout(ctx, callTimeout+e.Wait)
 		defer cancel()
 		sent := time.Now()
-		inventory, fault := o.m.workers.Hold(limited, token, e)
+		inventory, fault := o.m.workers.Poll(limited, token, e)
 		o.m.metrics.fault("hold", fault)
 		if e.Wait == 0 {
 			o.m.metrics.holds.RecordDuration(time.Since(sent))
 		}
 		if fault == dispatcher.NoFault {
-			o.post(dispatcher.Held{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
+			o.post(dispatcher.PollAnswered{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
 			return
 		}
-		o.post(dispatcher.HoldFailed{Worker: e.Worker.ID, Born: e.Worker.Born, Fault: fault})
+		o.post(dispatcher.PollFailed{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Fault: fault})
 	}
 }
 
@@ -279,7 +279,7 @@
 	var removes []string
 	shard := o.target.name
 	for _, change := range e.Changes {
-		entry := recorder.Entry{Shard: shard, Queue: change.Queue, State: change.State}
+		entry := recorder.IndexEntry{Shard: shard, Queue: change.Queue, State: change.State}
 		if change.State.IsFinal() {
 			entry.Ended = time.Now()
 			removes = append(removes,
@@ -287,7 +287,7 @@
 		} else {
 			puts = append(puts, storer.Write{Key: recorder.ProgressKey(shard, change.ID), Value: recorder.Encode(change.Progress)})
 		}
-		puts = append(puts, storer.Write{Key: recorder.JobIndex(change.ID), Value: recorder.Encode(entry)})
+		puts = append(puts, storer.Write{Key: recorder.IndexKey(change.ID), Value: recorder.Encode(entry)})
 	}
 	began := time.Now()
 	err := o.fence.Write(ctx, e.Workers, puts, removes)
@@ -305,17 +305,17 @@
 
 // publish replaces the load summary in the store, if it says something new.
 func (o *owned) publish(ctx context.Context, load recorder.Load) {
-	made := load.Made
-	load.Made = o.last.Made
+	made := load.MadeAt
+	load.MadeAt = o.last.MadeAt
 	if string(recorder.Encode(load)) == string(recorder.Encode(o.last)) {
 		return
 	}
-	load.Made = made
+	load.MadeAt = made
 	o.last = load
-	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.Turning).
-		Int64("unused", load.Unused).Int64("fillers", load.Fillers).Int64("lasting", load.Lasting).Int64("limit", load.Limit)
+	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.FiniteCPU).
+		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LastingCPU).Int64("limit", load.LastingLimit)
 	for _, b := range load.Backlog {
-		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.Counted).Int64(fmt.Sprintf("fillers%d", b.Priority), b.Filler)
+		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.FiniteWork).Int64(fmt.Sprintf("fillers%d", b.Priority), b.FillerWork)
 	}
 	line.Msg("load")
 	o.calls.Go(func() {
@@ -337,7 +337,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.view.Shards[shard]
-	s.Load, s.Received = load, time.Now()
+	s.Load, s.LoadReceived = load, time.Now()
 	m.view.Shards[shard] = s
 }
 
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -74,7 +74,7 @@
 func (m *Manager) claimable(now time.Time) ([]target, map[string]recorder.Layout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed || m.view.Read.IsZero() {
+	if !m.listed || m.view.ReadAt.IsZero() {
 		return nil, nil
 	}
 	var claims []target
@@ -207,7 +207,7 @@
 		progress[item.Key] = p
 	}
 	o := newOwned(m, t, fence, revision)
-	o.first = append(o.first, dispatcher.Configured{Catalog: m.Catalog()})
+	o.first = append(o.first, dispatcher.CatalogUpdated{Catalog: m.Catalog()})
 	for _, item := range items {
 		if o.isReplaced(item) {
 			return nil, fencer.ErrFenced
@@ -232,7 +232,7 @@
 
 func rank(event dispatcher.Event) int {
 	switch event.(type) {
-	case dispatcher.Configured:
+	case dispatcher.CatalogUpdated:
 		return 0
 	case dispatcher.JobCancelled:
 		return 2
@@ -264,7 +264,7 @@
 // renewed takes in that the store has renewed the lease.
 func (m *Manager) renewed() {
 	m.reached()
-	m.post(dispatcher.StoreReached{OK: true})
+	m.post(dispatcher.OwnershipChecked{Confirmed: true})
 }
 
 // leaseEnded writes the owner's records anew. A shard that another daemon has
@@ -292,7 +292,7 @@
 		switch {
 		case err == nil:
 			m.log.Info().Str("shard", o.target.name).Msg("ownership confirmed")
-			o.post(dispatcher.StoreReached{OK: true})
+			o.post(dispatcher.OwnershipChecked{Confirmed: true})
 			return
 		case errors.Is(err, fencer.ErrFenced):
 			o.lose("another owner has claimed it")
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -53,7 +53,7 @@
 	View() manager.View
 	Cancelled(shard, id string)
 	JobState(shard, id string) (specifier.State, bool)
-	Contact() time.Time // when the store last answered
+	LastContact() time.Time // when the store last answered
 }
 
 // Store is the part of the store that the receiver uses.
@@ -113,7 +113,7 @@
 	if !r.isStoreUp() {
 		r.count(queue.Name, "unreachable")
 		r.log.Info().Str("job", job.ID).Str("reason", "store not reached").
-			Dur("age", time.Since(r.shards.Contact())).Msg("job refused")
+			Dur("age", time.Since(r.shards.LastContact())).Msg("job refused")
 		return r.unreachable(&classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "not tried"})
 	}
 	decision := r.admit(queue, &job)
@@ -152,7 +152,7 @@
 func (r *Receiver) isStoreUp() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	contact := r.shards.Contact()
+	contact := r.shards.LastContact()
 	return contact.After(r.failed) && time.Since(contact) < contactLimit
 }
 
@@ -170,7 +170,7 @@
 
 // refuse turns a job away, unless it was accepted before.
 func (r *Receiver) refuse(ctx context.Context, job *specifier.Job, d admitter.Decision) error {
-	if _, err := r.store.Get(ctx, recorder.JobIndex(job.ID)); !errors.Is(err, storer.ErrNotFound) {
+	if _, err := r.store.Get(ctx, recorder.IndexKey(job.ID)); !errors.Is(err, storer.ErrNotFound) {
 		if err == nil {
 			return nil
 		}
@@ -199,11 +199,11 @@
 // accept writes a job and returns the revision of the write, or 0 if the job
 // was there before.
 func (r *Receiver) accept(ctx context.Context, shard string, job *specifier.Job) (int64, error) {
-	entry := recorder.Entry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
+	entry := recorder.IndexEntry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
 	tx := storer.Transaction{
-		If: []storer.Condition{{Key: recorder.JobIndex(job.ID)}},
+		If: []storer.Condition{{Key: recorder.IndexKey(job.ID)}},
 		Put: []storer.Write{
-			{Key: recorder.JobIndex(job.ID), Value: recorder.Encode(entry)},
+			{Key: recorder.IndexKey(job.ID), Value: recorder.Encode(entry)},
 			{Key: recorder.JobKey(shard, job.ID), Value: recorder.Encode(job)},
 		},
 	}
@@ -245,21 +245,21 @@
 }
 
 // entry reads the index entry of a job and its revision.
-func (r *Receiver) entry(ctx context.Context, id string) (recorder.Entry, int64, error) {
+func (r *Receiver) entry(ctx context.Context, id string) (recorder.IndexEntry, int64, error) {
 	delays := newDelays()
-	item, err := r.store.Get(ctx, recorder.JobIndex(id))
+	item, err := r.store.Get(ctx, recorder.IndexKey(id))
 	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Sleep(ctx, delays.NextBackOff()) {
-		item, err = r.store.Get(ctx, recorder.JobIndex(id))
+		item, err = r.store.Get(ctx, recorder.IndexKey(id))
 	}
 	if errors.Is(err, storer.ErrNotFound) {
-		return recorder.Entry{}, 0, &classifier.Error{
+		return recorder.IndexEntry{}, 0, &classifier.Error{
 			Verdict: classifier.NotRun, Status: http.StatusGone, Code: "unknown", Message: "no such job", Field: "id",
 		}
 	}
 	if err != nil {
-		return recorder.Entry{}, 0, r.unreachable(err)
+		return recorder.IndexEntry{}, 0, r.unreachable(err)
 	}
-	var entry recorder.Entry
+	var entry recorder.IndexEntry
 	err = recorder.Decode(item.Value, &entry)
 	return entry, item.Revision, err
 }
@@ -276,8 +276,8 @@
 			return nil
 		}
 		_, err = r.store.Commit(ctx, storer.Transaction{
-			If:  []storer.Condition{{Key: recorder.JobIndex(id), Revision: revision}},
-			Put: []storer.Write{{Key: recorder.CancelKey(entry.Shard, id), Value: recorder.Encode(recorder.Entry{Shard: entry.Shard})}},
+			If:  []storer.Condition{{Key: recorder.IndexKey(id), Revision: revision}},
+			Put: []storer.Write{{Key: recorder.CancelKey(entry.Shard, id), Value: recorder.Encode(recorder.IndexEntry{Shard: entry.Shard})}},
 		})
 		if err == nil {
 			r.log.Info().Str("job", id).Str("shard", entry.Shard).Msg("cancellation accepted")
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -32,12 +32,12 @@
 func (s *shards) Catalog() *specifier.Catalog { return &specifier.Catalog{Version: 1} }
 
 func (s *shards) View() manager.View {
-	return manager.View{Shards: map[string]manager.ShardView{"desk": {Owner: "x", Load: s.load, Received: time.Now()}}}
+	return manager.View{Shards: map[string]manager.ShardView{"desk": {Owner: "x", Load: s.load, LoadReceived: time.Now()}}}
 }
 
 func (s *shards) Cancelled(_, id string)                          { s.cancelled = append(s.cancelled, id) }
 func (s *shards) JobState(string, string) (specifier.State, bool) { return "", false }
-func (s *shards) Contact() time.Time                              { return s.contact() }
+func (s *shards) LastContact() time.Time                          { return s.contact() }
 
 var queue = specifier.Queue{Name: "menus", Service: "desk", Slack: 2, Completion: time.Second}
 
@@ -48,11 +48,11 @@
 }
 
 func idle() recorder.Load {
-	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, Unused: 64000}
+	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, UnusedCPU: 64000}
 }
 
 func full() recorder.Load {
-	return recorder.Load{Service: "desk", Workers: 4, Turning: 1000, Backlog: []recorder.Backlog{{Counted: 1_000_000}}}
+	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{FiniteWork: 1_000_000}}}
 }
 
 func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *shards, store *faker.Client)) {
@@ -78,14 +78,14 @@
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
 		g.Expect(e.Status).To(Equal(http.StatusTooManyRequests))
 		g.Expect(e.RetryAfter).To(BeNumerically(">", 0))
-		_, err := store.Get(context.Background(), recorder.JobIndex(testJob().ID))
+		_, err := store.Get(context.Background(), recorder.IndexKey(testJob().ID))
 		g.Expect(err).To(MatchError(storer.ErrNotFound), "nothing was written")
 	})
 }
 
 func TestSizesThatNoWorkerHas(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
-		s.load.Largest = describer.Resources{CPU: 900, Memory: 100}
+		s.load.MaxCapacity = describer.Resources{CPU: 900, Memory: 100}
 		e := failure(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusBadRequest))
 		g.Expect(e.Field).To(Equal("steps[0].needs"))
@@ -102,7 +102,7 @@
 
 func TestWorkAcceptedSinceTheSummaryCounts(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
-		s.load.Free.CPU, s.load.Turning = 0, 2000
+		s.load.Free.CPU, s.load.FiniteCPU = 0, 2000
 		accepted := 0
 		for n := range 40 {
 			job := testJob()
@@ -173,9 +173,9 @@
 func TestCancellationOfAnEndedJobChangesNothing(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
 		ctx := context.Background()
-		entry := recorder.Entry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
+		entry := recorder.IndexEntry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
 		_, err := store.Commit(ctx, storer.Transaction{
-			Put: []storer.Write{{Key: recorder.JobIndex(testJob().ID), Value: recorder.Encode(entry)}},
+			Put: []storer.Write{{Key: recorder.IndexKey(testJob().ID), Value: recorder.Encode(entry)}},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r.Cancel(ctx, testJob().ID)).To(Succeed())
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -42,8 +42,8 @@
 	layoutPrefix = ViewPrefix + "layout/"
 )
 
-// JobIndex is the key of a job's index entry.
-func JobIndex(id string) string { return "index/" + id }
+// IndexKey is the key of a job's index entry.
+func IndexKey(id string) string { return "index/" + id }
 
 // ShardPrefix is what an owner watches for new jobs and cancellations.
 func ShardPrefix(shard string) string { return "shard/" + shard + "/" }
@@ -91,9 +91,9 @@
 	return [...]string{"other", "owner", "load", "layout"}[k]
 }
 
-// ParseView splits a key below ViewPrefix into its kind and the name of its
+// ParseViewKey splits a key below ViewPrefix into its kind and the name of its
 // shard, or of its service.
-func ParseView(key string) (ViewKind, string) {
+func ParseViewKey(key string) (ViewKind, string) {
 	for _, kind := range [...]struct {
 		prefix string
 		kind   ViewKind
@@ -105,9 +105,9 @@
 	return OtherView, ""
 }
 
-// ParseShard splits a key below ShardPrefix into the job and whether the key
+// ParseShardKey splits a key below ShardPrefix into the job and whether the key
 // is a cancellation.
-func ParseShard(shard, key string) (id string, isCancel, ok bool) {
+func ParseShardKey(shard, key string) (id string, isCancel, ok bool) {
 	rest, ok := strings.CutPrefix(key, ShardPrefix(shard))
 	if !ok {
 		return "", false, false
@@ -119,8 +119,8 @@
 	return id, true, ok
 }
 
-// Entry is a job's index entry.
-type Entry struct {
+// IndexEntry is a job's index entry.
+type IndexEntry struct {
 	Shard string          `json:"shard"`
 	Queue string          `json:"queue"`
 	State specifier.State `json:"state"`
@@ -129,11 +129,11 @@
 
 // Progress is what of a job has to survive its shard's owner.
 type Progress struct {
-	Tasks []Task `json:"tasks"`
+	Tasks []TaskProgress `json:"tasks"`
 }
 
-// Task is the progress of one task. Tasks that never ended are left out.
-type Task struct {
+// TaskProgress is the progress of one task. Tasks that never ended are left out.
+type TaskProgress struct {
 	Occurrence int     `json:"occurrence,omitempty"`
 	Step       int     `json:"step,omitempty"`
 	Index      int     `json:"index,omitempty"`
@@ -146,19 +146,19 @@
 type Fence struct {
 	Owner   string   `json:"owner"`
 	Epoch   int64    `json:"epoch"`             // number of claims before this one
-	Write   string   `json:"write"`             // identifies the write; a random id
+	WriteID string   `json:"write"`             // identifies the write; a random id
 	Workers []string `json:"workers,omitempty"` // that may have runs of this shard
 
 	// Released is that the owner has stopped as planned; Leftovers then stand
 	// in place of Workers.
-	Released  bool       `json:"released,omitempty"`
-	Leftovers []Leftover `json:"leftovers,omitempty"`
+	Released     bool          `json:"released,omitempty"`
+	WorkerLeases []WorkerLease `json:"leftovers,omitempty"`
 }
 
-// Leftover is a worker that may have runs of an owner that has stopped as planned.
-type Leftover struct {
-	Worker string        `json:"worker"`
-	Lapse  time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
+// WorkerLease is a worker that may have runs of an owner that has stopped as planned.
+type WorkerLease struct {
+	Worker    string        `json:"worker"`
+	Remaining time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
 }
 
 // Claim identifies an ownership.
@@ -180,21 +180,21 @@
 
 // Load is an owner's summary of its shard for other entry hosts.
 type Load struct {
-	Service  string              `json:"service"`
-	Domain   string              `json:"domain,omitempty"` // empty: of all failure domains
-	Made     time.Time           `json:"made"`
-	Workers  int                 `json:"workers"`
-	Capacity describer.Resources `json:"capacity"`
-	Free     describer.Resources `json:"free"`
-	Largest  describer.Resources `json:"largest"` // most that any worker has of each kind
-	Turning  int64               `json:"turning"` // CPU of counted tasks that will end, millicores
-	Lasting  int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
-	Limit    int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
-	Unused   int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
-	Fillers  int64               `json:"fillers"` // CPU that running fillers asked for, millicores
-	Queues   []QueueLoad         `json:"queues,omitempty"`
-	Backlog  []Backlog           `json:"backlog,omitempty"`
-	Labels   []string            `json:"labels,omitempty"`
+	Service      string              `json:"service"`
+	Domain       string              `json:"domain,omitempty"` // empty: of all failure domains
+	MadeAt       time.Time           `json:"made"`
+	Workers      int                 `json:"workers"`
+	Capacity     describer.Resources `json:"capacity"`
+	Free         describer.Resources `json:"free"`
+	MaxCapacity  describer.Resources `json:"largest"` // most that any worker has of each kind
+	FiniteCPU    int64               `json:"turning"` // CPU of counted tasks that will end, millicores
+	LastingCPU   int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
+	LastingLimit int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
+	UnusedCPU    int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
+	FillerCPU    int64               `json:"fillers"` // CPU that running fillers asked for, millicores
+	Queues       []QueueLoad         `json:"queues,omitempty"`
+	Backlog      []Backlog           `json:"backlog,omitempty"`
+	Labels       []string            `json:"labels,omitempty"`
 }
 
 // QueueLoad counts a queue's jobs in a shard.
@@ -205,9 +205,9 @@
 
 // Backlog is the work that waits in a shard at one priority.
 type Backlog struct {
-	Priority int   `json:"priority"`
-	Counted  int64 `json:"counted"` // millicore-seconds that need room
-	Filler   int64 `json:"filler"`  // millicore-seconds of fillers
+	Priority   int   `json:"priority"`
+	FiniteWork int64 `json:"counted"` // millicore-seconds that need room
+	FillerWork int64 `json:"filler"`  // millicore-seconds of fillers
 }
 
 // Encode is the stored form of a record.
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -20,36 +20,36 @@
 // Job is a unit of submission. ID is chosen by the caller and makes the
 // submission idempotent.
 type Job struct {
-	ID       string        `json:"id"`
-	Queue    string        `json:"queue"`
-	Payload  string        `json:"payload,omitempty"` // handed to every task
-	Steps    []Step        `json:"steps"`
-	Repeat   int           `json:"repeat,omitempty"` // occurrences; 0 is once, at once
-	First    time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
-	Every    time.Duration `json:"every,omitempty"`  // between due times
-	Accepted time.Time     `json:"accepted,omitzero"`
-	Former   []string      `json:"former,omitempty"` // shards that have handed it on
+	ID           string        `json:"id"`
+	Queue        string        `json:"queue"`
+	Payload      string        `json:"payload,omitempty"` // handed to every task
+	Steps        []Step        `json:"steps"`
+	Repeat       int           `json:"repeat,omitempty"` // occurrences; 0 is once, at once
+	First        time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
+	Every        time.Duration `json:"every,omitempty"`  // between due times
+	Accepted     time.Time     `json:"accepted,omitzero"`
+	FormerShards []string      `json:"former,omitempty"` // shards that have handed it on
 }
 
 // Step is a number of equal tasks.
 type Step struct {
-	Count      int                 `json:"count"`
-	Needs      describer.Resources `json:"needs"` // of each task
-	Estimate   time.Duration       `json:"estimate,omitempty"`
-	After      []int               `json:"after,omitempty"` // earlier steps that must have completed
-	Checkpoint bool                `json:"checkpoint,omitempty"`
-	Gang       bool                `json:"gang,omitempty"`       // tasks run only together and end together
-	Tight      bool                `json:"tight,omitempty"`      // slower on more than one rack
-	Label      string              `json:"label,omitempty"`      // that the worker must have
-	Rack       string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
-	Spread     int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
-	Duplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
-	Lasting    bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
-	Image      string              `json:"image,omitempty"`      // tasks of one image behave alike
-	Target     time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
-	Filler     bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
-	Away       int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
-	Budgeted   bool                `json:"budgeted,omitempty"`   // Away is in force
+	Count           int                 `json:"count"`
+	Needs           describer.Resources `json:"needs"` // of each task
+	Estimate        time.Duration       `json:"estimate,omitempty"`
+	After           []int               `json:"after,omitempty"` // earlier steps that must have completed
+	Checkpoint      bool                `json:"checkpoint,omitempty"`
+	Gang            bool                `json:"gang,omitempty"`       // tasks run only together and end together
+	TightlyCoupled  bool                `json:"tight,omitempty"`      // slower on more than one rack
+	Label           string              `json:"label,omitempty"`      // that the worker must have
+	PreferredRack   string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
+	MaxPerWorker    int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
+	AllowDuplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
+	Lasting         bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
+	Image           string              `json:"image,omitempty"`      // tasks of one image behave alike
+	LatencyTarget   time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
+	Filler          bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
+	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
+	Budgeted        bool                `json:"budgeted,omitempty"`   // Away is in force
 }
 
 // State is a job's state as callers see it.
@@ -75,8 +75,8 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// CheckID reports an id that is not 16 hexadecimal digits.
-func CheckID(id string) error {
+// ValidateID reports an id that is not 16 hexadecimal digits.
+func ValidateID(id string) error {
 	if len(id) != idDigits {
 		return &FieldError{Field: "id", Reason: fmt.Sprintf("has %d characters, wants %d hexadecimal digits", len(id), idDigits)}
 	}
@@ -88,7 +88,7 @@
 
 // Validate reports the first fault of a job as a *FieldError.
 func (j *Job) Validate() error {
-	if err := CheckID(j.ID); err != nil {
+	if err := ValidateID(j.ID); err != nil {
 		return err
 	}
 	if len(j.Payload) > MaxPayload {
@@ -122,9 +122,9 @@
 		return fault("count", fmt.Sprintf("is %d, wants 1 to %d", s.Count, MaxTasks))
 	case s.Needs.CPU < 0 || s.Needs.Memory < 0 || s.Needs.Accelerators < 0:
 		return fault("needs", "is negative")
-	case s.Estimate < 0 || s.Spread < 0 || s.Away < 0 || s.Target < 0:
+	case s.Estimate < 0 || s.MaxPerWorker < 0 || s.MaxUnavailable < 0 || s.LatencyTarget < 0:
 		return fault("estimate", "or another number is negative")
-	case s.Gang && s.Spread > 0 && s.Count > MaxTasks/2:
+	case s.Gang && s.MaxPerWorker > 0 && s.Count > MaxTasks/2:
 		return fault("gang", "is too wide to be spread")
 	}
 	for _, earlier := range s.After {
@@ -147,8 +147,8 @@
 	return j.First.Add(time.Duration(occurrence) * j.Every)
 }
 
-// Chain is the longest chain of estimated run times through the steps.
-func (j *Job) Chain() time.Duration {
+// CriticalPath is the longest chain of estimated run times through the steps.
+func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i := range j.Steps {
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -71,7 +71,7 @@
 	// planned stop. Leftovers then says how long leases may still be valid on
 	// each of Workers.
 	Released  bool
-	Leftovers []recorder.Leftover
+	Leftovers []recorder.WorkerLease
 
 	store     Store
 	writeLock chan struct{} // holds one value while a write is in progress
@@ -117,7 +117,7 @@
 	}
 	f.revision = item.Revision
 	f.Epoch = previous.Epoch + 1
-	f.Workers, f.Released, f.Leftovers = previous.Workers, previous.Released, previous.Leftovers
+	f.Workers, f.Released, f.Leftovers = previous.Workers, previous.Released, previous.WorkerLeases
 	for _, left := range f.Leftovers {
 		f.Workers = append(f.Workers, left.Worker)
 	}
@@ -204,21 +204,21 @@
 // Release deletes the owner record at ownerKey, so that another daemon can
 // claim the shard at once. The next owner reads leftovers, the workers that may
 // still have runs, from the fence.
-func (f *Fence) Release(ctx context.Context, ownerKey string, leftovers []recorder.Leftover) error {
+func (f *Fence) Release(ctx context.Context, ownerKey string, leftovers []recorder.WorkerLease) error {
 	unlock, err := f.lock(ctx)
 	if err != nil {
 		return err
 	}
 	defer unlock()
 	record := f.newRecord()
-	record.Workers, record.Released, record.Leftovers = nil, true, leftovers
+	record.Workers, record.Released, record.WorkerLeases = nil, true, leftovers
 	return f.commitWithRetry(ctx, record, storer.Transaction{Remove: []string{ownerKey}})
 }
 
 // newRecord returns the value of the fence for the next write. The random id in
 // Write tells this write from all others.
 func (f *Fence) newRecord() recorder.Fence {
-	return recorder.Fence{Owner: f.Daemon, Epoch: f.Epoch, Write: uuid.NewString(), Workers: f.Workers}
+	return recorder.Fence{Owner: f.Daemon, Epoch: f.Epoch, WriteID: uuid.NewString(), Workers: f.Workers}
 }
 
 // commitWithRetry adds the fence to tx and retries the transaction until its
@@ -240,7 +240,7 @@
 			return err
 		}
 		if errors.Is(err, storer.ErrConflict) {
-			err = f.resolveConflict(ctx, key, fence.Write)
+			err = f.resolveConflict(ctx, key, fence.WriteID)
 			if err == nil || errors.Is(err, ErrFenced) || errors.Is(err, ErrAlreadyOwned) {
 				return err
 			}
@@ -279,7 +279,7 @@
 	if err := recorder.Decode(item.Value, &current); err != nil {
 		return err
 	}
-	if current.Write == writeID {
+	if current.WriteID == writeID {
 		f.revision = item.Revision
 		return nil
 	}
