--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -14,63 +14,63 @@
 // Sizes of one failure domain's share of the target: 27,000 workers and
 // 950,000 running tasks over 11 failure domains.
 const (
-	shareWorkers = 27_000 / 11
-	shareTasks   = 950_000 / 11
-	shareShards  = 12
-	shareTeams   = 480
+	domainWorkers = 27_000 / 11
+	domainTasks   = 950_000 / 11
+	domainShards  = 12
+	domainTeams   = 480
 )
 
 // fullState returns a State that owns all shards, with tasks running on every
 // worker.
-func fullState(workers, tasks int, policy placer.Policy) *State {
+func newFullState(workers, tasks int, policy placer.Policy) *State {
 	o := testOptions()
 	s := New(o, Policies{Placement: policy})
 	c := describer.Configuration{Revision: 1, Services: []describer.Service{{Name: "menu-desk", Target: time.Second}}}
-	for i := range shareTeams {
+	for i := range domainTeams {
 		c.Teams = append(c.Teams, describer.Team{Name: fmt.Sprintf("team-%03d", i), Weight: 1})
 	}
-	for i := range shareShards {
+	for i := range domainShards {
 		c.Shards = append(c.Shards, describer.Shard{ID: fmt.Sprintf("s%02d", i), Domain: o.Domain, Racks: []string{fmt.Sprint(i)}})
 	}
 	var hosts []describer.Host
 	for i := range workers {
 		host := testHosts(fmt.Sprintf("w%05d", i))[0]
-		host.Rack = fmt.Sprint(i % shareShards)
+		host.Rack = fmt.Sprint(i % domainShards)
 		host.Capacity = describer.Resources{CPU: 64_000, Memory: 250_000}
 		hosts = append(hosts, host)
 	}
 	s.Reduce(Tick{Now: start})
 	s.Reduce(HostsReceived{Hosts: hosts})
 	s.Reduce(ConfigurationReceived{Configuration: c})
-	records := fullLedger(hosts, tasks)
+	records := newFullLedgers(hosts, tasks)
 	for _, one := range c.Shards {
-		answerAll(s, s.Reduce(ShardClaimed{Shard: one.ID, Epoch: 1, Records: records[one.ID]}))
+		answerAllSyncs(s, s.Reduce(ShardClaimed{Shard: one.ID, Epoch: 1, Records: records[one.ID]}))
 	}
 	return s
 }
 
 // answerAll answers calls for inventories until there are none.
-func answerAll(s *State, effects []Effect) {
+func answerAllSyncs(s *State, effects []Effect) {
 	for _, e := range effects {
 		if call, ok := e.(SyncWorker); ok {
-			answerAll(s, s.Reduce(inventoryOf(s, call)))
+			answerAllSyncs(s, s.Reduce(inventoryOf(s, call)))
 		}
 	}
 }
 
 // fullLedger spreads jobs of 10 tasks over the workers.
-func fullLedger(hosts []describer.Host, tasks int) map[string][]describer.Record {
+func newFullLedgers(hosts []describer.Host, tasks int) map[string][]describer.Record {
 	out := make(map[string][]describer.Record)
-	each := len(hosts) / shareShards
+	each := len(hosts) / domainShards
 	for n := 0; n < tasks; n += 10 {
 		number := n / 10
-		shard := number % shareShards
+		shard := number % domainShards
 		id := fmt.Sprintf("s%02d", shard)
 		job := testJob(fmt.Sprintf("0b5f8a52-job-%06d", n), 10)
-		job.Team = fmt.Sprintf("team-%03d", number%shareTeams)
+		job.Team = fmt.Sprintf("team-%03d", number%domainTeams)
 		out[id] = append(out[id], describer.Record{Kind: describer.JobAccepted, Time: start, Job: &job})
 		for i := range 10 {
-			at := (number/shareShards*10+i)%each*shareShards + shard
+			at := (number/domainShards*10+i)%each*domainShards + shard
 			out[id] = append(out[id], describer.Record{
 				Kind: describer.TaskStarted, Time: start, Task: describer.TaskID{Job: job.ID, Index: i},
 				Worker: hosts[at].Name, Token: describer.Token{Epoch: 1, Sequence: int64(n + i)},
@@ -93,11 +93,11 @@
 	return out
 }
 
-func eachSize(b *testing.B, run func(b *testing.B, s *State)) {
+func forEachSize(b *testing.B, run func(b *testing.B, s *State)) {
 	for _, part := range []int{8, 4, 2, 1} {
-		workers, tasks := shareWorkers/part, shareTasks/part
+		workers, tasks := domainWorkers/part, domainTasks/part
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d", workers, tasks), func(b *testing.B) {
-			s := fullState(workers, tasks, placer.FirstFit{})
+			s := newFullState(workers, tasks, placer.FirstFit{})
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, s)
@@ -108,7 +108,7 @@
 // BenchmarkSync is one inventory, asked for and taken in. The rate at the
 // share is its workers over the interval.
 func BenchmarkSync(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State) {
+	forEachSize(b, func(b *testing.B, s *State) {
 		for n := 0; n < b.N; {
 			effects := s.Reduce(Tick{Now: s.now.Add(10 * time.Millisecond)})
 			s.Reduce(StoreChecked{Reachable: true})
@@ -129,7 +129,7 @@
 
 // BenchmarkTick is a tick at which nothing is due.
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State) {
+	forEachSize(b, func(b *testing.B, s *State) {
 		s.timers = timers{}
 		for range b.N {
 			s.Reduce(Tick{Now: s.now})
@@ -139,9 +139,9 @@
 
 // BenchmarkTask is a job of one task from its submission to its durable end.
 func BenchmarkTask(b *testing.B) {
-	eachSize(b, func(b *testing.B, s *State) {
+	forEachSize(b, func(b *testing.B, s *State) {
 		for n := range b.N {
-			lifeOfTask(s, newJob(n))
+			runTaskToEnd(s, newJob(n))
 		}
 	})
 }
@@ -153,7 +153,7 @@
 }
 
 // lifeOfTask carries out all effects of a job.
-func lifeOfTask(s *State, job describer.Job) {
+func runTaskToEnd(s *State, job describer.Job) {
 	work := s.Reduce(SubmitRequested{Request: 1, Job: job})
 	for len(work) > 0 {
 		e := work[0]
@@ -173,7 +173,7 @@
 
 // BenchmarkPlace is the default policy's choice of a worker.
 func BenchmarkPlace(b *testing.B) {
-	s := fullState(shareWorkers, shareTasks, nil)
+	s := newFullState(domainWorkers, domainTasks, nil)
 	sh := s.sortedShards[0]
 	job := testJob("new", 1)
 	job.Team = "team-007"
@@ -186,7 +186,7 @@
 
 // BenchmarkPublish is a routing table of all workers of one failure domain.
 func BenchmarkPublish(b *testing.B) {
-	s := fullState(shareWorkers, 10, placer.FirstFit{})
+	s := newFullState(domainWorkers, 10, placer.FirstFit{})
 	b.ReportAllocs()
 	for b.Loop() {
 		s.publish()
@@ -196,7 +196,7 @@
 
 // BenchmarkSnapshot is the snapshot of one shard.
 func BenchmarkSnapshot(b *testing.B) {
-	s := fullState(shareWorkers, shareTasks, placer.FirstFit{})
+	s := newFullState(domainWorkers, domainTasks, placer.FirstFit{})
 	sh := s.sortedShards[0]
 	b.ReportAllocs()
 	for b.Loop() {
@@ -211,11 +211,11 @@
 // BenchmarkMemory reports the live heap of a full state.
 func BenchmarkMemory(b *testing.B) {
 	for _, part := range []int{8, 4, 2, 1} {
-		workers, tasks := shareWorkers/part, shareTasks/part
+		workers, tasks := domainWorkers/part, domainTasks/part
 		b.Run(fmt.Sprintf("workers=%d/tasks=%d", workers, tasks), func(b *testing.B) {
 			for range b.N {
 				before := liveHeap()
-				s := fullState(workers, tasks, placer.FirstFit{})
+				s := newFullState(workers, tasks, placer.FirstFit{})
 				b.ReportMetric(float64(liveHeap()-before)/(1<<20), "MiB")
 				runtime.KeepAlive(s)
 			}
--- a/internal/control/reducer/bounds_test.go
+++ b/internal/control/reducer/bounds_test.go
@@ -18,7 +18,7 @@
 
 func TestBounds(t *testing.T) {
 	before := liveHeap()
-	s := fullState(shareWorkers, shareTasks, placer.FirstFit{})
+	s := newFullState(domainWorkers, domainTasks, placer.FirstFit{})
 	if live := liveHeap() - before; live > maxLiveBytes {
 		t.Errorf("the state takes %d bytes, more than %d", live, maxLiveBytes)
 	}
@@ -42,7 +42,7 @@
 	i := 0
 	n = testing.AllocsPerRun(100, func() {
 		i++
-		lifeOfTask(s, newJob(i))
+		runTaskToEnd(s, newJob(i))
 	})
 	if n > maxTaskAllocs {
 		t.Errorf("a task allocates %v times, more than %d", n, maxTaskAllocs)
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -12,56 +12,56 @@
 
 // fakeWorker is a worker that keeps to its contract and audits its callers.
 type fakeWorker struct {
-	world    *world
-	name     string
-	offset   time.Duration // of its clock
-	capacity describer.Resources
-	dead     bool
-	unlisted bool // missing in the host list
-	bad      bool // fails every run
-	epoch    int64
-	fences   map[describer.TaskID]describer.Token
-	runs     map[describer.TaskID]*fakeRun
-	ended    map[runner.Run]runner.Stopped
-	finished map[runner.Run]runner.Finished
+	sim         *simulation
+	name        string
+	clockOffset time.Duration // of its clock
+	capacity    describer.Resources
+	down        bool
+	unlisted    bool // missing in the host list
+	failsRuns   bool // fails every run
+	epoch       int64
+	fences      map[describer.TaskID]describer.Token
+	runs        map[describer.TaskID]*fakeRun
+	outcomes    map[runner.Run]runner.Stopped
+	finished    map[runner.Run]runner.Finished
 }
 
 type fakeRun struct {
 	runner.Start
-	began     time.Time
-	lease     time.Time
-	length    time.Duration
-	throttled describer.Token
+	startedAt    time.Time
+	leaseEnd     time.Time
+	length       time.Duration
+	lastThrottle describer.Token
 }
 
 // used is sometimes all of the grant and sometimes little of it.
 func (r *fakeRun) used(m *fakeWorker) describer.Resources {
-	if m.world.chance(0.5) {
+	if m.sim.chance(0.5) {
 		return r.Granted
 	}
 	return describer.Resources{CPU: r.Granted.CPU / 4, Memory: r.Granted.Memory}
 }
 
-func newFakeWorker(w *world, name string, offset time.Duration) *fakeWorker {
-	m := &fakeWorker{world: w, name: name, offset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
-	m.forget()
+func newFakeWorker(sim *simulation, name string, offset time.Duration) *fakeWorker {
+	m := &fakeWorker{sim: sim, name: name, clockOffset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
+	m.reset()
 	return m
 }
 
-func (m *fakeWorker) forget() {
+func (m *fakeWorker) reset() {
 	for run, f := range m.finished {
-		if f.OK && m.world.store.completed[run.Task] == run {
-			delete(m.world.store.completed, run.Task)
+		if f.OK && m.sim.store.completed[run.Task] == run {
+			delete(m.sim.store.completed, run.Task)
 		}
 	}
 	m.epoch = 0
 	m.fences = make(map[describer.TaskID]describer.Token)
 	m.runs = make(map[describer.TaskID]*fakeRun)
-	m.ended = make(map[runner.Run]runner.Stopped)
+	m.outcomes = make(map[runner.Run]runner.Stopped)
 	m.finished = make(map[runner.Run]runner.Finished)
 }
 
-func (m *fakeWorker) clock() time.Time { return m.world.now.Add(m.offset) }
+func (m *fakeWorker) clock() time.Time { return m.sim.now.Add(m.clockOffset) }
 
 func (m *fakeWorker) leaseEnd(lease time.Duration, until time.Time) time.Time {
 	end := m.clock().Add(lease)
@@ -72,23 +72,23 @@
 }
 
 // advance ends what is over by now.
-func (m *fakeWorker) advance() {
+func (m *fakeWorker) endDueRuns() {
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
-		done := r.began.Add(r.length)
+		done := r.startedAt.Add(r.length)
 		f := runner.Finished{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
-		case !done.After(m.clock()) && !done.After(r.lease):
-			f = runner.Finished{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.ended[run] = runner.Stopped{Ran: true, Finished: f.OK, Result: f.Result}
+		case !done.After(m.clock()) && !done.After(r.leaseEnd):
+			f = runner.Finished{Run: run, OK: !m.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
+			m.outcomes[run] = runner.Stopped{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
-				m.world.store.complete(run)
+				m.sim.store.recordCompletion(run)
 			}
-		case r.lease.After(m.clock()):
+		case r.leaseEnd.After(m.clock()):
 			continue
 		default:
-			m.ended[run] = runner.Stopped{Ran: true, Checkpoint: f.Checkpoint}
+			m.outcomes[run] = runner.Stopped{Ran: true, Checkpoint: f.Checkpoint}
 		}
 		m.finished[run] = f
 		delete(m.runs, id)
@@ -96,27 +96,27 @@
 }
 
 func (m *fakeWorker) start(s runner.Start) string {
-	m.advance()
+	m.endDueRuns()
 	run := runner.Run{Task: s.Task, Token: s.Token}
-	_, known := m.ended[run]
+	_, known := m.outcomes[run]
 	switch {
 	case s.Token.Epoch < m.epoch, s.Token.Less(m.fences[s.Task]):
 		return "fenced"
 	case !s.Until.IsZero() && m.clock().After(s.Until):
 		return "late"
-	case known && !m.ended[run].Ran:
+	case known && !m.outcomes[run].Ran:
 		return "stopped before"
 	case s.Token == m.fences[s.Task]:
 		return ""
 	}
 	m.epoch = s.Token.Epoch
 	m.fences[s.Task] = s.Token
-	m.world.audit(m, s)
+	m.sim.checkStart(m, s)
 	m.runs[s.Task] = &fakeRun{
-		Start: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
+		Start: s, startedAt: m.clock(), leaseEnd: m.leaseEnd(s.Lease, s.Until), length: m.sim.runLength(),
 	}
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.world.t.Fatalf("%s is overfilled: %v", m.name, sum)
+		m.sim.t.Fatalf("%s is overfilled: %v", m.name, sum)
 	}
 	return ""
 }
@@ -130,7 +130,7 @@
 }
 
 func (m *fakeWorker) stop(s runner.Stop) (runner.Stopped, string) {
-	m.advance()
+	m.endDueRuns()
 	if s.Epoch < m.epoch {
 		return runner.Stopped{}, "fenced"
 	}
@@ -141,41 +141,41 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(m.runs, s.Task)
-		m.ended[run] = runner.Stopped{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
-	} else if _, ok := m.ended[run]; !ok {
-		m.ended[run] = runner.Stopped{}
+		m.outcomes[run] = runner.Stopped{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+	} else if _, ok := m.outcomes[run]; !ok {
+		m.outcomes[run] = runner.Stopped{}
 	}
-	return m.ended[run], ""
+	return m.outcomes[run], ""
 }
 
 func (m *fakeWorker) throttle(t runner.Throttle) {
-	m.advance()
+	m.endDueRuns()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
 	r := m.runs[t.Task]
-	if t.Epoch < m.epoch || r == nil || r.Token != t.Token || order.Less(r.throttled) {
+	if t.Epoch < m.epoch || r == nil || r.Token != t.Token || order.Less(r.lastThrottle) {
 		return
 	}
-	r.throttled = order
+	r.lastThrottle = order
 	r.Granted.CPU = t.CPU
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.world.t.Fatalf("%s is overfilled by a throttle: %v", m.name, sum)
+		m.sim.t.Fatalf("%s is overfilled by a throttle: %v", m.name, sum)
 	}
 }
 
 func (m *fakeWorker) sync(s runner.Sync) (runner.Synced, string) {
-	m.advance()
+	m.endDueRuns()
 	if s.Epoch < m.epoch {
 		return runner.Synced{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	for _, run := range s.Ack {
-		m.world.store.checkAck(m.finished[run])
+		m.sim.store.checkAck(m.finished[run])
 		delete(m.finished, run)
 	}
 	for _, run := range s.Renew {
 		if r := m.runs[run.Task]; r != nil && r.Token == run.Token {
-			if end := m.leaseEnd(s.Lease, s.Until); end.After(r.lease) {
-				r.lease = end
+			if end := m.leaseEnd(s.Lease, s.Until); end.After(r.leaseEnd) {
+				r.leaseEnd = end
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		out.Running = append(out.Running, runner.Running{
-			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.throttled,
+			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.lastThrottle,
 		})
 	}
 	for _, f := range m.finished {
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -22,7 +22,7 @@
 var start = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
 
 // desk drives one State by hand: it keeps the effects until a spec answers.
-type desk struct {
+type harness struct {
 	*State
 	effects []Effect
 }
@@ -65,74 +65,74 @@
 
 // newDesk returns a State that owns its shard, with inventories from all of
 // its workers.
-func newDesk(workers ...string) *desk {
-	d := &desk{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
-	d.do(Tick{Now: start})
-	d.do(HostsReceived{Hosts: testHosts(workers...)})
-	d.do(ConfigurationReceived{Configuration: testConfiguration()})
-	Expect(taken[ClaimShard](d)).To(HaveLen(1))
-	d.do(ShardClaimed{Shard: "bne-1", Epoch: 1})
-	d.inventory(runner.Synced{})
-	return d
+func newHarness(workers ...string) *harness {
+	h := &harness{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
+	h.feed(Tick{Now: start})
+	h.feed(HostsReceived{Hosts: testHosts(workers...)})
+	h.feed(ConfigurationReceived{Configuration: testConfiguration()})
+	Expect(takeEffects[ClaimShard](h)).To(HaveLen(1))
+	h.feed(ShardClaimed{Shard: "bne-1", Epoch: 1})
+	h.answerSyncs(runner.Synced{})
+	return h
 }
 
-func (d *desk) do(e Event) { d.effects = append(d.effects, d.Reduce(e)...) }
+func (h *harness) feed(e Event) { h.effects = append(h.effects, h.Reduce(e)...) }
 
-func (d *desk) wait(t time.Duration) {
-	for end := d.now.Add(t); d.now.Before(end); {
-		d.do(Tick{Now: d.now.Add(min(250*time.Millisecond, end.Sub(d.now)))})
-		d.do(StoreChecked{Reachable: true})
+func (h *harness) advance(t time.Duration) {
+	for end := h.now.Add(t); h.now.Before(end); {
+		h.feed(Tick{Now: h.now.Add(min(250*time.Millisecond, end.Sub(h.now)))})
+		h.feed(StoreChecked{Reachable: true})
 	}
 }
 
 // taken removes and returns the effects of one type.
-func taken[E Effect](d *desk) []E {
+func takeEffects[E Effect](h *harness) []E {
 	var out []E
 	var rest []Effect
-	for _, one := range d.effects {
+	for _, one := range h.effects {
 		if e, ok := one.(E); ok {
 			out = append(out, e)
 		} else {
 			rest = append(rest, one)
 		}
 	}
-	d.effects = rest
+	h.effects = rest
 	return out
 }
 
 // durable answers all appends and returns their records.
-func (d *desk) durable() []describer.Record {
+func (h *harness) answerAppends() []describer.Record {
 	var out []describer.Record
 	for {
-		appends := taken[AppendRecords](d)
+		appends := takeEffects[AppendRecords](h)
 		if len(appends) == 0 {
 			return out
 		}
 		for _, a := range appends {
 			out = append(out, a.Records...)
-			d.do(RecordsAppended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
+			h.feed(RecordsAppended{Shard: a.Shard, Epoch: a.Epoch, Batch: a.Batch})
 		}
-		d.wait(250 * time.Millisecond)
+		h.advance(250 * time.Millisecond)
 	}
 }
 
 // inventory answers all outstanding calls for inventories alike.
-func (d *desk) inventory(s runner.Synced) {
-	for _, c := range taken[SyncWorker](d) {
-		d.do(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: d.now, Synced: s})
+func (h *harness) answerSyncs(s runner.Synced) {
+	for _, c := range takeEffects[SyncWorker](h) {
+		h.feed(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: h.now, Synced: s})
 	}
 }
 
 // started answers all starts with success and returns them.
-func (d *desk) started() []StartTask {
-	out := taken[StartTask](d)
+func (h *harness) answerStarts() []StartTask {
+	out := takeEffects[StartTask](h)
 	for _, s := range out {
-		d.do(StartAnswered{Shard: s.Shard, Epoch: s.Epoch, Worker: s.Worker, Task: s.Start.Task, Token: s.Start.Token})
+		h.feed(StartAnswered{Shard: s.Shard, Epoch: s.Epoch, Worker: s.Worker, Task: s.Start.Task, Token: s.Start.Token})
 	}
 	return out
 }
 
-func kinds(records []describer.Record) []describer.RecordKind {
+func recordKinds(records []describer.Record) []describer.RecordKind {
 	var out []describer.RecordKind
 	for _, r := range records {
 		out = append(out, r.Kind)
@@ -140,7 +140,7 @@
 	return out
 }
 
-func runOf(s StartTask) runner.Run { return runner.Run{Task: s.Start.Task, Token: s.Start.Token} }
+func startedRun(s StartTask) runner.Run { return runner.Run{Task: s.Start.Task, Token: s.Start.Token} }
 
 // TestMain fixes the seed of property tests unless the command line has one.
 func TestMain(m *testing.M) {
