--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -9,19 +9,25 @@
 	"dotterelcart.dev/dotterelcart/internal/control/restorer"
 )
 
-// Times of drains.
 const (
-	missingLimit     = 10 * time.Minute // missing in the host list, a worker can't be restored
-	proposalInterval = 5 * time.Second  // until the configuration shows a proposal
+	// missingLimit is how long a worker may be missing from the host list before its
+	// restore ends without it.
+	missingLimit = 10 * time.Minute
+
+	// proposalInterval is the time between repetitions of a proposal that the
+	// configuration does not show yet.
+	proposalInterval = 5 * time.Second
 )
 
-// drain is the obligation that concerns one worker.
+// workerDrain is the drain of one worker. While it is draining, runs are moved off the
+// worker; while it is restoring, batch work is gradually allowed back.
 type workerDrain struct {
 	id    string
 	state describer.DrainState
 }
 
-// indexDrains lists the workers that still owe or are owed something.
+// indexDrains rebuilds the index of drains by worker from the configuration. Workers
+// whose restore is complete are left out.
 func (s *State) indexDrains() {
 	s.drains = make(map[string]workerDrain)
 	for _, d := range s.config.Drains {
@@ -33,9 +39,9 @@
 	}
 }
 
-// reviewDrains advances drains and restores. Everything that it does is
-// repeated until the configuration shows that it is fulfilled, so it doesn't
-// matter who began it.
+// advanceDrains takes the next steps of all drains and restores. Each step is repeated
+// until the configuration shows its result, so a new owner can continue what another
+// one began.
 func (s *State) advanceDrains() {
 	if len(s.drains) == 0 || !s.storeReachable {
 		return
@@ -50,7 +56,8 @@
 	}
 }
 
-// beginRestores proposes the restore of drains whose time is over.
+// proposeRestores proposes to start the restore of each drain whose time is over and
+// that concerns a worker of an owned shard.
 func (s *State) proposeRestores() {
 	for _, d := range s.config.Drains {
 		if d.State != describer.Draining || d.Until.IsZero() || d.Until.After(s.now) {
@@ -69,12 +76,13 @@
 	return slices.ContainsFunc(workers, func(name string) bool { return sh.workers[name] != nil })
 }
 
-// mayPropose limits how often the same proposal is made.
-func (sh *shard) mayPropose(what string) bool {
-	if at, ok := sh.proposedAt[what]; ok && sh.state.now.Sub(at) < proposalInterval {
+// mayPropose reports whether the proposal may be sent now, and if so notes the time.
+// A proposal is identified by its drain id or worker name.
+func (sh *shard) mayPropose(id string) bool {
+	if at, ok := sh.proposedAt[id]; ok && sh.state.now.Sub(at) < proposalInterval {
 		return false
 	}
-	sh.proposedAt[what] = sh.state.now
+	sh.proposedAt[id] = sh.state.now
 	return true
 }
 
@@ -86,7 +94,7 @@
 	sh.advanceRestore(w, d)
 }
 
-// drainOff stops the worker's runs with a checkpoint, a few at a time.
+// stopDrainedRuns stops the worker's runs with a checkpoint, at most maxStops at a time.
 func (sh *shard) stopDrainedRuns(w *worker) {
 	w.restoreState = restorer.State{}
 	w.restoreHold = ""
@@ -101,20 +109,21 @@
 	}
 }
 
-// restoreTo lets work back on the worker step by step, and records the end of
-// the obligation once no drained task of it waits for a place.
+// advanceRestore raises the limit on batch work of the worker step by step. It records
+// the end of the restore when the last step is done and no task that was drained off the
+// worker is pending, or when the worker has been missing for too long.
 func (sh *shard) advanceRestore(w *worker, d workerDrain) {
 	if sh.view.restored[w.name] == d.id {
 		sh.setBatchLimit(w, false, 0)
 		sh.proposeRestored(w.name)
 		return
 	}
-	owed := sh.view.drainedPending[w.name]
+	pending := sh.view.drainedPending[w.name]
 	decision := restorer.Decide(restorer.Input{
 		Now:      sh.state.now,
 		Worker:   w.account,
 		Services: sh.state.services,
-		Owed:     owed,
+		Owed:     pending,
 		Gone:     !w.listed && sh.state.now.Sub(w.missingSince) >= missingLimit,
 		State:    &w.restoreState,
 		Options:  sh.state.policies.Restoration,
@@ -125,8 +134,8 @@
 	if !decision.Done {
 		return
 	}
-	if owed > 0 && w.listed {
-		w.restoreHold = fmt.Sprintf("%d drained tasks wait for a place", owed)
+	if pending > 0 && w.listed {
+		w.restoreHold = fmt.Sprintf("%d drained tasks are pending", pending)
 		return
 	}
 	w.restoredBatch = sh.journal.nextBatch()
@@ -134,7 +143,8 @@
 	sh.journal.whenDurable(followUp{restoredWorker: w.name})
 }
 
-// limit bounds what batch tasks may hold on the worker.
+// setBatchLimit limits the processors, in millicores, that batch tasks may be granted on
+// the worker, or removes the limit if on is false.
 func (sh *shard) setBatchLimit(w *worker, on bool, cpu int64) {
 	if w.account.Limited != on || w.account.Limit != cpu {
 		sh.placementIdle = false
@@ -143,8 +153,8 @@
 	w.account.Limit = cpu
 }
 
-// propose asks for the configuration to show that the worker has its work
-// back.
+// proposeRestored proposes to mark the worker as restored in the configuration, once
+// the record of it is durable.
 func (sh *shard) proposeRestored(name string) {
 	d, ok := sh.state.drains[name]
 	if w := sh.workers[name]; w == nil || !sh.journal.isDurable(w.restoredBatch) {
--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -9,123 +9,130 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Event is anything that changes the control state.
+// Event is an input of the state machine: a change outside, a request of a caller
+// or the outcome of an effect.
 type Event interface{ event() }
 
-// Tick lets time pass. Every event carries the time by the Now of the latest
-// Tick before it.
+// Tick sets the current time. All events up to the next Tick are handled at this
+// time.
 type Tick struct{ Now time.Time }
 
-// ConfigurationReceived delivers a configuration; a revision that is not greater than
-// the one in force is ignored.
+// ConfigurationReceived delivers a configuration. It is ignored unless its revision
+// is greater than the current one.
 type ConfigurationReceived struct{ Configuration describer.Configuration }
 
-// HostsReceived delivers the host list.
+// HostsReceived delivers the complete list of hosts.
 type HostsReceived struct{ Hosts []describer.Host }
 
-// PeersChanged delivers the entry hosts of all failure domains that membership believes to be alive,
-// this one included.
+// PeersChanged delivers the entry hosts of all failure domains that membership
+// believes to be alive, including this one.
 type PeersChanged struct{ Alive []Peer }
 
-// Peer is an entry host as membership sees it.
+// Peer is an entry host (a host that runs a daemon) as membership reports it.
 type Peer struct {
 	Name    string
 	Domain  string
 	Region  string
-	Address string   // for peers, ip:port
-	Shards  []string // that it says it owns
-	Leaving bool
+	Address string   // ip:port on which it serves other daemons
+	Shards  []string // ids of the shards that it reports as its own
+	Leaving bool     // whether it has begun a planned stop
 }
 
-// StoreChecked says whether the last store call had an answer. It comes after
-// each renewal of the shards' leases, not only on a change. When a call
-// shows that a shard's lease is over, ShardLost comes first.
+// StoreChecked reports whether the store answered the last call. It follows each
+// renewal of the shard leases, even if nothing changed. If the call shows that
+// the lease of a shard has ended, ShardLost comes before it.
 type StoreChecked struct{ Reachable bool }
 
-// ShardClaimed says that this daemon owns a shard from now on. Snapshot and
-// Records are the ledger's content; Snapshot may be nil.
+// ShardClaimed reports that this daemon now owns a shard under the given epoch, and
+// delivers the shard's ledger.
 type ShardClaimed struct {
 	Shard    string
 	Epoch    int64
-	Snapshot []byte
-	Records  []describer.Record
+	Snapshot []byte             // Data of the latest SaveSnapshot; nil if there is none
+	Records  []describer.Record // records appended after the snapshot, in order
 }
 
-// ClaimFailed says that a claim did not succeed; the reducer tries again.
+// ClaimFailed reports that a ClaimShard did not succeed. The reducer retries it.
 type ClaimFailed struct {
 	Shard string
-	Owner string // present owner's name, if known
+	Owner string // name of the current owner; empty if unknown
 }
 
-// ShardLost says that a shard is owned no longer: fenced, lapsed or released.
+// ShardLost reports that this daemon no longer owns a shard: another daemon claimed
+// it, its lease expired, or it was released.
 type ShardLost struct {
 	Shard string
 	Epoch int64
 }
 
-// RecordsAppended says that the records of Append with this Batch are durable.
+// RecordsAppended reports that all records of the AppendRecords with this Batch, and
+// of earlier ones, are durable.
 type RecordsAppended struct {
 	Shard string
 	Epoch int64
 	Batch int64
 }
 
-// SubmitRequested asks to accept a job in Shard, or in its home shard when Shard is empty.
+// SubmitRequested asks to accept a job in its home shard (see [HomeShard]). The Reply
+// is a JobStatus.
 type SubmitRequested struct {
 	Request RequestID
 	Job     describer.Job
 }
 
-// CancelRequested asks to cancel a job.
+// CancelRequested asks to cancel a job. The Reply is a JobStatus.
 type CancelRequested struct {
 	Request RequestID
 	Job     string
 }
 
-// JobStatusRequested asks for the state of a job.
+// JobStatusRequested asks for the state of a job. The Reply is a JobStatus.
 type JobStatusRequested struct {
 	Request RequestID
 	Job     string
 }
 
-// KeyClaimRequested asks to record that a non-idempotent request is about to be sent.
+// KeyClaimRequested asks to claim an idempotency key before a non-idempotent request
+// is sent. The Reply is a KeyClaim.
 type KeyClaimRequested struct {
 	Request RequestID
 	Shard   string
 	Key     string
-	Owner   string // entry host that will send it, with a nonce
+	Owner   string // entry host that will send the request, with a nonce
 }
 
-// PlanRequested asks for the steps of an intent on the shards owned here.
+// PlanRequested asks which steps an intent would take on the shards owned here. The
+// Reply is a Plan.
 type PlanRequested struct {
 	Request RequestID
 	Intent  describer.Intent
 }
 
-// StatusRequested asks for a report on the shards owned here.
+// StatusRequested asks for a report on the shards owned here. The Reply is a Status.
 type StatusRequested struct {
 	Request RequestID
-	Worker  string // explain this worker; empty means all, in short
+	Worker  string // reports only this worker, with explanations; empty reports all without
 }
 
-// WorkerSynced is a worker's answer to SyncWorker.
+// WorkerSynced delivers a worker's answer to SyncWorker: the inventory of its runs.
 type WorkerSynced struct {
 	Shard  string
 	Epoch  int64
 	Worker string
-	SentAt time.Time // when the call began; leases run from here
+	SentAt time.Time // start of the call
 	Synced runner.Synced
 }
 
-// WorkerSyncFailed says that a SyncWorker had no answer.
+// WorkerSyncFailed reports that a SyncWorker failed or was not answered.
 type WorkerSyncFailed struct {
 	Shard  string
 	Epoch  int64
 	Worker string
-	Fenced bool
+	Fenced bool // the worker refused the call because it knows a greater epoch
 }
 
-// StartAnswered is the outcome of StartTask. Err is empty on success.
+// StartAnswered reports the outcome of StartTask. Err is empty on success; otherwise
+// Verdict says whether the run may have started.
 type StartAnswered struct {
 	Shard   string
 	Epoch   int64
@@ -136,7 +143,8 @@
 	Err     string
 }
 
-// StopAnswered is the outcome of StopTask. With Err the run may still be on.
+// StopAnswered reports the outcome of StopTask. If Err is not empty, the run may still
+// be running and Stopped is not set.
 type StopAnswered struct {
 	Shard   string
 	Epoch   int64
@@ -147,15 +155,16 @@
 	Err     string
 }
 
-// DrainUpdateAnswered is the outcome of a Propose effect; the new configuration follows
-// as Configured.
+// DrainUpdateAnswered reports the outcome of ProposeDrainUpdate. The new configuration
+// follows as ConfigurationReceived.
 type DrainUpdateAnswered struct {
 	Drain  string
 	Worker string
 	OK     bool
 }
 
-// StopRequested begins a planned stop: no claims, shards are released.
+// StopRequested begins a planned stop: the daemon claims no more shards and releases
+// those that it owns.
 type StopRequested struct{}
 
 func (Tick) event()                  {}
@@ -180,25 +189,26 @@
 func (DrainUpdateAnswered) event()   {}
 func (StopRequested) event()         {}
 
-// RequestID ties a Reply to the event that asked for it; 0 wants no reply.
+// RequestID links a Reply to the event that requested it. There is no reply to 0.
 type RequestID uint64
 
-// JobStatus is the Reply to Submitted, Cancelled and Inquired.
+// JobStatus is the Reply to SubmitRequested, CancelRequested and JobStatusRequested.
+// Pending, Started, Done and Failed count the job's tasks in each state.
 type JobStatus struct {
 	Job        string            `json:"job"`
 	Shard      string            `json:"shard"`
-	State      string            `json:"state"` // accepted, running, done, cancelled, failed
+	State      string            `json:"state"` // one of accepted, running, done, cancelled, failed
 	Pending    int               `json:"pending"`
 	Started    int               `json:"started"`
 	Done       int               `json:"done"`
 	Failed     int               `json:"failed"`
-	MayHaveRun bool              `json:"ran"` // some task may have run
-	Reason     string            `json:"reason,omitempty"`
-	Results    []json.RawMessage `json:"results,omitempty"` // by task index, once done
+	MayHaveRun bool              `json:"ran"`               // whether any task has run or may have
+	Reason     string            `json:"reason,omitempty"`  // first reason why a task is pending, failed or cancelled
+	Results    []json.RawMessage `json:"results,omitempty"` // results by task index; set when State is done
 }
 
-// KeyClaim is the Reply to KeyRequested.
+// KeyClaim is the Reply to KeyClaimRequested.
 type KeyClaim struct {
-	First bool   `json:"fresh"` // false: claimed before, by Owner
-	Owner string `json:"owner"`
+	First bool   `json:"fresh"` // whether the request is the first claim of the key
+	Owner string `json:"owner"` // owner given by the first claim
 }
--- a/internal/control/reducer/failure.go
+++ b/internal/control/reducer/failure.go
@@ -8,24 +8,33 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Bounds on failures.
+// Limits on failed runs.
 const (
-	maxWorkers     = 3               // distinct workers that a task may fail on
-	maxAttempts    = 8               // failures of a task on fewer workers
-	quarantineJobs = 3               // distinct jobs that failed on a worker, none succeeding
-	minRetryDelay  = time.Second     // before a failed task starts again, doubled each time
-	maxRetryDelay  = 2 * time.Minute // upper bound of the same
-	probeInterval  = 5 * time.Minute // before a worker that was set aside gets one task
+	// A task fails permanently after it failed on maxFailedWorkers distinct
+	// workers, or maxAttempts times on fewer workers.
+	maxFailedWorkers = 3
+	maxAttempts      = 8
+
+	// A worker is quarantined when quarantineJobs distinct jobs of at least two
+	// classes, or twice as many of any classes, failed on it without a success.
+	quarantineJobs = 3
+
+	// The delay before a failed task starts again doubles with each failure.
+	minRetryDelay = time.Second
+	maxRetryDelay = 2 * time.Minute
+
+	// A quarantined worker gets one task per probeInterval.
+	probeInterval = 5 * time.Minute
 )
 
-// evidence against a worker since its last success.
+// failureStreak lists what failed on a worker since its last success.
 type failureStreak struct {
-	jobs    []string // distinct jobs that failed on it
-	classes []string // their distinct classes
+	jobs    []string // ids of the jobs, without repetition
+	classes []string // classes of these jobs, without repetition
 }
 
-// failed records a failed attempt and weighs whether the task or the worker
-// is to blame.
+// recordFailure records a failed run. Depending on earlier failures it quarantines
+// the worker, fails the task permanently or schedules a retry.
 func (sh *shard) recordFailure(t *task, w *worker, reason string) {
 	sh.appendRecord(describer.Record{
 		Kind:   describer.TaskFailed,
@@ -48,8 +57,8 @@
 	sh.addTimer(wait, timer{kind: timerRetry, task: t})
 }
 
-// accuse sets a worker aside that failed several jobs of several classes, or
-// many of one, without a success.
+// quarantineIfSuspect adds a failure to the worker's streak and quarantines the worker
+// if the streak suggests that it is at fault rather than the jobs.
 func (sh *shard) quarantineIfSuspect(w *worker, t *task, reason string) {
 	w.failureStreak.jobs = appendUnique(w.failureStreak.jobs, t.job.ID)
 	w.failureStreak.classes = appendUnique(w.failureStreak.classes, t.job.Class)
@@ -65,7 +74,8 @@
 	})
 }
 
-// trust forgets the evidence against a worker that completed something.
+// clearFailures ends the failure streak and the quarantine of a worker on which a task
+// succeeded.
 func (sh *shard) clearFailures(w *worker) {
 	w.failureStreak = failureStreak{}
 	if sh.view.quarantined[w.name] != "" {
@@ -73,7 +83,8 @@
 	}
 }
 
-// aside closes a worker. It gets one task at each interval until one succeeds.
+// quarantine closes a worker to new tasks, except for one probe task per interval,
+// until one succeeds.
 func (sh *shard) quarantine(name, reason string) {
 	known := sh.view.quarantined[name] != ""
 	w := sh.ensureWorker(name)
@@ -84,6 +95,8 @@
 	sh.updateClosed(w)
 }
 
+// allowProbe lets one task be placed on a quarantined worker that has no runs, and
+// schedules the next probe.
 func (sh *shard) allowProbe(w *worker) {
 	if sh.workers[w.name] != w || sh.view.quarantined[w.name] == "" {
 		return
@@ -93,8 +106,8 @@
 	sh.addTimer(probeInterval, timer{kind: timerProbe, worker: w})
 }
 
-// isHopeless reports whether enough different workers failed the task. Those
-// that fail everything don't count.
+// isOutOfAttempts reports whether the task has failed too often to be tried again.
+// Failures on quarantined workers don't count as failures on distinct workers.
 func (sh *shard) isOutOfAttempts(t *task) bool {
 	if t.attempts >= maxAttempts {
 		return true
@@ -105,16 +118,18 @@
 			healthy++
 		}
 	}
-	return healthy >= maxWorkers
+	return healthy >= maxFailedWorkers
 }
 
+// requeue makes a failed task eligible for placement again when its delay is over.
 func (sh *shard) requeue(t *task) {
 	if t.state == describer.Pending && !t.queued {
 		sh.enqueue(t)
 	}
 }
 
-// maySetAside ends a task that no worker of the shard could ever hold.
+// failIfUnplaceable fails the task permanently if it is larger than the capacity of
+// every worker of the shard. It waits until the capacity of all workers is known.
 func (sh *shard) failIfUnplaceable(t *task, want describer.Resources) {
 	if len(sh.sortedWorkers) == 0 {
 		return
@@ -124,18 +139,20 @@
 			return
 		}
 	}
-	sh.failPermanently(t, "larger than every worker of its shard")
+	sh.failPermanently(t, "larger than the capacity of every worker in its shard")
 }
 
+// failPermanently records that the pending task will not be tried again.
 func (sh *shard) failPermanently(t *task, reason string) {
 	sh.appendRecord(describer.Record{Kind: describer.TaskSetAside, Task: t.id(), Reason: reason})
 	t.pendingReason = ""
 	t.job.lastBatch = sh.journal.nextBatch()
 }
 
-func appendUnique(list []string, one string) []string {
-	if slices.Contains(list, one) {
+// appendUnique appends s to the list unless the list contains it.
+func appendUnique(list []string, s string) []string {
+	if slices.Contains(list, s) {
 		return list
 	}
-	return append(list, one)
+	return append(list, s)
 }
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -8,15 +8,16 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Bounds on changes of grants.
+// Limits on resizing grants.
 const (
-	resizeInterval  = 15 * time.Second // between changes on one worker
-	maxResizes      = 4                // at once on one worker
-	maxGrowthFactor = 4                // times the declared processors
+	resizeInterval  = 15 * time.Second // minimum time between rounds of changes on one worker
+	maxResizes      = 4                // maximum number of runs resized in one round
+	maxGrowthFactor = 4                // maximum grant as a multiple of the declared processors
 )
 
-// adaptGrants lets grants follow measured use. A run is resized only when the
-// inventory shows the booked grant in force, so no older change is on its way.
+// adaptGrants resizes grants towards the measured use. A run is resized only if the
+// inventory shows the recorded grant, because otherwise an older change may still be
+// on its way to the worker.
 func (sh *shard) adaptGrants(w *worker, running []runner.Running) {
 	if sh.state.now.Sub(w.resizedAt) < resizeInterval {
 		return
@@ -34,7 +35,8 @@
 	}
 }
 
-// adapt resizes one run by its use. Growth leaves room to tasks that wait.
+// adaptGrant resizes the grant of one batch run towards its measured use and reports
+// whether it did. Grants grow only while no task is pending.
 func (sh *shard) adaptGrant(t *task, w *worker, r *runner.Running) bool {
 	if t.job.Kind != describer.Batch {
 		return false
@@ -60,7 +62,8 @@
 	return true
 }
 
-// grow books a greater grant first and tells the worker once that is durable.
+// grow records a larger processor grant, in millicores, and sends it to the worker once
+// the record is durable, so that the worker never uses more than is recorded.
 func (sh *shard) grow(t *task, cpu int64) bool {
 	w := sh.ensureWorker(t.worker)
 	more := cpu - t.granted.CPU
@@ -72,8 +75,8 @@
 	return true
 }
 
-// shrink tells the worker first and books the smaller grant once an inventory
-// shows it in force.
+// shrink sends a smaller processor grant, in millicores, to the worker first. It is
+// recorded once an inventory shows it, because the run may use the old grant until then.
 func (sh *shard) shrink(t *task, cpu int64) {
 	if cpu <= 0 || cpu >= t.granted.CPU || t.shrinkTo > 0 && cpu >= t.shrinkTo {
 		return
@@ -83,6 +86,7 @@
 	sh.sendThrottle(t, cpu)
 }
 
+// recordResize records a new processor grant, in millicores.
 func (sh *shard) recordResize(t *task, cpu int64) {
 	granted := t.granted
 	granted.CPU = cpu
@@ -91,10 +95,10 @@
 	})
 }
 
-// settleGrant compares the grant in force with the booked one, and repeats
-// what was not carried out. A smaller grant is booked only when the worker has
-// taken the throttle itself: a low grant may be older than a growth that is
-// still on its way.
+// reconcileGrant compares the grant that an inventory shows with the recorded one, and
+// sends the change again if it has not been applied. A smaller grant is recorded only if
+// the inventory shows that the worker applied the throttle itself: a low grant alone may
+// be older than a growth that is still on its way.
 func (sh *shard) reconcileGrant(t *task, r *runner.Running) {
 	switch {
 	case t.shrinkTo > 0 && r.Order.Epoch == sh.epoch && r.Order.Sequence >= t.shrinkSequence:
@@ -108,6 +112,7 @@
 	}
 }
 
+// sendThrottle sends a processor grant, in millicores, to the worker of the run.
 func (sh *shard) sendThrottle(t *task, cpu int64) {
 	w := sh.ensureWorker(t.worker)
 	if w.account.Host.Control == "" || sh.ownership != owning {
@@ -123,12 +128,12 @@
 	})
 }
 
-// applyResize changes the accounts in place; a run keeps its slot.
+// applyResize updates the accounts of the worker and the team for a resized grant.
 func (sh *shard) applyResize(t *task, to describer.Resources) {
 	w := sh.ensureWorker(t.worker)
 	id := t.id()
 	if w.account.Resize(id, t.token, to) != nil {
-		// In replay the worker's capacity may not be known yet.
+		// During replay the worker's capacity may not be known yet.
 		g := w.account.Grants[id]
 		w.account.Drop(id, t.token)
 		g.Resources = to
--- a/internal/control/reducer/journal.go
+++ b/internal/control/reducer/journal.go
@@ -7,72 +7,78 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Bounds of the journal.
 const (
-	maxInFlight               = 2       // appends of a shard without an answer
-	maxAppendBytes            = 256_000 // estimated size of one append
-	maxUnsent                 = 20_000  // records, above which new work is refused
-	maxAppendsPerSecond       = 200     // appends a second of all shards together
-	defaultMinSnapshotRecords = 2_000   // records between snapshots, at least
+	maxInFlight         = 2       // unanswered appends per shard
+	maxAppendBytes      = 256_000 // estimated size of one append
+	maxUnsent           = 20_000  // number of unsent records at which new work is refused
+	maxAppendsPerSecond = 200     // write budget of the store, shared by all shards
+
+	// defaultMinSnapshotRecords is the minimum number of records between two snapshots
+	// of a shard.
+	defaultMinSnapshotRecords = 2_000
 )
 
-// journal groups a shard's records into appends. All records that are decided
-// while the bound on appends is reached go into the next one.
+// journal buffers a shard's records and groups them into appends (group commit).
+// Records that are decided while no further append is allowed go into the next one.
 type journal struct {
 	shard                *shard
 	unsent               []describer.Record
-	followUps            []followUp // of unsent and of batches in flight, in order
-	lastSent             int64      // last batch sent
-	lastDurable          int64      // last batch known to be durable
-	flushedAt            time.Time
+	followUps            []followUp // actions waiting for unsent or unanswered batches, in order
+	lastSent             int64      // number of the last batch sent
+	lastDurable          int64      // number of the last batch known to be durable
+	flushedAt            time.Time  // time of the last append
 	recordsSinceSnapshot int
 }
 
-// consequence is what follows once a batch is durable.
+// followUp is an action to take once a batch is durable. One of start, grown,
+// restoredWorker, key and job is set and selects the action.
 type followUp struct {
 	batch          int64
-	start          *task // ask the worker to start its run
-	token          describer.Token
-	request        RequestID // answer it
-	job            *job      // with the job's status
-	key            *KeyClaim // or with the claim
-	grown          *task     // tell the worker about the greater grant
-	stopRuns       bool      // stop the runs of the job, which is cancelled
-	restoredWorker string    // propose the restored drain of this worker
+	start          *task           // task whose run is started on its worker
+	token          describer.Token // token of the run of start or grown
+	request        RequestID       // request to answer with key or the status of job
+	job            *job
+	key            *KeyClaim
+	grown          *task  // task whose larger grant is sent to its worker
+	stopRuns       bool   // whether to stop the runs of job, which was cancelled
+	restoredWorker string // worker to propose as restored
 }
 
-// next returns the batch that a record added now will be in.
+// nextBatch returns the number of the batch that the next added record belongs to. It
+// may move to a later batch if it does not fit.
 func (j *journal) nextBatch() int64 { return j.lastSent + 1 }
 
-// isSent reports whether every record has been handed to an Append.
+// allSent reports whether every record is part of an AppendRecords effect.
 func (j *journal) allSent() bool { return len(j.unsent) == 0 }
 
+// isFull reports whether new work must be refused until the store catches up.
 func (j *journal) isFull() bool { return len(j.unsent) >= maxUnsent }
 
 func (j *journal) isDurable(batch int64) bool { return batch <= j.lastDurable }
 
 func (j *journal) add(r describer.Record) { j.unsent = append(j.unsent, r) }
 
-// then carries a consequence out once the records added so far are durable.
-func (j *journal) whenDurable(c followUp) {
-	c.batch = j.nextBatch()
+// whenDurable runs a follow-up once all records added so far are durable.
+func (j *journal) whenDurable(f followUp) {
+	f.batch = j.nextBatch()
 	if j.allSent() {
-		c.batch = j.lastSent
+		f.batch = j.lastSent
 	}
-	if j.isDurable(c.batch) {
-		j.shard.runFollowUp(c)
+	if j.isDurable(f.batch) {
+		j.shard.runFollowUp(f)
 		return
 	}
-	j.followUps = append(j.followUps, c)
+	j.followUps = append(j.followUps, f)
 }
 
-// gap is the time between appends of one shard that keeps the whole fleet
-// within its write budget.
+// minAppendInterval returns the time between two appends of one shard that keeps all
+// shards of the configuration together within maxAppendsPerSecond.
 func (sh *shard) minAppendInterval() time.Duration {
 	return time.Duration(len(sh.state.config.Shards)) * time.Second / maxAppendsPerSecond
 }
 
-// mayFlush reports whether an append may go out now.
+// mayFlush reports whether an append may be sent now. A shard that is being released
+// doesn't wait for the interval between appends.
 func (sh *shard) mayFlush() bool {
 	if sh.journal.lastSent-sh.journal.lastDurable >= maxInFlight {
 		return false
@@ -80,7 +86,7 @@
 	return sh.ownership == releasing || sh.state.now.Sub(sh.journal.flushedAt) >= sh.minAppendInterval()
 }
 
-// flush sends what was decided as one append.
+// flush sends unsent records as one append, if one may be sent now.
 func (sh *shard) flush() {
 	j := &sh.journal
 	if j.allSent() || !sh.mayFlush() || sh.releaseSent {
@@ -95,8 +101,9 @@
 	sh.state.emit(AppendRecords{Shard: sh.id, Epoch: sh.epoch, Batch: j.lastSent, Records: batch})
 }
 
-// split leaves the records from n on for the next batch. Consequences stay
-// with the batch of their last record, which for a split one is the next.
+// trimUnsent removes the first n records, which were sent as batch lastSent. The
+// remaining ones move to the next batch, and with them the follow-ups of the batch and
+// the batch numbers noted in tasks, jobs and workers.
 func (j *journal) trimUnsent(n int) {
 	rest := j.unsent[n:]
 	if len(rest) == 0 {
@@ -114,6 +121,7 @@
 	}
 }
 
+// moveToNextBatch updates the batch numbers of what the record changed.
 func (j *journal) moveToNextBatch(r describer.Record) {
 	if t := j.shard.view.task(r.Task); t != nil {
 		t.lastBatch = j.nextBatch()
@@ -131,7 +139,7 @@
 	}
 }
 
-// fitting returns how many records one append takes, at least one.
+// countFitting returns how many of the records fit into one append; at least one.
 func countFitting(records []describer.Record) int {
 	size := 0
 	for i := range records {
@@ -143,7 +151,7 @@
 	return len(records)
 }
 
-// estimate returns about the encoded size of a record in bytes.
+// estimateSize returns the approximate encoded size of a record in bytes.
 func estimateSize(r *describer.Record) int {
 	size := 200 + len(r.Result) + len(r.Reason) + len(r.Checkpoint) + len(r.Key) + len(r.Owner)
 	if r.Job != nil {
@@ -152,7 +160,8 @@
 	return size
 }
 
-// appended carries out what waited for the batch.
+// handleAppended runs the follow-ups of all batches up to this one, which are durable
+// now.
 func (sh *shard) handleAppended(batch int64) {
 	j := &sh.journal
 	if batch <= j.lastDurable || batch > j.lastSent {
@@ -165,45 +174,46 @@
 	}
 	ready := j.followUps[:n]
 	j.followUps = j.followUps[n:]
-	for _, c := range ready {
-		sh.runFollowUp(c)
+	for _, f := range ready {
+		sh.runFollowUp(f)
 	}
 	sh.maybeSnapshot()
 }
 
-func (sh *shard) runFollowUp(c followUp) {
+func (sh *shard) runFollowUp(f followUp) {
 	switch {
-	case c.start != nil:
-		sh.sendStart(c.start, c.token)
-	case c.grown != nil:
-		if c.grown.state == describer.Started && c.grown.token == c.token {
-			sh.sendThrottle(c.grown, c.grown.granted.CPU)
+	case f.start != nil:
+		sh.sendStart(f.start, f.token)
+	case f.grown != nil:
+		if f.grown.state == describer.Started && f.grown.token == f.token {
+			sh.sendThrottle(f.grown, f.grown.granted.CPU)
 		}
-	case c.restoredWorker != "":
-		sh.proposeRestored(c.restoredWorker)
-	case c.key != nil:
-		sh.state.reply(Reply{Request: c.request, Key: c.key})
-	case c.job != nil:
-		if c.stopRuns {
-			sh.stopRuns(c.job)
+	case f.restoredWorker != "":
+		sh.proposeRestored(f.restoredWorker)
+	case f.key != nil:
+		sh.state.reply(Reply{Request: f.request, Key: f.key})
+	case f.job != nil:
+		if f.stopRuns {
+			sh.stopRuns(f.job)
 		}
-		sh.state.reply(Reply{Request: c.request, Job: sh.jobStatus(c.job)})
+		sh.state.reply(Reply{Request: f.request, Job: sh.jobStatus(f.job)})
 	}
 }
 
-// abandon answers the callers that wait for a shard which is owned no longer.
+// refuseWaiting refuses the requests that wait for records of a shard that this daemon
+// no longer owns. Records that were sent may still be in the ledger.
 func (j *journal) refuseWaiting(s *State) {
-	for _, c := range j.followUps {
-		if c.key == nil && c.job == nil {
+	for _, f := range j.followUps {
+		if f.key == nil && f.job == nil {
 			continue
 		}
 		verdict := classifier.MayHaveRun
-		if c.batch > j.lastSent {
+		if f.batch > j.lastSent {
 			verdict = classifier.NotRun
 		}
-		s.refuse(c.request, refusal{
+		s.refuse(f.request, refusal{
 			code: "owner-lost", verdict: verdict, retry: ownerLostRetry,
-			message: "the shard has a new owner; ask again",
+			message: "this daemon no longer owns the shard; retry the request",
 		})
 	}
 }
--- a/internal/control/reducer/key.go
+++ b/internal/control/reducer/key.go
@@ -4,8 +4,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// claimKey records that a non-idempotent request is about to be sent. Only
-// the first claim of a key is fresh, and only once it is durable.
+// claimKey records that a non-idempotent request with this idempotency key is about
+// to be sent. Only the first claim of a key is answered with First, and only after it is
+// durable; later claims get the owner of the first.
 func (s *State) claimKey(e KeyClaimRequested) {
 	sh := s.shards[e.Shard]
 	if sh != nil && sh.view != nil && sh.ownership == owning {
--- a/internal/control/reducer/placement_test.go
+++ b/internal/control/reducer/placement_test.go
@@ -69,7 +69,7 @@
 		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 4)})
 		d.answerAppends()
 		Expect(d.answerStarts()).To(HaveLen(2))
-		Expect(d.jobStatus("menu").Reason).To(Equal("the team's quota is used up"))
+		Expect(d.jobStatus("menu").Reason).To(Equal("team quota exhausted"))
 	})
 
 	It("sets a task aside that no worker can hold, and says why", func() {
@@ -80,7 +80,7 @@
 		d.answerAppends()
 		status := d.jobStatus("huge")
 		Expect(status.State).To(Equal("failed"))
-		Expect(status.Reason).To(Equal("larger than every worker of its shard"))
+		Expect(status.Reason).To(Equal("larger than the capacity of every worker in its shard"))
 	})
 
 	It("makes room for an urgent task by throttling", func() {
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -1,11 +1,19 @@
-// Package reducer is the control plane of a daemon as a pure function.
+// Package reducer implements the control plane of one daemon as a
+// deterministic state machine. It decides which shards the daemon owns, where
+// tasks run, and how leases, drains and failures are handled.
 //
 // # Model
 //
-// The caller owns a [State] and feeds it one [Event] at a time; each returns
-// the [Effect] values to be carried out. Nothing in this package does I/O,
-// reads a clock or starts a goroutine, so a sequence of events gives the same
-// effects every time.
+// A shard is a group of racks of one failure domain, with the jobs that run
+// there. At any time one daemon owns it, under an epoch that increases with
+// each change of owner. All state of a shard that must survive its owner is
+// kept in a ledger: a snapshot and the records appended since.
+//
+// The caller owns a [State] and passes it one [Event] at a time. Each call of
+// [State.Reduce] returns the [Effect] values that the caller must execute; their
+// outcomes come back as events. Nothing in this package does I/O, reads a clock
+// or starts a goroutine, so the same sequence of events always gives the same
+// effects.
 //
 //	s := reducer.New(options, reducer.Policies{})
 //	for event := range events {
@@ -14,11 +22,11 @@
 //
 // # Write-ahead
 //
-// A decision becomes a [describer.Record], is applied to the shard's book at
-// once and sent with the shard's next [AppendRecords]. What the decision causes
-// outside (a start, an answer to a caller) waits for [RecordsAppended]. The book is
-// therefore always ahead of the ledger, never beside it, and it is thrown
-// away with the ownership of the shard.
+// Each decision is a [describer.Record]. It is applied to the in-memory view of
+// the shard's ledger at once and written with the shard's next [AppendRecords].
+// Effects that depend on the decision (starting a run, answering a caller) wait
+// for [RecordsAppended]. The view may therefore be ahead of the ledger, but never
+// contradicts it, and it is discarded when the daemon loses the shard.
 package reducer
 
 import (
@@ -30,26 +38,38 @@
 	"dotterelcart.dev/dotterelcart/internal/control/placer"
 )
 
-// Options are what a State needs to know from its daemon's settings.
+// Options are the daemon settings that a State depends on.
 type Options struct {
-	Daemon string // this daemon's name in membership
-	Domain string // its failure domain
+	// Daemon is the name of this daemon in the membership list.
+	Daemon string
+
+	// Domain is the failure domain of this daemon. Only shards of this domain
+	// are claimed.
+	Domain string
+
+	// Region is the region of this daemon.
 	Region string
 
-	TaskLease    time.Duration // granted to workers with each renewal
-	LeaseMargin  time.Duration // for clock drift, added before a lapsed run counts as over
-	SyncInterval time.Duration // between inventories of one worker
+	// TaskLease is the length of the lease that each start and each renewal
+	// grants to a run.
+	TaskLease time.Duration
+
+	// LeaseMargin allows for clock drift: a run counts as over only this long
+	// after its lease has expired.
+	LeaseMargin time.Duration
+
+	// SyncInterval is the time between two syncs with the same worker.
+	SyncInterval time.Duration
 
-	// OutageLimit is how long an owner that can't reach the store goes on
-	// renewing task leases. A successor waits as long before it counts the
-	// leases on a worker that it can't reach as lapsed. The default is
-	// 15 minutes.
+	// OutageLimit is how long an owner that can't reach the store keeps
+	// renewing task leases. A new owner waits as long before it treats the
+	// leases on an unreachable worker as expired. The default is 15 minutes.
 	OutageLimit time.Duration
 }
 
 const defaultOutageLimit = 15 * time.Minute
 
-// State is the control state of one daemon. Only one goroutine may use it.
+// State is the control state of one daemon. It is not safe for concurrent use.
 type State struct {
 	options        Options
 	policies       Policies
@@ -61,24 +81,24 @@
 	config         describer.Configuration
 	hosts          []describer.Host
 	peers          []Peer
-	peersChangedAt time.Time // when membership last changed
-	storeReachable bool      // the store answered the last call
-	storeContactAt time.Time // when it last did
+	peersChangedAt time.Time // last change of the live peers, their domains or their leaving flags
+	storeReachable bool      // whether the last store call was answered
+	storeContactAt time.Time // last answer of the store
 	stopping       bool
 
-	shards        map[string]*shard      // of the own failure domain
-	sortedShards  []*shard               // the same, sorted by id
-	drains        map[string]workerDrain // by worker
+	shards        map[string]*shard      // shards of this failure domain by id
+	sortedShards  []*shard               // values of shards, sorted by id
+	drains        map[string]workerDrain // unfinished drains by worker name
 	timers        timers
-	effects       []Effect
-	tableUpToDate bool      // the routing table is up to date
-	publishedAt   time.Time // when it was made
-	reviewedAt    time.Time
+	effects       []Effect // effects of the current Reduce call
+	tableUpToDate bool     // false if the routing table must be published again
+	publishedAt   time.Time
+	reviewedAt    time.Time // last review of ownership and drains
 
-	minSnapshotRecords int // records between snapshots, at least
+	minSnapshotRecords int // minimum number of records between snapshots of a shard
 }
 
-// New returns the state of a daemon that knows nothing yet.
+// New returns the state of a daemon that has no configuration, hosts or shards yet.
 func New(o Options, p Policies) *State {
 	if p.Learner == nil {
 		p.Learner = learner.New(learner.Options{})
@@ -99,8 +119,8 @@
 	return s
 }
 
-// Reduce takes in one event and returns what is to be done, in order. The
-// slice is the caller's.
+// Reduce applies one event and returns the effects to execute, in order. The
+// returned slice belongs to the caller.
 func (s *State) Reduce(event Event) []Effect {
 	s.effects = nil
 	s.dispatch(event)
@@ -115,7 +135,7 @@
 
 func (s *State) emit(e Effect) { s.effects = append(s.effects, e) }
 
-// take hands the event to the part that it concerns.
+// dispatch calls the handler of the event.
 func (s *State) dispatch(event Event) {
 	switch e := event.(type) {
 	case Tick:
@@ -146,14 +166,14 @@
 	case StatusRequested:
 		s.replyStatus(e)
 	case DrainUpdateAnswered:
-		// The configuration that follows says whether it took effect.
+		// The outcome shows in the next configuration; unchanged drains are proposed again.
 	default:
 		s.dispatchToShard(event)
 	}
 }
 
-// takeShard handles events about one shard. Those of an earlier ownership are
-// dropped.
+// dispatchToShard handles events about one shard. It drops events of an earlier
+// epoch.
 func (s *State) dispatchToShard(event Event) {
 	switch e := event.(type) {
 	case ShardClaimed:
@@ -188,6 +208,7 @@
 	}
 }
 
+// ownedShard returns the shard if this daemon owns it under the given epoch, or nil.
 func (s *State) ownedShard(id string, epoch int64) *shard {
 	sh := s.shards[id]
 	if sh == nil || sh.view == nil || sh.epoch != epoch {
@@ -196,6 +217,8 @@
 	return sh
 }
 
+// tick advances the clock, fires due timers and reviews ownership and drains. A
+// clock that goes backwards is ignored.
 func (s *State) tick(now time.Time) {
 	if now.Before(s.now) {
 		return
@@ -210,7 +233,8 @@
 	s.advanceDrains()
 }
 
-// configure applies a greater revision only, so no stale copy reverts it.
+// applyConfiguration applies a configuration with a greater revision than the
+// current one and ignores others, so that a stale copy can't revert a change.
 func (s *State) applyConfiguration(c describer.Configuration) {
 	if c.Revision <= s.config.Revision {
 		return
@@ -230,6 +254,7 @@
 	s.tableUpToDate = false
 }
 
+// beginStop releases all owned shards and claims no more.
 func (s *State) beginStop() {
 	if s.stopping {
 		return
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -6,7 +6,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// jobStatus describes a job as its book has it.
+// jobStatus returns the status of a job according to the shard's view.
 func (sh *shard) jobStatus(j *job) *JobStatus {
 	out := &JobStatus{
 		Job:        j.ID,
@@ -28,6 +28,8 @@
 	return out
 }
 
+// stateName returns the job's state as callers see it. Finished tasks of a job that is
+// not over count as running.
 func (j *job) stateName() string {
 	switch {
 	case j.cancelled:
@@ -42,7 +44,8 @@
 	return "accepted"
 }
 
-// reasonText returns the first reason that a task gives for not being done.
+// reasonText returns the first reason why one of the job's tasks is pending, failed or
+// cancelled, or an empty string.
 func (j *job) reasonText() string {
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -59,6 +62,7 @@
 	return ""
 }
 
+// replyStatus answers with a report on all owned shards, and on one or all workers.
 func (s *State) replyStatus(e StatusRequested) {
 	out := &Status{
 		Daemon:         s.options.Daemon,
@@ -101,6 +105,7 @@
 	return out
 }
 
+// workerStatus describes one worker, with its interference estimates if explain is set.
 func (sh *shard) workerStatus(w *worker, explain bool) WorkerStatus {
 	out := WorkerStatus{
 		Worker:       w.name,
@@ -119,7 +124,8 @@
 	return out
 }
 
-// explain returns the interference estimates that concern the worker.
+// explain returns the learned interference estimates for each service of the worker
+// and each class of batch tasks, as text.
 func (sh *shard) explain(w *worker) []string {
 	var out []string
 	for _, service := range w.account.Host.Services {
--- a/internal/control/reducer/view.go
+++ b/internal/control/reducer/view.go
@@ -6,20 +6,21 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// book is what a shard's ledger says, with the indexes that decisions need.
-// It changes by apply alone, in replay as in operation.
+// ledgerView is the in-memory state that results from applying the records of a
+// shard's ledger. Only [shard.apply] changes it, both when a ledger is replayed
+// and when a new record is appended.
 type ledgerView struct {
-	jobs           map[string]*job
-	keys           map[string]claimedKey
-	quarantined    map[string]string // worker to the reason
-	restored       map[string]string // worker to the drain that it has its work back from
-	drainedPending map[string]int    // worker to its drained tasks that are pending
-	lastSeq        uint64            // of the last accepted job
-	finished       int               // finished tasks since this daemon owns the shard
-	evictions      int64
+	jobs           map[string]*job       // accepted jobs by id
+	keys           map[string]claimedKey // claimed idempotency keys
+	quarantined    map[string]string     // reason of the quarantine by worker name
+	restored       map[string]string     // id of the latest drain whose restore ended, by worker name
+	drainedPending map[string]int        // pending tasks that were drained off a worker, by worker name
+	lastSeq        uint64                // acceptance sequence number of the latest job
+	finished       int                   // tasks finished since this daemon claimed the shard
+	evictions      int64                 // runs evicted or drained off since this daemon claimed the shard
 }
 
-// key is a claimed idempotency key.
+// claimedKey records who claimed an idempotency key, and when.
 type claimedKey struct {
 	owner string
 	time  time.Time
@@ -35,16 +36,17 @@
 	}
 }
 
-func (b *ledgerView) task(id describer.TaskID) *task {
-	j := b.jobs[id.Job]
+// task returns the task with the given id, or nil if it does not exist.
+func (v *ledgerView) task(id describer.TaskID) *task {
+	j := v.jobs[id.Job]
 	if j == nil || id.Index < 0 || id.Index >= len(j.tasks) {
 		return nil
 	}
 	return &j.tasks[id.Index]
 }
 
-// apply takes in one durable transition; replay and operation share it. A
-// record that doesn't follow from the book's state changes nothing.
+// apply updates the view with one ledger record, either replayed from the ledger
+// or just decided. A record that is not valid in the current state is ignored.
 func (sh *shard) apply(r describer.Record) {
 	switch r.Kind {
 	case describer.JobAccepted:
@@ -71,6 +73,7 @@
 	}
 }
 
+// applyJobAccepted adds the job and queues its tasks.
 func (sh *shard) applyJobAccepted(r describer.Record) {
 	if r.Job == nil || sh.view.jobs[r.Job.ID] != nil {
 		return
@@ -86,8 +89,8 @@
 	}
 }
 
-// applyCancel ends what is pending. A started task stays so until its run is
-// known to be over.
+// applyJobCancelled cancels the job's pending tasks. A started task remains
+// started until its run is known to be over.
 func (sh *shard) applyJobCancelled(r describer.Record) {
 	j := sh.view.jobs[r.JobID]
 	if j == nil || j.cancelled || j.isOver() {
@@ -102,6 +105,9 @@
 	}
 }
 
+// applyTaskRecord updates one task. A record of a run that is not the task's latest
+// one is ignored. A finish is accepted for a pending task as well: its worker may
+// report it after the lease expired.
 func (sh *shard) applyTaskRecord(t *task, r describer.Record) {
 	if r.Kind == describer.TaskStarted {
 		if t.state == describer.Pending {
@@ -141,7 +147,8 @@
 	}
 }
 
-// move changes a task and keeps all indexes in step.
+// transition calls change on a task, and keeps all counts, queues and accounts
+// consistent with the task's old and new state.
 func (sh *shard) transition(t *task, at time.Time, change func()) {
 	sh.removeFromIndexes(t)
 	change()
@@ -151,6 +158,7 @@
 	}
 }
 
+// removeFromIndexes removes the task from the structures of its current state.
 func (sh *shard) removeFromIndexes(t *task) {
 	t.job.counts[t.state]--
 	switch t.state {
@@ -162,6 +170,7 @@
 	}
 }
 
+// addToIndexes adds the task to the structures of its current state.
 func (sh *shard) addToIndexes(t *task) {
 	t.job.counts[t.state]++
 	switch t.state {
@@ -173,11 +182,13 @@
 	}
 }
 
-func (sh *shard) countDrained(t *task, by int) {
+// countDrained adds delta to the number of pending tasks that were drained off the
+// same worker as t.
+func (sh *shard) countDrained(t *task, delta int) {
 	if t.drainedOff == "" {
 		return
 	}
-	sh.view.drainedPending[t.drainedOff] += by
+	sh.view.drainedPending[t.drainedOff] += delta
 	if sh.view.drainedPending[t.drainedOff] == 0 {
 		delete(sh.view.drainedPending, t.drainedOff)
 	}
