--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -10,20 +10,36 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Times of ownership.
 const (
+	// reviewInterval is the time between reviews of ownership and drains.
 	reviewInterval = time.Second
-	minClaimRetry  = 2 * time.Second  // after a failed claim, doubled each time
-	maxClaimRetry  = 30 * time.Second // upper bound of the same
-	settleTime     = 10 * time.Second // of stable membership before a shard is handed over
-	rankDelay      = 10 * time.Second // the n-th daemon of a shard's ranking claims it after n times this
-	heldClaimDelay = 30 * time.Second // between claims of a shard that a live peer says it owns
-	maxTenure      = time.Hour        // of a shard that nobody takes over, before it is offered again
-	handOverPause  = 30 * time.Second // before a shard that was handed over is claimed again
+
+	// The delay between failed claims of a shard doubles with each failure.
+	minClaimRetry = 2 * time.Second
+	maxClaimRetry = 30 * time.Second
+
+	// stableTime is how long membership must not change before a shard is handed
+	// over to a daemon that ranks higher.
+	stableTime = 10 * time.Second
+
+	// rankDelay staggers claims: a daemon waits this long for each peer that ranks
+	// higher for the shard.
+	rankDelay = 10 * time.Second
+
+	// heldClaimDelay is the additional wait before claiming a shard that a live peer
+	// reports as its own.
+	heldClaimDelay = 30 * time.Second
+
+	// maxTenure is the longest time between two attempts to hand over a shard that
+	// no other daemon takes.
+	maxTenure = time.Hour
+
+	// handOverPause is the wait before a shard that was handed over is claimed again.
+	handOverPause = 30 * time.Second
 )
 
-// HomeShard returns the id of the shard whose ledger holds the job, by
-// rendezvous hashing over all shards of the configuration. It is empty if
+// HomeShard returns the id of the shard whose ledger holds the job. It is chosen by
+// rendezvous hashing of the job id over all shards of the configuration, and empty if
 // there are none.
 func HomeShard(c *describer.Configuration, job string) string {
 	best, most := "", uint64(0)
@@ -38,7 +54,7 @@
 	return best
 }
 
-// mix combines two hashes into one (the finaliser of splitmix64).
+// mixHashes combines two hashes into one with the finalizer of splitmix64.
 func mixHashes(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 30
@@ -48,8 +64,8 @@
 	return x ^ x>>31
 }
 
-// arrangeShards follows the configuration's shards of the own failure domain.
-// An owned shard that was removed is handed over.
+// updateShards adopts the configuration's shards of this failure domain. An owned shard
+// that was removed from the configuration is released.
 func (s *State) updateShards() {
 	found := make(map[string]bool)
 	for _, c := range s.config.Shards {
@@ -59,7 +75,7 @@
 		found[c.ID] = true
 		sh := s.shards[c.ID]
 		if sh == nil {
-			sh = &shard{state: s, id: c.ID, freeSince: s.now, minTenure: settleTime}
+			sh = &shard{state: s, id: c.ID, freeSince: s.now, minTenure: stableTime}
 			s.shards[c.ID] = sh
 		}
 		sh.config = c
@@ -83,6 +99,7 @@
 	s.reviewOwnership()
 }
 
+// updatePeers adopts the live peers and notes when membership changed.
 func (s *State) updatePeers(alive []Peer) {
 	alive = slices.Clone(alive)
 	slices.SortFunc(alive, func(a, b Peer) int { return compareStrings(a.Name, b.Name) })
@@ -96,25 +113,27 @@
 	s.reviewOwnership()
 }
 
-// rank returns how many live peers go before this daemon for the shard, one
-// of them not counted.
-func (s *State) rank(id, without string) int {
+// rank returns how many live peers of this failure domain rank higher than this daemon
+// as owner of the shard, by rendezvous hashing. Leaving peers and the peer named
+// excluded are not counted.
+func (s *State) rank(id, excluded string) int {
 	seed := xxhash.Sum64String(id)
 	mine := mixHashes(seed, xxhash.Sum64String(s.options.Daemon))
-	before := 0
+	higher := 0
 	for _, p := range s.peers {
-		if p.Name == s.options.Daemon || p.Name == without || p.Domain != s.options.Domain || p.Leaving {
+		if p.Name == s.options.Daemon || p.Name == excluded || p.Domain != s.options.Domain || p.Leaving {
 			continue
 		}
 		weight := mixHashes(seed, xxhash.Sum64String(p.Name))
 		if weight > mine || weight == mine && p.Name < s.options.Daemon {
-			before++
+			higher++
 		}
 	}
-	return before
+	return higher
 }
 
-// holder returns the live peer that says it owns the shard, or an empty name.
+// peerHolding returns the name of a live peer that reports the shard as its own, or an
+// empty string.
 func (s *State) peerHolding(id string) string {
 	for _, p := range s.peers {
 		if p.Name != s.options.Daemon && p.Domain == s.options.Domain && slices.Contains(p.Shards, id) {
@@ -124,8 +143,8 @@
 	return ""
 }
 
-// reviewOwnership claims and hands over shards. Views of membership may
-// differ between daemons; the store's lease decides.
+// reviewOwnership claims and hands over shards. The daemons' views of membership may
+// differ; the shard lease in the store decides who owns a shard.
 func (s *State) reviewOwnership() {
 	for _, sh := range s.sortedShards {
 		switch sh.ownership {
@@ -137,13 +156,15 @@
 	}
 }
 
+// maybeClaim claims the shard after a wait that depends on the daemon's rank and on
+// whether a live peer reports the shard as its own.
 func (sh *shard) maybeClaim() {
 	s := sh.state
 	wait := time.Duration(s.rank(sh.id, "")) * rankDelay
 	if holder := s.peerHolding(sh.id); holder == "" {
 		sh.heldSince = time.Time{}
 	} else {
-		// It may be cut off from the store and not know that it lost the shard.
+		// The peer may be cut off from the store and not know that it lost the shard.
 		sh.freeSince = time.Time{}
 		if sh.heldSince.IsZero() {
 			sh.heldSince = s.now
@@ -157,7 +178,7 @@
 	s.emit(ClaimShard{Shard: sh.id})
 }
 
-// since returns from when a claim's wait counts.
+// claimWaitSince returns when the wait before the next claim began.
 func (sh *shard) claimWaitSince() time.Time {
 	if !sh.heldSince.IsZero() {
 		return sh.heldSince
@@ -168,32 +189,32 @@
 	return sh.freeSince
 }
 
-// doubt returns how long a daemon waits before it tries to claim a shard that
-// a live peer says it owns.
+// heldClaimWait returns how long this daemon waits before it claims a shard that the
+// live peer holder reports as its own.
 func (s *State) heldClaimWait(sh *shard, holder string) time.Duration {
 	return heldClaimDelay + time.Duration(s.rank(sh.id, holder))*rankDelay
 }
 
-// considerRelease hands a shard to a better placed daemon once membership
-// has been stable for a while.
+// maybeRelease starts to release the shard on a planned stop, or to hand it over to a
+// daemon that ranks higher after membership has been stable for stableTime.
 func (sh *shard) maybeRelease() {
 	s := sh.state
 	if s.stopping {
 		sh.ownership = releasing
 		return
 	}
-	stable := s.now.Sub(s.peersChangedAt) >= settleTime && s.now.Sub(sh.claimedAt) >= sh.minTenure
+	stable := s.now.Sub(s.peersChangedAt) >= stableTime && s.now.Sub(sh.claimedAt) >= sh.minTenure
 	if s.rank(sh.id, "") == 0 || !stable || !s.storeReachable || sh.hasUnsyncedRuns() || sh.hasRestoringWorker() {
 		return
 	}
-	// Whoever is better placed may be cut off from the store. If nobody takes
-	// the shard over and it comes back, it stays longer each time.
-	sh.minTenure = min(2*max(sh.minTenure, settleTime), maxTenure)
+	// The daemon that ranks higher may be cut off from the store. If no daemon takes
+	// the shard and this one claims it again, it keeps it twice as long as before.
+	sh.minTenure = min(2*max(sh.minTenure, stableTime), maxTenure)
 	sh.ownership = releasing
 }
 
-// isRestoring reports whether a worker is being given its work back. The steps
-// that it has reached are in memory only; a new owner would begin them again.
+// hasRestoringWorker reports whether a worker of the shard is being restored. The
+// progress of a restore is only in memory, so a new owner would start it again.
 func (sh *shard) hasRestoringWorker() bool {
 	for _, w := range sh.sortedWorkers {
 		if sh.state.drains[w.name].state == describer.Restoring {
@@ -203,8 +224,8 @@
 	return false
 }
 
-// isRecovering reports whether some worker with runs has not been heard yet.
-// A hand-over would begin the wait for it anew.
+// hasUnsyncedRuns reports whether a worker with runs has not answered a sync since this
+// daemon claimed the shard. A hand-over would start the wait for it again.
 func (sh *shard) hasUnsyncedRuns() bool {
 	for _, w := range sh.sortedWorkers {
 		if !w.synced && len(w.runs) > 0 {
@@ -214,8 +235,9 @@
 	return false
 }
 
-// closeLedger writes the owner's last record. A successor need not wait for
-// this daemon to notice an outage; the leases that it granted are all there is.
+// recordRelease writes the owner's last record, which says when all leases that it
+// granted have expired. The next owner then waits only this long for unreachable
+// workers, instead of the outage limit. No lease is granted or renewed afterwards.
 func (sh *shard) recordRelease() {
 	if sh.releaseRecorded {
 		return
@@ -230,7 +252,7 @@
 	sh.appendRecord(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: sh.epoch}, Wait: wait})
 }
 
-// handOver emits Release once every decision has been sent to the ledger.
+// sendRelease emits ReleaseShard once all records have been sent to the ledger.
 func (sh *shard) sendRelease() {
 	if sh.releaseSent || !sh.journal.allSent() {
 		return
@@ -239,6 +261,7 @@
 	sh.state.emit(ReleaseShard{Shard: sh.id, Epoch: sh.epoch})
 }
 
+// handleClaimFailed schedules the next claim with a growing delay.
 func (s *State) handleClaimFailed(e ClaimFailed) {
 	sh := s.shards[e.Shard]
 	if sh == nil || sh.ownership != claiming {
@@ -251,8 +274,8 @@
 	sh.nextClaimAt = s.now.Add(wait)
 }
 
-// claimed replays the ledger. Started tasks keep their grants until an
-// inventory under the new epoch or the lapse of their leases says more.
+// handleClaimed rebuilds the shard from its ledger. Started tasks keep their grants until
+// an inventory under the new epoch arrives or their leases expire.
 func (s *State) handleClaimed(e ShardClaimed) {
 	sh := s.shards[e.Shard]
 	if sh == nil {
@@ -280,7 +303,7 @@
 	sh.evictionBudget = sh.newEvictionBudget(s.now)
 	sh.releaseRecord = describer.Record{}
 	if sh.restore(e.Snapshot) != nil {
-		// A shard whose past can't be read must not decide anything.
+		// Without the complete state no decision would be safe.
 		sh.ownership = releasing
 		return
 	}
@@ -291,7 +314,7 @@
 	for _, w := range sh.sortedWorkers {
 		w.leasesEnd = sh.formerLeasesEnd()
 	}
-	for _, w := range slices.Clone(sh.sortedWorkers) { // sync may forget one
+	for _, w := range slices.Clone(sh.sortedWorkers) { // sendSync may remove a worker
 		sh.updateClosed(w)
 		sh.sendSync(w)
 	}
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -8,27 +8,32 @@
 	"dotterelcart.dev/dotterelcart/internal/control/placer"
 )
 
-// Bounds of one placement pass.
 const (
-	maxRefusals   = 32              // refusals by the policy, after which a pass ends
-	maxExamined   = 2048            // tasks looked at in one pass
-	maxStarts     = 512             // starts in one pass
-	passInterval  = 5 * time.Second // without a known cause; limits may end with time alone
+	maxRefusals = 32   // kinds of task refused by the placement policy before a pass ends
+	maxExamined = 2048 // tasks examined in one pass
+	maxStarts   = 512  // tasks started in one pass
+
+	// passInterval is the time between passes if nothing has changed. Some limits of
+	// the placement policy end with time alone.
+	passInterval = 5 * time.Second
+
+	// A task is close to its deadline if less than its run time and deadlineSlack
+	// remain.
 	deadlineSlack = 2 * time.Minute
 )
 
-// candidate is a team's next task in a placement pass.
+// candidate is the next task of one team in a placement pass.
 type candidate struct {
 	team          *team
 	config        *describer.Team
 	task          *task
-	urgency       int     // 0 urgent, 1 close to its deadline, 2 other
-	weightedShare float64 // dominant use over weight
+	urgency       int     // 0 for an urgent task, 1 for one close to its deadline, 2 otherwise
+	weightedShare float64 // dominant share of the team divided by its weight
 }
 
-// place starts pending tasks in order of urgency, of pressing deadlines and
-// of the teams' weighted shares, until nothing more fits. It runs only when
-// an append may go out, so that decisions come in groups.
+// placePending runs a placement pass: it starts pending tasks, ordered by urgency,
+// close deadlines and the weighted shares of the teams, until nothing more fits. It
+// runs only when an append may be sent, so that decisions are written in groups.
 func (sh *shard) placePending() {
 	if sh.placementIdle && sh.state.now.Sub(sh.lastPassAt) < passInterval || !sh.isWritable() || !sh.state.storeReachable || !sh.mayFlush() || sh.journal.isFull() {
 		return
@@ -50,6 +55,7 @@
 	sh.lastPassAt = sh.state.now
 }
 
+// candidates returns the first eligible task of each team that has pending tasks.
 func (sh *shard) candidates() []*candidate {
 	var candidates []*candidate
 	for i := range sh.state.config.Teams {
@@ -67,7 +73,8 @@
 	return candidates
 }
 
-// advance moves to the team's next task that its quota allows.
+// advanceCandidate moves on to the team's next pending task, or to none if the quota
+// doesn't allow it. A team without any use may start one task above its quota.
 func (sh *shard) advanceCandidate(c *candidate) {
 	c.task = c.team.next(c.task)
 	if c.task == nil {
@@ -83,6 +90,7 @@
 	c.weightedShare = dominantShare(c.team.used) / float64(max(c.config.Weight, 1))
 }
 
+// urgencyOf returns the value of [candidate.urgency] for the task.
 func (sh *shard) urgencyOf(t *task) int {
 	switch {
 	case t.job.Priority == describer.Urgent:
@@ -93,12 +101,14 @@
 	return 2
 }
 
-// dominant weighs use as processor or as memory, whichever is more: 4 GiB
-// count as one core.
+// dominantShare returns the use of the resource that weighs most, in cores: 4 GiB of
+// memory count as one core and an accelerator as eight.
 func dominantShare(r describer.Resources) float64 {
 	return max(float64(r.CPU)/1000, float64(r.Memory)/4096, float64(r.Accelerators)*8)
 }
 
+// compareCandidates orders candidates by urgency, close deadlines, weighted shares and
+// names of teams.
 func compareCandidates(a, b *candidate) int {
 	if a.urgency != b.urgency {
 		return a.urgency - b.urgency
@@ -115,14 +125,16 @@
 	return compareStrings(a.team.name, b.team.name)
 }
 
-// placeKey stands for all tasks that a policy can't tell apart.
+// placementKey identifies tasks that are the same to the placement policy. If it refused
+// one of them in a pass, the others need not be tried.
 type placementKey struct {
 	want       describer.Resources
 	class      string
 	drainedOff string
 }
 
-// startOne records the start of the task if the policy has a worker for it.
+// tryStart records the start of the task if the placement policy finds a worker for it,
+// and otherwise why not. It reports whether the task was started.
 func (sh *shard) tryStart(t *task, refused map[placementKey]bool) bool {
 	want := sh.wantedGrant(t)
 	key := placementKey{want, t.job.Class, t.drainedOff}
@@ -144,6 +156,7 @@
 	return true
 }
 
+// placementRequest describes the task to the placement policy.
 func (sh *shard) placementRequest(t *task) placer.Request {
 	r := placer.Request{
 		Task:     t.id(),
@@ -161,8 +174,8 @@
 	return r
 }
 
-// hasOthers reports whether there is a sound worker beside those on which a
-// task failed. Without one the task has to be tried again where it failed.
+// hasOtherWorkers reports whether the shard has a worker that is neither quarantined nor
+// in failedOn. Without one, a task must be tried again where it failed.
 func (sh *shard) hasOtherWorkers(failedOn []string) bool {
 	if len(failedOn) == 0 {
 		return false
@@ -175,8 +188,8 @@
 	return false
 }
 
-// start records that the task may run on the worker; the worker is asked once
-// that is durable.
+// recordStart records that the task is started on the worker. The worker is called once
+// the record is durable.
 func (sh *shard) recordStart(t *task, w *worker, want describer.Resources) {
 	sh.lastSequence++
 	token := describer.Token{Epoch: sh.epoch, Sequence: sh.lastSequence}
--- a/internal/control/reducer/plan.go
+++ b/internal/control/reducer/plan.go
@@ -10,11 +10,11 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// maxPlanned is how many pending tasks a plan looks at.
+// maxPlanned is the number of pending tasks of one shard that a plan considers.
 const maxPlanned = 5000
 
-// plan answers with the steps that an intent takes on the shards owned here.
-// A job is planned by the owner of its shard alone.
+// replyPlan answers with the steps that the intent would take on the shards owned here.
+// An intent about a job is planned only by the owner of the job's shard.
 func (s *State) replyPlan(e PlanRequested) {
 	fleets := make(map[string]*accountant.Fleet)
 	var pending []placer.Request
@@ -40,6 +40,7 @@
 	}})
 }
 
+// isAffected reports whether the intent may concern the shard.
 func (s *State) isAffected(sh *shard, intent describer.Intent) bool {
 	if intent.Job == nil {
 		return true
@@ -48,7 +49,8 @@
 	return known || HomeShard(&s.config, intent.Job.ID) == sh.id
 }
 
-// waiting adds the shard's pending tasks, in the order of their teams' names.
+// appendPending appends placement requests for the shard's pending tasks, ordered by
+// the names of their teams.
 func (sh *shard) appendPending(out []placer.Request) []placer.Request {
 	for _, name := range sortedKeys(sh.teams) {
 		sh.teams[name].pending.Ascend(func(t *task) bool {
@@ -59,6 +61,7 @@
 	return out
 }
 
+// toError returns err as a classified error; unclassified ones get status 500.
 func toError(err error) *classifier.Error {
 	var e *classifier.Error
 	if errors.As(err, &e) {
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -12,21 +12,22 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Policies are the exchangeable decisions. Nil ones have defaults.
+// Policies are the replaceable parts of the decisions. Zero values have defaults.
 type Policies struct {
-	Placement   placer.Policy    // default placer.Default with the learner
-	Learner     *learner.Learner // of interference
+	Placement   placer.Policy    // chooses workers for tasks; the default is placer.Default with Learner
+	Learner     *learner.Learner // estimates how batch tasks slow down services
 	Escalation  escalator.Options
 	Restoration restorer.Options
 }
 
-// The budget of evictions that one shard spends on latency and on urgent work.
+// The eviction budget of a shard limits evictions for the latency of services and for
+// urgent tasks. It is a token bucket.
 const (
-	evictionBurst = 4.0
-	evictionShare = 0.25 // evictions an hour for each worker
+	evictionBurst = 4.0  // capacity in evictions
+	evictionRate  = 0.25 // evictions per hour and worker
 )
 
-// adaptPolicies follows the targets and weights of the configuration.
+// updatePolicies adopts the services and weights of the configuration.
 func (s *State) updatePolicies() {
 	s.services = make(map[string]describer.Service, len(s.config.Services))
 	for _, one := range s.config.Services {
@@ -42,7 +43,8 @@
 	}
 }
 
-// observe takes in what an inventory reports on use and latency.
+// observeInventory processes the resource use and latencies that an inventory reports:
+// it escalates if services are slow, and resizes grants.
 func (sh *shard) observeInventory(w *worker, in *runner.Synced) {
 	fresh := false
 	for i := range in.Latency {
@@ -57,7 +59,9 @@
 	sh.adaptGrants(w, in.Running)
 }
 
-// observeLatency teaches the learner what the interval's colocation cost.
+// observeLatency passes the latency of a service, with the batch tasks that ran next to
+// it in the reported interval, to the learner. It reports false if the report is not
+// newer than the last one.
 func (sh *shard) observeLatency(w *worker, l *runner.Latency) bool {
 	if last, ok := w.account.Reports[l.Service]; ok && !l.To.After(last.To) {
 		return false
@@ -72,6 +76,7 @@
 	return true
 }
 
+// observeRun updates the use and progress of a run.
 func (sh *shard) observeRun(w *worker, r *runner.Running) {
 	g, ok := w.account.Grants[r.Task]
 	if !ok {
@@ -83,7 +88,7 @@
 	sh.state.usage.Observe(g)
 }
 
-// escalate relieves the worker's services, in order of cost.
+// escalate takes measures against slow services on the worker, the cheapest first.
 func (sh *shard) escalate(w *worker) {
 	actions := escalator.Decide(escalator.Input{
 		Now:      sh.state.now,
@@ -100,14 +105,16 @@
 	}
 }
 
-// limiter is a placement policy that also limits what runs already.
+// runLimiter is an optional interface of placement policies that also limit runs after
+// their start.
 type runLimiter interface {
-	// Bounds returns the latency that batch tasks may bring each service to.
+	// Bounds returns for each service the greatest latency that batch tasks may cause.
 	Bounds(w *accountant.Worker) map[string]time.Duration
-	// MayGrow weighs a greater grant like a placement.
+	// MayGrow reports whether a grant may grow, by the rules for placements.
 	MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool
 }
 
+// latencyBounds returns the bounds of the placement policy, or nil if it has none.
 func (sh *shard) latencyBounds(w *worker) map[string]time.Duration {
 	if l, ok := sh.state.placer.(runLimiter); ok {
 		return l.Bounds(w.account)
@@ -115,6 +122,8 @@
 	return nil
 }
 
+// mayGrow reports whether the placement policy allows the run a processor grant of cpu
+// millicores.
 func (sh *shard) mayGrow(t *task, w *worker, cpu int64) bool {
 	l, ok := sh.state.placer.(runLimiter)
 	if !ok {
@@ -125,6 +134,8 @@
 	return l.MayGrow(w.account, w.account.Grants[t.id()], to, sh.state.now)
 }
 
+// applyAction carries out one measure of the escalator, unless the run has ended or its
+// start is not confirmed.
 func (sh *shard) applyAction(w *worker, a escalator.Action) {
 	if a.Kind == escalator.KeepOff {
 		w.account.KeepOff = a.Until
@@ -148,7 +159,8 @@
 	}
 }
 
-// setCeiling keeps a run that is throttled for a service from growing.
+// setCeiling keeps a run that is throttled for the sake of a service from growing above
+// cpu millicores; 0 removes the ceiling.
 func (sh *shard) setCeiling(t *task, cpu int64) {
 	w := sh.ensureWorker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
@@ -157,8 +169,8 @@
 	}
 }
 
-// want is what a run of the task is granted: what its class was measured to
-// use rather than what was declared.
+// wantedGrant returns the resources to grant to a run of the task. For batch tasks it is
+// the measured use of their class rather than what was declared.
 func (sh *shard) wantedGrant(t *task) describer.Resources {
 	if t.job.Kind == describer.LatencyCritical {
 		return t.job.Declared
@@ -166,10 +178,10 @@
 	return placer.Size(&sh.state.usage, t.job.Job, unlimited)
 }
 
-// unlimited is larger than any worker.
+// unlimited is larger than the capacity of any worker.
 var unlimited = describer.Resources{CPU: 1 << 40, Memory: 1 << 40, Accelerators: 1 << 20}
 
-// room returns what a new grant for the task may take on the worker.
+// roomFor returns the largest grant that the task may get on the worker now.
 func roomFor(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
 		return w.Room()
@@ -177,8 +189,8 @@
 	return w.Free()
 }
 
-// interference returns the slow-down of the worker's services by the batch
-// tasks that run there, 0 is none.
+// interference returns the estimated slowdown of the worker's services by the batch
+// tasks that run there, for the service that suffers most; 0 means none.
 func (sh *shard) interference(w *worker) float64 {
 	shares := w.account.Shares()
 	if len(shares) == 0 {
@@ -196,7 +208,8 @@
 	return worst
 }
 
-// newBudget returns the shard's budget of evictions.
+// newEvictionBudget returns a full eviction budget for the shard's number of workers, at
+// least four.
 func (sh *shard) newEvictionBudget(now time.Time) *escalator.Budget {
-	return escalator.NewBudget(evictionBurst, evictionShare*float64(max(len(sh.sortedWorkers), 4)), now)
+	return escalator.NewBudget(evictionBurst, evictionRate*float64(max(len(sh.sortedWorkers), 4)), now)
 }
--- a/internal/control/reducer/queue.go
+++ b/internal/control/reducer/queue.go
@@ -6,15 +6,15 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// team is a tenant's standing in one shard.
+// team is the state of one team (tenant) in one shard.
 type team struct {
 	name    string
-	used    describer.Resources // granted to its started tasks
-	pending *btree.BTreeG[*task]
+	used    describer.Resources  // sum of the grants of its started tasks
+	pending *btree.BTreeG[*task] // tasks to place, in the order of lessTask
 }
 
-// queueOrder sorts a team's pending tasks: urgent ones first, then by
-// deadline, then by acceptance.
+// lessTask orders a team's pending tasks: first by priority, then by deadline, then by
+// the acceptance of their jobs.
 func lessTask(a, b *task) bool {
 	if a.job != b.job {
 		return lessJob(a.job, b.job)
@@ -32,6 +32,7 @@
 	return a.seq < b.seq
 }
 
+// ensureTeam returns the team with the given name, which it adds if necessary.
 func (sh *shard) ensureTeam(name string) *team {
 	t := sh.teams[name]
 	if t == nil {
@@ -41,12 +42,14 @@
 	return t
 }
 
+// enqueue makes a pending task eligible for placement.
 func (sh *shard) enqueue(t *task) {
 	t.queued = true
 	sh.ensureTeam(t.job.Team).pending.ReplaceOrInsert(t)
 	sh.placementIdle = false
 }
 
+// dequeue removes a task from its team's queue, if it is queued.
 func (sh *shard) dequeue(t *task) {
 	if !t.queued {
 		return
@@ -55,8 +58,8 @@
 	sh.ensureTeam(t.job.Team).pending.Delete(t)
 }
 
-// next returns the first pending task after the given one, or the first of
-// all if it is nil.
+// next returns the first pending task after the given one, or the first of all if after
+// is nil. It returns nil at the end.
 func (t *team) next(after *task) *task {
 	var found *task
 	visit := func(tk *task) bool {
@@ -74,11 +77,11 @@
 	return found
 }
 
-// quota is a team's limit in one shard: its quota over the shards of the
-// configuration, and unlimited if it is zero.
+// shardQuota returns a team's quota in one shard: its quota divided by the number of
+// shards, rounded up. Zero means unlimited.
 func (sh *shard) shardQuota(c *describer.Team) describer.Resources {
 	n := int64(max(len(sh.state.config.Shards), 1))
-	share := func(whole int64) int64 { return (whole + n - 1) / n }
+	share := func(total int64) int64 { return (total + n - 1) / n }
 	return describer.Resources{
 		CPU:          share(c.Quota.CPU),
 		Memory:       share(c.Quota.Memory),
@@ -86,9 +89,9 @@
 	}
 }
 
-// isWithin reports whether used keeps to the parts of the quota that are set.
+// isWithinQuota reports whether used is within the quota of each resource that has one.
 func isWithinQuota(used, quota describer.Resources) bool {
-	keeps := func(used, quota int64) bool { return quota == 0 || used <= quota }
-	return keeps(used.CPU, quota.CPU) && keeps(used.Memory, quota.Memory) &&
-		keeps(used.Accelerators, quota.Accelerators)
+	within := func(used, quota int64) bool { return quota == 0 || used <= quota }
+	return within(used.CPU, quota.CPU) && within(used.Memory, quota.Memory) &&
+		within(used.Accelerators, quota.Accelerators)
 }
--- a/internal/control/reducer/routing.go
+++ b/internal/control/reducer/routing.go
@@ -7,14 +7,13 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Bounds on the publication of routing tables.
 const (
-	publishInterval   = 250 * time.Millisecond // between two
-	interferenceDelta = 0.05                   // change that is worth one
+	publishInterval   = 250 * time.Millisecond // minimum time between routing tables
+	interferenceDelta = 0.05                   // minimum change of interference that is published
 )
 
-// publish hands a new routing table to the traffic side. Hosts are sorted by
-// name, so each service's backends are too.
+// publish emits a new routing table. The backends of each service are sorted by host
+// name, as the hosts are.
 func (s *State) publish() {
 	s.tableUpToDate = true
 	if s.config.Revision == 0 {
@@ -43,13 +42,14 @@
 	s.emit(PublishRoutingTable{Table: table})
 }
 
-// isReady reports whether the daemon may serve: it has a configuration and a
+// isReady reports whether the daemon may serve requests: it has a configuration and a
 // host list, and isn't stopping.
 func (s *State) isReady() bool {
 	return s.config.Revision > 0 && len(s.hosts) > 0 && !s.stopping
 }
 
-// address is this daemon's own for peers, as membership knows it.
+// ownAddress returns the address of this daemon for peers, as membership reports it, or
+// an empty string.
 func (s *State) ownAddress() string {
 	for _, p := range s.peers {
 		if p.Name == s.options.Daemon {
@@ -59,6 +59,7 @@
 	return ""
 }
 
+// backends returns the workers that serve each service, by name of the service.
 func (s *State) backends() map[string][]describer.Backend {
 	shards := s.shardsByRack()
 	out := make(map[string][]describer.Backend, len(s.config.Services))
@@ -80,9 +81,10 @@
 	return out
 }
 
-// rack names a rack within its failure domain.
+// rackKey identifies a rack; its name is unique within its failure domain.
 type rackKey struct{ domain, name string }
 
+// shardsByRack returns the id of the shard that each rack belongs to.
 func (s *State) shardsByRack() map[rackKey]string {
 	out := make(map[rackKey]string)
 	for _, c := range s.config.Shards {
@@ -93,13 +95,13 @@
 	return out
 }
 
-// backend describes a worker as a target of requests. One that is leaving or
-// draining gets no new ones.
+// backend describes a worker as a target of requests. A worker that is leaving or
+// draining is closed to new requests.
 func (s *State) backend(host *describer.Host, shard string) describer.Backend {
 	d, drained := s.drains[host.Name]
-	slower := 0.0
+	interference := 0.0
 	if sh := s.shards[shard]; sh != nil && sh.workers[host.Name] != nil {
-		slower = sh.workers[host.Name].interference
+		interference = sh.workers[host.Name].interference
 	}
 	return describer.Backend{
 		Worker:       host.Name,
@@ -109,7 +111,7 @@
 		Shard:        shard,
 		Slots:        host.Slots,
 		Connections:  host.Connections,
-		Interference: slower,
+		Interference: interference,
 		Closed:       host.State == describer.Leaving || drained && d.state == describer.Draining,
 	}
 }
