--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -9,10 +9,11 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// repeatAfter is the wait before a call whose answer was lost is repeated.
+// repeatDelay is the wait before an unanswered call to a worker is repeated.
 const repeatDelay = time.Second
 
-// ask sends a durable start to its worker, unless it was overtaken.
+// sendStart calls the worker to start a run whose start record is durable, unless the
+// run has ended or must not start any more.
 func (sh *shard) sendStart(t *task, token describer.Token) {
 	if t.state != describer.Started || t.token != token || t.startPhase != startRecorded {
 		return
@@ -25,6 +26,7 @@
 	sh.emitStart(t, w)
 }
 
+// emitStart emits the call and extends the worker's leases by it.
 func (sh *shard) emitStart(t *task, w *worker) {
 	t.startPhase = startSent
 	until := sh.extendLeases(w)
@@ -48,6 +50,8 @@
 	})
 }
 
+// handleStartAnswered confirms the start, gives the task back to its queue if the run
+// certainly did not start, or repeats the call.
 func (sh *shard) handleStartAnswered(e StartAnswered) {
 	t := sh.view.task(e.Task)
 	if t == nil || t.state != describer.Started || t.token != e.Token || t.startPhase != startSent {
@@ -65,8 +69,8 @@
 	}
 }
 
-// refused gives the task back to the queue and leaves the worker alone for a
-// while.
+// handleStartRefused gives the task back to its queue and places nothing on the worker
+// for refusalPause.
 func (sh *shard) handleStartRefused(t *task, w *worker) {
 	sh.recordReleased(t, runEnd{reason: reasonNotStarted})
 	w.pausedUntil = sh.state.now.Add(refusalPause)
@@ -74,39 +78,41 @@
 	sh.addTimer(refusalPause, timer{kind: timerReopen, worker: w})
 }
 
-// repeatStart asks again with the same token, which is idempotent.
+// repeatStart repeats an unanswered start with the same token, which is idempotent.
 func (sh *shard) repeatStart(t *task) {
 	if t.state != describer.Started || t.startPhase != startUnanswered || sh.ownership != owning || t.stop != nil {
 		return
 	}
 	w := sh.ensureWorker(t.worker)
 	if w.missedSyncs >= maxMissedSyncs || !sh.mayRenew() {
-		// The lapse of its lease decides, and another call would put it off.
+		// The run counts as over when its lease expires; another call would extend it.
 		sh.addTimer(repeatDelay, timer{kind: timerRepeatStart, task: t, worker: w})
 		return
 	}
 	sh.emitStart(t, w)
 }
 
-// released says how a run ended without a result.
+// runEnd describes the end of a run without a result.
 type runEnd struct {
 	reason     string
-	checkpoint string
-	drainedOff string
+	checkpoint string // checkpoint to resume from; empty keeps the previous one
+	drainedOff string // worker that the run was drained off, or empty
 }
 
-// release records that the task's run is known to be over.
-func (sh *shard) recordReleased(t *task, r runEnd) {
+// recordReleased records that the task's run is known to be over. The task becomes
+// pending again unless its job was cancelled.
+func (sh *shard) recordReleased(t *task, end runEnd) {
 	sh.appendRecord(describer.Record{
 		Kind:       describer.TaskReleased,
 		Task:       t.id(),
 		Token:      t.token,
-		Reason:     r.reason,
-		Checkpoint: r.checkpoint,
-		DrainedOff: r.drainedOff,
+		Reason:     end.reason,
+		Checkpoint: end.checkpoint,
+		DrainedOff: end.drainedOff,
 	})
 }
 
+// recordFinished records the result of a task.
 func (sh *shard) recordFinished(t *task, w *worker, result json.RawMessage) {
 	sh.appendRecord(describer.Record{
 		Kind:   describer.TaskFinished,
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -9,14 +9,14 @@
 	"dotterelcart.dev/dotterelcart/internal/control/escalator"
 )
 
-// ownership is how far this daemon is with a shard.
+// ownership is the state of a shard's ownership by this daemon.
 type ownership uint8
 
 const (
-	notOwned  ownership = iota // not owned here
-	claiming                   // Claim without an answer yet
-	owning                     // owned, book present
-	releasing                  // giving up, nothing is decided any more
+	notOwned  ownership = iota // not owned by this daemon
+	claiming                   // ClaimShard was emitted and has no outcome yet
+	owning                     // owned; the ledger is loaded
+	releasing                  // being given up; nothing is decided any more
 )
 
 func (o ownership) String() string {
@@ -33,39 +33,40 @@
 	return fmt.Sprintf("ownership(%d)", uint8(o))
 }
 
-// shard is one shard of the own failure domain. The fields below the line
-// exist only while it is owned.
+// shard is one shard of this failure domain. The fields from epoch on are valid only
+// while it is owned, that is while view is not nil.
 type shard struct {
 	state           *State
 	id              string
 	config          describer.Shard
 	ownership       ownership
-	nextClaimAt     time.Time // of the next claim
-	failedClaims    int
-	heldSince       time.Time     // since when a live peer says that it owns the shard, or the latest claim
-	freeSince       time.Time     // since when no live peer says that it owns the shard
-	minTenure       time.Duration // before it may be handed over to a better placed daemon
-	releaseRecorded bool          // the last record is written; no lease is granted or renewed any more
-	releaseSent     bool          // Release was emitted
+	nextClaimAt     time.Time     // earliest time of the next claim
+	failedClaims    int           // failed claims in a row
+	heldSince       time.Time     // start of the time in which a live peer reports the shard as its own; zero if none does
+	freeSince       time.Time     // start of the time in which no live peer reports the shard as its own
+	minTenure       time.Duration // minimum time of ownership before it is handed over to a daemon that ranks higher
+	releaseRecorded bool          // whether the last record is written; no lease is granted or renewed any more
+	releaseSent     bool          // whether ReleaseShard was emitted
 
 	epoch          int64
 	view           *ledgerView
 	claimedAt      time.Time
-	releaseRecord  describer.Record // the former owner's last one, if it gave the shard up
-	lastSequence   int64            // of tokens
-	workers        map[string]*worker
-	sortedWorkers  []*worker // sorted by name
+	releaseRecord  describer.Record   // last record of a former owner that released the shard; zero if none did
+	lastSequence   int64              // sequence number of the latest token or throttle
+	workers        map[string]*worker // by name
+	sortedWorkers  []*worker          // values of workers, sorted by name
 	fleet          *accountant.Fleet
-	teams          map[string]*team
+	teams          map[string]*team // by name
 	journal        journal
-	lastPassAt     time.Time // when tasks were last placed
-	placementIdle  bool      // nothing changed since the last placement found nothing to do
+	lastPassAt     time.Time // last placement pass
+	placementIdle  bool      // whether nothing changed since a pass that placed all it could
 	evictionBudget *escalator.Budget
-	reservations   []reservation        // for urgent tasks
-	proposedAt     map[string]time.Time // proposals that the configuration doesn't show yet
+	reservations   []reservation        // capacity being freed for urgent tasks
+	proposedAt     map[string]time.Time // last time of each proposal, by drain id or worker name
 }
 
-// settle decides and flushes after each event.
+// decideAndFlush runs after each event: it places tasks, sends new records and proceeds
+// with a release.
 func (sh *shard) decideAndFlush() {
 	if sh.view == nil {
 		return
@@ -80,7 +81,7 @@
 	}
 }
 
-// append applies a record at once and makes it part of the next Append.
+// appendRecord applies a record to the view at once and adds it to the journal.
 func (sh *shard) appendRecord(r describer.Record) {
 	r.Time = sh.state.now
 	sh.journal.add(r)
@@ -90,11 +91,11 @@
 	sh.apply(r)
 }
 
-// isDeciding reports whether new decisions may be recorded.
+// isWritable reports whether new decisions may be recorded.
 func (sh *shard) isWritable() bool { return sh.ownership == owning && !sh.state.stopping }
 
-// lose forgets everything about the shard. Callers whose records are not
-// known to be durable are told so.
+// dropOwnership discards the shard's state. Callers whose records are not known to be
+// durable are told so.
 func (sh *shard) dropOwnership() {
 	sh.journal.refuseWaiting(sh.state)
 	wasHandingOver := sh.ownership == releasing
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -9,13 +9,13 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Retention of what callers may still ask for.
 const (
-	jobRetention = time.Hour // of a job after its end
-	keyRetention = time.Hour // of an idempotency key after its claim
+	jobRetention = time.Hour // how long a job is kept after its end
+	keyRetention = time.Hour // how long an idempotency key is kept after its claim
 )
 
-// snapshot is the book in its encoded form.
+// snapshot is the encoded form of a ledgerView. Its JSON is stored, so the names in the
+// tags must not change.
 type snapshot struct {
 	LastSeq     uint64            `json:"order"`
 	Jobs        []savedJob        `json:"jobs"`
@@ -24,23 +24,26 @@
 	Restored    map[string]string `json:"restored,omitempty"`
 }
 
+// savedJob is the encoded form of a job and its tasks.
 type savedJob struct {
 	Job       *describer.Job   `json:"job"`
 	Seq       uint64           `json:"order"`
 	Cancelled bool             `json:"cancelled,omitempty"`
 	Ended     time.Time        `json:"ended,omitzero"`
 	Tasks     []describer.Task `json:"tasks"`
-	FailedOn  [][]string       `json:"failed,omitempty"` // workers, by task
+	FailedOn  [][]string       `json:"failed,omitempty"` // workers that each task failed on, by task index
 }
 
+// savedKey is the encoded form of a claimed idempotency key.
 type savedKey struct {
 	Key   string    `json:"key"`
 	Owner string    `json:"owner"`
 	Time  time.Time `json:"time"`
 }
 
-// maySnapshot saves the book when the ledger has grown by as much as the book
-// holds, and nothing is in flight that the snapshot would have to leave out.
+// maybeSnapshot emits a snapshot when the ledger has grown by twice as many records as
+// there are live tasks, and at least by minSnapshotRecords. It waits until all records
+// are durable, because a snapshot must not hold what the ledger may lack.
 func (sh *shard) maybeSnapshot() {
 	j := &sh.journal
 	if j.recordsSinceSnapshot < max(sh.state.minSnapshotRecords, 2*sh.countLiveTasks()) || !j.allSent() || j.lastDurable != j.lastSent || sh.ownership != owning {
@@ -55,6 +58,7 @@
 	sh.state.emit(SaveSnapshot{Shard: sh.id, Epoch: sh.epoch, Batch: j.lastDurable, Data: data})
 }
 
+// countLiveTasks returns the number of started and queued tasks.
 func (sh *shard) countLiveTasks() int {
 	n := 0
 	for _, w := range sh.sortedWorkers {
@@ -66,7 +70,8 @@
 	return n
 }
 
-// expire forgets jobs and keys that are past their retention.
+// expire removes jobs and keys that are past their retention, and restores whose drain
+// is over.
 func (sh *shard) expire() {
 	for id, j := range sh.view.jobs {
 		if j.isOver() && sh.state.now.Sub(j.endedAt) >= jobRetention {
@@ -85,6 +90,7 @@
 	}
 }
 
+// save returns the encoded form of the view.
 func (sh *shard) save() snapshot {
 	out := snapshot{LastSeq: sh.view.lastSeq, Quarantined: sh.view.quarantined, Restored: sh.view.restored}
 	for _, j := range sh.view.jobs {
@@ -131,14 +137,14 @@
 	}
 }
 
-// restore fills an empty book from a snapshot.
+// restore loads a snapshot into an empty view. An empty snapshot is valid.
 func (sh *shard) restore(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	var in snapshot
 	if err := json.Unmarshal(data, &in); err != nil {
-		return fmt.Errorf("reducer: snapshot of %s: %w", sh.id, err)
+		return fmt.Errorf("decode snapshot of shard %q: %w", sh.id, err)
 	}
 	sh.view.lastSeq = in.LastSeq
 	for i := range in.Jobs {
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -5,34 +5,35 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// maxStops is how many runs of a worker are stopped with a checkpoint at once.
+// maxStops is the maximum number of drained runs of one worker that are being stopped at
+// the same time.
 const maxStops = 4
 
-// stopping is the wish to end a run.
+// stopRequest is the decision to stop a run.
 type stopRequest struct {
 	reason     string
-	checkpoint bool
-	drainedOff string
-	sent       bool // StopTask has no answer yet
+	checkpoint bool   // whether the run is to save a checkpoint
+	drainedOff string // worker that the run is drained off, or empty
+	sent       bool   // whether StopTask was emitted
 }
 
-// end asks the worker to end the task's run. A run that is only decided isn't
-// asked for any more once its record is durable.
-func (sh *shard) stopRun(t *task, why stopRequest) {
+// stopRun calls the worker to stop the task's run. If the worker has not been called to
+// start the run yet, it won't be. A stop that is already under way is not changed.
+func (sh *shard) stopRun(t *task, request stopRequest) {
 	if t.state != describer.Started || t.stop != nil && t.stop.sent {
 		return
 	}
 	w := sh.ensureWorker(t.worker)
 	if w.account.Host.Control == "" {
-		return // known from the ledger only; whoever wants the end tries again
+		return // the worker's address is unknown; callers try again
 	}
-	t.stop = &why
+	t.stop = &request
 	if t.startPhase == startRecorded {
 		return
 	}
 	t.stop.sent = true
 	w.pendingStops++
-	sh.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, why.checkpoint)
+	sh.emitStop(w, runner.Run{Task: t.id(), Token: t.token}, request.checkpoint)
 }
 
 func (sh *shard) emitStop(w *worker, r runner.Run, checkpoint bool) {
@@ -45,6 +46,7 @@
 	})
 }
 
+// handleStopAnswered records the end of the run, or repeats the call if it failed.
 func (sh *shard) handleStopAnswered(e StopAnswered) {
 	t := sh.view.task(e.Task)
 	if t == nil || t.state != describer.Started || t.token != e.Token || t.stop == nil {
@@ -66,7 +68,7 @@
 	sh.recordReleased(t, runEnd{reason, e.Stopped.Checkpoint, t.stop.drainedOff})
 }
 
-// repeatStop asks again; the worker's answer is the same each time.
+// repeatStop repeats an unanswered stop, which is idempotent.
 func (sh *shard) repeatStop(t *task) {
 	if t.state != describer.Started || t.stop == nil || !t.stop.sent || sh.ownership != owning {
 		return
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -16,7 +16,7 @@
 	maxID      = 200      // bytes
 )
 
-// Times to come back that refusals state.
+// Delays after which callers are told to retry a refused request.
 const (
 	storeRetry     = 5 * time.Second
 	ownerRetry     = 2 * time.Second
@@ -24,22 +24,24 @@
 	overloadRetry  = 10 * time.Second
 )
 
-// refusal is a failure to be told to a caller.
+// refusal describes an error reply.
 type refusal struct {
-	status  int // default 503
-	code    string
-	field   string
+	status  int    // HTTP status; 0 means 503
+	code    string // error code for programs
+	field   string // request field that is wrong, if any
 	message string
-	verdict classifier.Verdict
-	retry   time.Duration
+	verdict classifier.Verdict // whether the request may have had an effect
+	retry   time.Duration      // delay after which the caller may retry; 0 if that is no use
 }
 
+// reply emits the reply unless nobody waits for it.
 func (s *State) reply(r Reply) {
 	if r.Request != 0 {
 		s.emit(r)
 	}
 }
 
+// refuse replies with an error.
 func (s *State) refuse(request RequestID, r refusal) {
 	if r.status == 0 {
 		r.status = http.StatusServiceUnavailable
@@ -57,18 +59,19 @@
 func notOwner() refusal {
 	return refusal{
 		code: "not-owner", verdict: classifier.NotRun, retry: ownerRetry,
-		message: "this daemon doesn't own the shard",
+		message: "this daemon does not own the shard",
 	}
 }
 
 func storeUnavailable() refusal {
 	return refusal{
 		code: "store-unavailable", verdict: classifier.NotRun, retry: storeRetry,
-		message: "the store doesn't answer and nothing was recorded",
+		message: "the store is unreachable; nothing was recorded",
 	}
 }
 
-// deciding returns the shard if it may record new decisions, or refuses.
+// writableShard returns the shard if it may record new decisions. Otherwise it refuses
+// the request and returns nil.
 func (s *State) writableShard(request RequestID, id string) *shard {
 	sh := s.shards[id]
 	switch {
@@ -79,7 +82,7 @@
 	case sh.journal.isFull():
 		s.refuse(request, refusal{
 			code: "overloaded", verdict: classifier.NotRun, retry: overloadRetry,
-			message: "too many records wait for the store",
+			message: "too many records are waiting to be written to the store",
 		})
 	default:
 		return sh
@@ -87,7 +90,8 @@
 	return nil
 }
 
-// submit accepts a job once. The answer waits until that is durable.
+// submit accepts a job and replies once that is durable. A repeated submission is
+// answered with the state of the accepted job.
 func (s *State) submit(e SubmitRequested) {
 	if r, ok := s.validate(&e.Job); !ok {
 		s.refuse(e.Request, r)
@@ -109,25 +113,27 @@
 	sh.journal.whenDurable(followUp{request: e.Request, job: j})
 }
 
-// resubmit answers a repeated submission with the job's state.
+// resubmit answers a repeated submission with the job's state, and refuses a different
+// job with the same id.
 func (sh *shard) resubmit(e SubmitRequested, j *job) {
 	if !isSameJob(&e.Job, j.Job) {
 		sh.state.refuse(e.Request, refusal{
 			status: http.StatusConflict, code: "conflict", field: "id",
-			verdict: classifier.NotRun, message: "another job has this id",
+			verdict: classifier.NotRun, message: "a different job with this id exists",
 		})
 		return
 	}
 	sh.replyWhenDurable(e.Request, j)
 }
 
+// isSameJob reports whether two submissions are equal in all that callers specify.
 func isSameJob(a, b *describer.Job) bool {
 	return a.Team == b.Team && a.Class == b.Class && a.Kind == b.Kind && a.Priority == b.Priority &&
 		a.Tasks == b.Tasks && a.Declared == b.Declared && a.RunTime == b.RunTime &&
 		a.Deadline.Equal(b.Deadline) && bytes.Equal(a.Payload, b.Payload)
 }
 
-// find returns the job and its shard if it is in a book here.
+// findJob returns the job and its shard if an owned shard has it, or nil.
 func (s *State) findJob(id string) (*shard, *job) {
 	for _, sh := range s.sortedShards {
 		if sh.view == nil {
@@ -140,7 +146,7 @@
 	return nil, nil
 }
 
-// answer replies with the job's state once what it says is durable.
+// replyWhenDurable replies with the job's state once all records behind it are durable.
 func (sh *shard) replyWhenDurable(request RequestID, j *job) {
 	switch {
 	case sh.journal.isDurable(j.lastBatch):
@@ -152,7 +158,8 @@
 	}
 }
 
-// locate finds a job for a caller, or refuses.
+// findJobOrRefuse returns the job and its shard. Otherwise it refuses the request and
+// returns nil.
 func (s *State) findJobOrRefuse(request RequestID, id string) (*shard, *job) {
 	if sh, j := s.findJob(id); j != nil {
 		return sh, j
@@ -164,7 +171,7 @@
 	}
 	s.refuse(request, refusal{
 		status: http.StatusNotFound, code: "unknown-job", field: "id",
-		verdict: classifier.NotRun, message: "no job has this id",
+		verdict: classifier.NotRun, message: "unknown job id",
 	})
 	return nil, nil
 }
@@ -175,7 +182,8 @@
 	}
 }
 
-// cancel ends a job: what is pending never starts, what may run is stopped.
+// cancel cancels a job: pending tasks never start, and runs are stopped once the
+// cancellation is durable.
 func (s *State) cancel(e CancelRequested) {
 	sh, j := s.findJobOrRefuse(e.Request, e.Job)
 	if j == nil {
@@ -193,39 +201,41 @@
 	sh.journal.whenDurable(followUp{request: e.Request, job: j, stopRuns: true})
 }
 
-// halt stops what a cancelled job has running.
+// stopRuns stops the runs of a cancelled job.
 func (sh *shard) stopRuns(j *job) {
 	for i := range j.tasks {
 		sh.stopRun(&j.tasks[i], stopRequest{reason: "cancelled"})
 	}
 }
 
+// validate checks a submitted job. It returns a refusal and false if the job is invalid
+// or no configuration is known.
 func (s *State) validate(j *describer.Job) (refusal, bool) {
 	var field, message string
 	switch {
 	case j.ID == "" || len(j.ID) > maxID:
-		field, message = "id", "the id must have 1 to 200 bytes"
+		field, message = "id", "the id must be 1 to 200 bytes long"
 	case j.Team == "":
-		field, message = "team", "a team is needed"
+		field, message = "team", "the team must not be empty"
 	case s.config.Revision == 0:
 		return refusal{
 			code: "not-ready", verdict: classifier.NotRun, retry: ownerRetry,
-			message: "no configuration is known yet",
+			message: "the daemon has no configuration yet",
 		}, false
 	case !s.hasTeam(j.Team):
-		field, message = "team", "the team is unknown"
+		field, message = "team", "the team is not in the configuration"
 	case j.Kind > describer.LatencyCritical:
-		field, message = "kind", "the kind is unknown"
+		field, message = "kind", "unknown kind of job"
 	case j.Priority > describer.Urgent:
-		field, message = "priority", "the priority is unknown"
+		field, message = "priority", "unknown priority"
 	case j.Tasks < 1 || j.Tasks > maxTasks:
-		field, message = "tasks", "a job has 1 to 10000 tasks"
+		field, message = "tasks", "a job must have 1 to 10000 tasks"
 	case !j.Declared.IsValid():
 		field, message = "declared", "the declared resources must be positive"
 	case j.RunTime < 0:
-		field, message = "runtime", "the run time can't be negative"
+		field, message = "runtime", "the run time must not be negative"
 	case len(j.Payload) > maxPayload:
-		field, message = "payload", "the payload is larger than 64 KiB"
+		field, message = "payload", "the payload must not exceed 64 KiB"
 	default:
 		return refusal{}, true
 	}
