--- a/internal/control/reducer/reservation.go
+++ b/internal/control/reducer/reservation.go
@@ -8,10 +8,10 @@
 	"dotterelcart.dev/dotterelcart/internal/control/placer"
 )
 
-// roomTime is how long room that is being made stays reserved.
+// reservationTime is how long capacity stays reserved for an urgent task.
 const reservationTime = 15 * time.Second
 
-// reservation keeps what is being freed on a worker for an urgent task.
+// reservation keeps capacity that is being freed on a worker for an urgent task.
 type reservation struct {
 	task   *task
 	worker *worker
@@ -19,15 +19,15 @@
 	until  time.Time
 }
 
-// makeRoom throttles or evicts batch tasks for an urgent one, and says why if
-// that can't be done in time.
+// makeRoom throttles or evicts batch tasks to free capacity for an urgent task, and
+// reserves it. If that is not possible in time, it notes why the task is pending.
 func (sh *shard) makeRoom(t *task) {
 	if t.job.Priority != describer.Urgent || sh.reservationIndex(t) >= 0 {
 		return
 	}
 	elapsed := sh.state.now.Sub(t.job.Accepted)
 	if t.ran {
-		elapsed = 0 // the bound is on its first start
+		elapsed = 0 // the time limit applies only to the first start
 	}
 	r := placer.MakeRoom(sh.fleet, sh.placementRequest(t), placer.Costs{}, sh.evictionBudget.Left(sh.state.now), elapsed)
 	w := sh.workers[r.Worker]
@@ -35,7 +35,7 @@
 		t.pendingReason = r.Why
 		return
 	}
-	t.pendingReason = "room is being made on " + w.name
+	t.pendingReason = "freeing capacity on " + w.name
 	for _, s := range r.Throttle {
 		if victim := sh.view.task(s.Task); victim.startPhase == startConfirmed && victim.stop == nil {
 			sh.shrink(victim, s.To)
@@ -51,12 +51,13 @@
 	sh.reservations = append(sh.reservations, reservation{task: t, worker: w, want: want, until: sh.state.now.Add(reservationTime)})
 }
 
+// reservationIndex returns the index of the task's reservation, or -1.
 func (sh *shard) reservationIndex(t *task) int {
 	return slices.IndexFunc(sh.reservations, func(r reservation) bool { return r.task == t })
 }
 
-// useRooms starts urgent tasks whose room is free now, and gives up
-// reservations that are no longer needed.
+// useReservations starts urgent tasks whose reserved capacity is free now, and drops
+// reservations that expired or are no longer needed.
 func (sh *shard) useReservations() {
 	for i := len(sh.reservations) - 1; i >= 0; i-- {
 		r := sh.reservations[i]
@@ -73,6 +74,7 @@
 	}
 }
 
+// isRoomFree reports whether the reserved capacity is no longer granted to other tasks.
 func (sh *shard) isRoomFree(r reservation) bool {
 	return r.want.Fits(r.worker.account.Free().Add(r.want))
 }
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -147,6 +147,7 @@
 }
 
 // replyWhenDurable replies with the job's state once all records behind it are durable.
+// It refuses the request if they are not and the store is unreachable.
 func (sh *shard) replyWhenDurable(request RequestID, j *job) {
 	switch {
 	case sh.journal.isDurable(j.lastBatch):
@@ -231,7 +232,7 @@
 	case j.Tasks < 1 || j.Tasks > maxTasks:
 		field, message = "tasks", "a job must have 1 to 10000 tasks"
 	case !j.Declared.IsValid():
-		field, message = "declared", "the declared resources must be positive"
+		field, message = "declared", "the declared resources must not be negative or all zero"
 	case j.RunTime < 0:
 		field, message = "runtime", "the run time must not be negative"
 	case len(j.Payload) > maxPayload:
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -10,8 +10,8 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// schedule sets the worker's next inventory to its own place within the
-// interval, so that the calls of a shard are spread evenly.
+// scheduleSync sets a timer for the worker's next sync. Each worker has a fixed offset
+// within the sync interval, so that the calls of a shard are spread evenly.
 func (sh *shard) scheduleSync(w *worker) {
 	interval := sh.state.options.SyncInterval
 	if interval <= 0 {
@@ -31,7 +31,8 @@
 	sh.addTimer(wait, timer{kind: timerSync, worker: w})
 }
 
-// sync renews the leases on a worker and asks for its inventory.
+// sendSync calls the worker to renew its leases and report its inventory. An unlisted
+// worker without runs is removed instead.
 func (sh *shard) sendSync(w *worker) {
 	if sh.workers[w.name] != w || sh.ownership != owning {
 		return
@@ -64,8 +65,9 @@
 	sh.state.emit(SyncWorker{Worker: w.name, Address: w.account.Host.Control, Sync: call})
 }
 
-// renewals lists the runs to keep. A worker that doesn't answer gets none, so
-// that its leases are sure to lapse; nor does a run that is to end for good.
+// renewableRuns returns the runs whose leases are renewed. A worker that doesn't answer
+// gets no renewals, so that its leases are certain to expire. Runs of cancelled jobs are
+// not renewed either.
 func (sh *shard) renewableRuns(w *worker) []runner.Run {
 	if w.missedSyncs >= maxMissedSyncs || len(w.runs) == 0 || !w.synced || sh.releaseRecorded || !sh.mayRenew() {
 		return nil
@@ -80,10 +82,10 @@
 	return runs
 }
 
-// mayRenew reports whether this daemon may count as the owner still. Without
-// the store it can't tell an outage from a partition with a successor on the
-// other side, so it gives up when it hears of one, and at the latest after
-// the time that every successor waits.
+// mayRenew reports whether this daemon may still act as the owner. While the store is
+// unreachable it can't tell an outage from a partition with a new owner on the other
+// side. It stops when a peer reports the shard as its own, and at the latest after the
+// outage limit, which every new owner waits for.
 func (sh *shard) mayRenew() bool {
 	s := sh.state
 	if s.now.Sub(s.storeContactAt) >= s.options.OutageLimit {
@@ -92,10 +94,10 @@
 	return s.storeReachable || s.peerHolding(sh.id) == ""
 }
 
-// extend moves the time by which all leases on the worker have lapsed, and
-// returns it by the worker's clock. The worker's clock was read between the
-// beginning and the end of its latest call, so the lease is longer than asked
-// for by no more than that call took.
+// extendLeases advances leasesEnd for a lease that is granted now. It returns the end of
+// the lease by the worker's clock, or zero if that clock is not known. The clock was read
+// at an unknown moment of the latest sync, so a lease may end later than intended by up
+// to the duration of that call; leasesEnd allows for it.
 func (sh *shard) extendLeases(w *worker) time.Time {
 	lease := sh.state.options.TaskLease
 	end := sh.state.now.Add(lease + w.clockError)
@@ -108,6 +110,7 @@
 	return w.clock.Add(sh.state.now.Sub(w.clockReadAt) + lease)
 }
 
+// acknowledgements returns the finished runs that the worker may forget.
 func (w *worker) acknowledgements() []runner.Run {
 	if len(w.ackTasks) == 0 {
 		return nil
@@ -119,7 +122,7 @@
 	return runs
 }
 
-// unanswered leaves a silent worker's leases to lapse after some failures.
+// handleSyncFailed counts a failed sync, unless the worker refused it as fenced.
 func (sh *shard) handleSyncFailed(e WorkerSyncFailed) {
 	w := sh.workers[e.Worker]
 	if w == nil || !w.syncPending {
@@ -127,14 +130,15 @@
 	}
 	w.syncPending = false
 	if e.Fenced {
-		// A greater epoch exists; the leaser will say that the shard is lost.
+		// Another daemon owns the shard under a greater epoch; ShardLost will follow.
 		sh.scheduleSync(w)
 		return
 	}
 	sh.countMissedSync(w)
 }
 
-// silent counts a call that brought nothing.
+// countMissedSync counts a sync without an inventory. After maxMissedSyncs in a row the
+// worker's leases are left to expire.
 func (sh *shard) countMissedSync(w *worker) {
 	w.missedSyncs++
 	sh.updateClosed(w)
@@ -144,6 +148,8 @@
 	sh.scheduleSync(w)
 }
 
+// scheduleLapse sets a timer for the time when all leases on the worker have expired,
+// with the margin for clock drift.
 func (sh *shard) scheduleLapse(w *worker) {
 	if w.lapseScheduled {
 		return
@@ -153,8 +159,8 @@
 	sh.addTimer(max(end.Sub(sh.state.now), 0), timer{kind: timerLapse, worker: w})
 }
 
-// lapse releases the runs of a worker that has been silent for so long that
-// every lease has ended by the worker's own clock.
+// releaseLapsed releases all runs of a worker that has not answered for so long that
+// every lease has expired by the worker's own clock.
 func (sh *shard) releaseLapsed(w *worker) {
 	w.lapseScheduled = false
 	end := w.leasesEnd.Add(sh.state.options.LeaseMargin)
@@ -170,7 +176,8 @@
 	}
 }
 
-// synced takes in an inventory.
+// handleSynced processes a worker's inventory. An answer to an earlier call than the
+// latest one is ignored.
 func (sh *shard) handleSynced(e WorkerSynced) {
 	w := sh.workers[e.Worker]
 	if w == nil || !w.syncPending || e.SentAt.Before(w.syncSentAt) {
@@ -181,7 +188,7 @@
 	first := !w.synced
 	w.synced = true
 	if first {
-		// From now on the worker refuses a former owner's renewals.
+		// From now on the worker refuses renewals by former owners.
 		w.leasesEnd = sh.state.now.Add(sh.state.options.TaskLease)
 	}
 	if !e.Synced.Clock.IsZero() {
@@ -205,18 +212,21 @@
 	sh.scheduleSync(w)
 }
 
+// updateInterference has a routing table published if the worker's interference changed
+// noticeably.
 func (sh *shard) updateInterference(w *worker) {
 	if len(w.account.Host.Services) == 0 {
 		return
 	}
-	slower := sh.interference(w)
-	if math.Abs(slower-w.interference) >= interferenceDelta {
-		w.interference = slower
+	current := sh.interference(w)
+	if math.Abs(current-w.interference) >= interferenceDelta {
+		w.interference = current
 		sh.state.tableUpToDate = false
 	}
 }
 
-// takeRunning confirms runs and stops those that nobody wants any more.
+// reconcileRunning compares the running tasks of an inventory with the view. It confirms
+// starts, and stops runs that are not the current run of their task.
 func (sh *shard) reconcileRunning(w *worker, running []runner.Running) {
 	var used describer.Resources
 	for i := range running {
@@ -227,7 +237,7 @@
 			sh.emitStop(w, r.Run, false)
 			continue
 		}
-		t.seenAt = w.syncs
+		t.seenSync = w.syncs
 		if t.startPhase != startConfirmed {
 			sh.confirmStart(t, w)
 		}
@@ -240,17 +250,19 @@
 	w.account.Used = used
 }
 
-// isRun reports whether the run is the task's present one.
+// isCurrentRun reports whether r is the current run of the task, on this worker.
 func isCurrentRun(t *task, w *worker, r runner.Run) bool {
 	return t != nil && t.state == describer.Started && t.token == r.Token && t.worker == w.name
 }
 
+// confirmStart notes that the worker is known to have started the run.
 func (sh *shard) confirmStart(t *task, w *worker) {
 	t.startPhase = startConfirmed
-	t.confirmedAt = w.syncs
+	t.confirmedSync = w.syncs
 }
 
-// takeFinished records ends. A run is acknowledged once that is durable.
+// reconcileFinished records the ends of runs that an inventory reports. Runs whose end is
+// durable are acknowledged with the next sync.
 func (sh *shard) reconcileFinished(w *worker, finished []runner.Finished) {
 	w.ackTasks = w.ackTasks[:0]
 	w.ackTokens = w.ackTokens[:0]
@@ -258,13 +270,13 @@
 		f := &finished[i]
 		t := sh.view.task(f.Task)
 		if isCurrentRun(t, w, f.Run) {
-			t.seenAt = w.syncs
+			t.seenSync = w.syncs
 			sh.recordEnd(t, w, f)
 			continue
 		}
 		if f.OK && t != nil && t.state == describer.Pending && t.token == f.Token {
-			// Its worker was out of reach until its lease lapsed, and it had
-			// completed before. No newer run has begun, so the result counts.
+			// The worker was unreachable until the lease expired, but the run had
+			// finished before. No newer run has started, so the result counts.
 			sh.recordFinished(t, w, f.Result)
 			continue
 		}
@@ -275,6 +287,8 @@
 	}
 }
 
+// recordEnd records how a run ended: with a result, by the expiry of its lease or with a
+// failure.
 func (sh *shard) recordEnd(t *task, w *worker, f *runner.Finished) {
 	switch {
 	case f.OK:
@@ -286,19 +300,19 @@
 	}
 }
 
-// takeAbsent looks at the runs that the inventory doesn't name. One of a
-// former epoch can't begin any more, since the call raised the worker's epoch;
-// one that was confirmed before the call is over. A start in flight is left.
+// reconcileMissing releases runs that the latest inventory doesn't list. A run of a former
+// epoch can't start any more, because the sync raised the worker's epoch. A run that was
+// confirmed before the sync is over. A start that is still in flight is left alone.
 func (sh *shard) reconcileMissing(w *worker) {
 	for i := len(w.runs) - 1; i >= 0; i-- {
 		t := w.runs[i]
-		if t.seenAt == w.syncs || t.stop != nil && t.stop.sent {
+		if t.seenSync == w.syncs || t.stop != nil && t.stop.sent {
 			continue
 		}
 		switch {
 		case t.startPhase == startAdopted:
-			sh.recordReleased(t, runEnd{reason: "unknown to its worker"})
-		case t.startPhase == startConfirmed && t.confirmedAt < w.syncs:
+			sh.recordReleased(t, runEnd{reason: "not known to its worker"})
+		case t.startPhase == startConfirmed && t.confirmedSync < w.syncs:
 			sh.recordReleased(t, runEnd{reason: "lost by its worker"})
 		}
 	}
--- a/internal/control/reducer/task.go
+++ b/internal/control/reducer/task.go
@@ -7,28 +7,29 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Reasons of releases that count differently.
+// Reasons of releases that have an effect of their own. They are stored in ledgers.
 const (
-	reasonNotStarted = "not begun" // the run never began
-	reasonEvicted    = "evicted"   // for services or for urgent work
+	reasonNotStarted = "not begun" // the run never started, so the task has not run
+	reasonEvicted    = "evicted"   // stopped for a service or an urgent task; counts as an eviction
 )
 
 // job is an accepted job with its tasks.
 type job struct {
 	*describer.Job
-	seq       uint64 // of acceptance
+	seq       uint64 // sequence number of the acceptance within the shard
 	tasks     []task
-	counts    [describer.Failed + 1]int
+	counts    [describer.Failed + 1]int // number of tasks by state
 	cancelled bool
 	endedAt   time.Time
-	lastBatch int64 // of the latest record that a caller may hear of
+	lastBatch int64 // batch of the latest record that shows in the job's status
 }
 
+// isOver reports whether no task is pending or started.
 func (j *job) isOver() bool {
 	return j.counts[describer.Pending] == 0 && j.counts[describer.Started] == 0
 }
 
-// mayHaveRun reports whether any task may have begun.
+// mayHaveRun reports whether any task has run or may have.
 func (j *job) mayHaveRun() bool {
 	for i := range j.tasks {
 		if j.tasks[i].ran || j.tasks[i].state == describer.Started {
@@ -38,18 +39,19 @@
 	return false
 }
 
-// phase is what the owner knows about the start of a task's run.
+// startPhase is what the owner knows about the start of a task's current run.
 type startPhase uint8
 
 const (
-	startRecorded   startPhase = iota // recorded, the worker was not asked
-	startSent                         // StartTask without an answer yet
-	startUnanswered                   // the answer was lost
-	startConfirmed                    // the worker said that it runs
-	startAdopted                      // recorded by a former owner
+	startRecorded   startPhase = iota // recorded; the worker has not been called yet
+	startSent                         // StartTask was emitted and has no outcome yet
+	startUnanswered                   // StartTask failed; the run may have started
+	startConfirmed                    // the worker confirmed that the run started
+	startAdopted                      // recorded by a former owner; not confirmed yet
 )
 
-// task is the state of one task. The fields above the line are durable.
+// task is the state of one task. The fields before startPhase are part of snapshots; the
+// others are only in memory.
 type task struct {
 	job        *job
 	worker     string
@@ -68,20 +70,21 @@
 
 	startPhase     startPhase
 	queued         bool
-	slot           int32        // in worker.runs
-	confirmedAt    uint64       // worker.calls when the start was confirmed
-	seenAt         uint64       // worker.calls of the latest inventory that named it
-	lastBatch      int64        // of the latest record
-	stop           *stopRequest // a stop is wanted
-	shrinkTo       int64        // processors of a throttle that no inventory shows yet; 0 is none
-	shrinkSequence int64        // sequence of the first such throttle
-	pendingReason  string       // why it isn't placed
+	slot           int32        // index in worker.runs
+	confirmedSync  uint64       // value of worker.syncs when the start was confirmed
+	seenSync       uint64       // value of worker.syncs at the latest inventory that listed the run
+	lastBatch      int64        // batch of the latest record about the task
+	stop           *stopRequest // decision to stop the run; nil if there is none
+	shrinkTo       int64        // millicores of a smaller grant that no inventory shows yet; 0 if there is none
+	shrinkSequence int64        // sequence number of the first throttle to shrinkTo
+	pendingReason  string       // why the task is not placed; empty if unknown
 }
 
 func (t *task) id() describer.TaskID {
 	return describer.TaskID{Job: t.job.ID, Index: int(t.index)}
 }
 
+// applyStart begins a run.
 func (t *task) applyStart(r describer.Record) {
 	t.state = describer.Started
 	t.worker = r.Worker
@@ -90,7 +93,7 @@
 	t.startPhase = startAdopted
 }
 
-// release ends a run without a result. The task waits to resume.
+// applyRelease ends a run without a result. The task is pending until it can resume.
 func (t *task) applyRelease(r describer.Record) {
 	t.ran = t.ran || r.Reason != reasonNotStarted
 	if r.Checkpoint != "" {
@@ -106,6 +109,7 @@
 	t.endRun(describer.Pending)
 }
 
+// applyFailure ends a run that failed. The task is pending until it is tried again.
 func (t *task) applyFailure(r describer.Record) {
 	t.ran = true
 	t.attempts++
@@ -114,6 +118,7 @@
 	t.endRun(describer.Pending)
 }
 
+// applyFinish stores the result of the task.
 func (t *task) applyFinish(r describer.Record) {
 	t.ran = true
 	t.result = r.Result
@@ -123,7 +128,8 @@
 	t.endRun(describer.Done)
 }
 
-// end leaves the run behind. A task of a cancelled job never starts again.
+// endRun clears the run and sets the task's new state. A task of a cancelled job becomes
+// cancelled whatever the state.
 func (t *task) endRun(state describer.TaskState) {
 	if t.job.cancelled {
 		state = describer.Cancelled
--- a/internal/control/reducer/timer.go
+++ b/internal/control/reducer/timer.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// timerKind says what a timer is for.
+// timerKind selects what happens when a timer fires.
 type timerKind uint8
 
 const (
-	timerSync        timerKind = iota // next inventory of a worker
-	timerLapse                        // a silent worker's leases may have lapsed
-	timerProbe                        // a worker that was set aside gets one task
-	timerReopen                       // a worker that refused a start may be asked again
-	timerRetry                        // a failed task may start again
-	timerRepeatStart                  // repeat a start without an answer
-	timerRepeatStop                   // repeat a stop without an answer
+	timerSync        timerKind = iota // sync with the worker
+	timerLapse                        // check whether all leases on the worker have expired
+	timerProbe                        // allow one task on a quarantined worker
+	timerReopen                       // place tasks again on a worker that refused a start
+	timerRetry                        // queue a failed task again
+	timerRepeatStart                  // repeat an unanswered start
+	timerRepeatStop                   // repeat an unanswered stop
 )
 
-// timer is data, so that a State has no callbacks to lose. It is void once
-// its shard is owned under another epoch.
+// timer is an action of a shard at a later time. It is ignored if the shard is lost or
+// owned under another epoch by then.
 type timer struct {
 	at       time.Time
-	sequence uint64 // breaks ties in the order of creation
+	sequence uint64 // order of creation, to break ties
 	kind     timerKind
 	shard    *shard
 	epoch    int64
@@ -27,6 +27,7 @@
 	task     *task
 }
 
+// before reports whether t fires before o.
 func (t *timer) before(o *timer) bool {
 	if !t.at.Equal(o.at) {
 		return t.at.Before(o.at)
@@ -34,27 +35,30 @@
 	return t.sequence < o.sequence
 }
 
-// timers is a binary heap by time, so that a tick costs what is due.
+// timers is a binary heap by time, so that the cost of a tick depends on the timers that
+// are due and not on all of them.
 type timers struct {
 	heap     []timer
 	sequence uint64
 }
 
+// add adds a timer and restores the heap order.
 func (t *timers) add(added timer) {
 	t.sequence++
 	added.sequence = t.sequence
 	t.heap = append(t.heap, added)
 	i := len(t.heap) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if !t.heap[i].before(&t.heap[up]) {
+		parent := (i - 1) / 2
+		if !t.heap[i].before(&t.heap[parent]) {
 			return
 		}
-		t.heap[i], t.heap[up] = t.heap[up], t.heap[i]
-		i = up
+		t.heap[i], t.heap[parent] = t.heap[parent], t.heap[i]
+		i = parent
 	}
 }
 
+// pop removes and returns the earliest timer.
 func (t *timers) pop() timer {
 	first := t.heap[0]
 	last := len(t.heap) - 1
@@ -65,6 +69,7 @@
 	return first
 }
 
+// siftDown moves the root to its place in the heap order.
 func (t *timers) siftDown() {
 	i := 0
 	for {
@@ -82,8 +87,8 @@
 	}
 }
 
-// run fires all timers that are due. One that is added meanwhile fires in the
-// next run at the earliest.
+// fireDue fires all timers that are due. A timer that is added meanwhile fires at the
+// next call at the earliest.
 func (t *timers) fireDue(now time.Time) {
 	var due []timer
 	for len(t.heap) > 0 && !t.heap[0].at.After(now) {
@@ -96,7 +101,7 @@
 	}
 }
 
-// after adds a timer of the shard.
+// addTimer adds a timer of the shard that fires after the given wait.
 func (sh *shard) addTimer(wait time.Duration, t timer) {
 	t.at = sh.state.now.Add(wait)
 	t.shard = sh
@@ -104,6 +109,7 @@
 	sh.state.timers.add(t)
 }
 
+// fireTimer performs the action of a timer.
 func (sh *shard) fireTimer(t timer) {
 	switch t.kind {
 	case timerSync:
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -10,44 +10,47 @@
 	"dotterelcart.dev/dotterelcart/internal/control/restorer"
 )
 
-// Bounds on workers.
 const (
-	maxMissedSyncs = 3               // unanswered inventories in a row before leases are left to lapse
-	refusalPause   = 5 * time.Second // without placements after a refused start
+	// maxMissedSyncs is the number of unanswered syncs in a row after which a worker
+	// counts as unreachable: it gets no tasks and its leases are left to expire.
+	maxMissedSyncs = 3
+
+	// refusalPause is how long nothing is placed on a worker that refused a start.
+	refusalPause = 5 * time.Second
 )
 
-// worker is the owner's view of one worker.
+// worker is the state of one worker as its shard's owner knows it.
 type worker struct {
 	name         string
 	account      *accountant.Worker
-	listed       bool // in the host list
+	listed       bool // whether the host list has it
 	runs         []*task
-	pendingStops int // stops without an answer
-
-	syncs          uint64        // inventories asked for
-	syncPending    bool          // one is without an answer
-	syncSentAt     time.Time     // when it was asked for
-	synced         bool          // an inventory under this epoch has come
-	missedSyncs    int           // unanswered in a row
-	clock          time.Time     // of the worker, by its latest inventory
-	clockReadAt    time.Time     // when that call began
-	clockError     time.Duration // how long that call took at most
-	nextSyncAt     time.Time     // of the next inventory
-	lapseScheduled bool          // a timer for the lapse of its leases is set
-	leasesEnd      time.Time     // no lease given so far lasts longer, margin not counted
-	ackTasks       []describer.TaskID
-	ackTokens      []describer.Token
-	pausedUntil    time.Time // no placements before
+	pendingStops int // stops that have no answer yet
+
+	syncs          uint64             // number of syncs sent
+	syncPending    bool               // whether the latest sync has no outcome yet
+	syncSentAt     time.Time          // time of the latest sync
+	synced         bool               // whether it has answered a sync under this epoch
+	missedSyncs    int                // unanswered syncs in a row
+	clock          time.Time          // the worker's clock at its latest inventory
+	clockReadAt    time.Time          // this daemon's clock at the start of that sync
+	clockError     time.Duration      // upper bound of the duration of that sync
+	nextSyncAt     time.Time          // time of the next scheduled sync
+	lapseScheduled bool               // whether a timer for the expiry of its leases is set
+	leasesEnd      time.Time          // end of the longest lease granted so far, without the margin
+	ackTasks       []describer.TaskID // finished runs to acknowledge with the next sync
+	ackTokens      []describer.Token  // tokens of the runs in ackTasks
+	pausedUntil    time.Time          // nothing is placed before this time
 
 	failureStreak   failureStreak
-	probeAllowed    bool // one task may be placed in spite of being set aside
+	probeAllowed    bool // whether one task may be placed in spite of the quarantine
 	restoreState    restorer.State
-	restoreHold     string    // what holds its restore back
-	restoredBatch   int64     // of the record that it is restored
-	resizedAt       time.Time // when grants were last adapted to use
-	interference    float64   // published interference
+	restoreHold     string    // what delays its restore; empty if nothing does
+	restoredBatch   int64     // batch of the record that its restore is complete
+	resizedAt       time.Time // last time that grants were adapted to use
+	interference    float64   // interference in the latest routing table
 	escalationState escalator.State
-	missingSince    time.Time // since when it is missing in the host list
+	missingSince    time.Time // time from which the host list lacks it; zero if it is listed
 }
 
 func (s *State) updateWorkers() {
@@ -58,8 +61,8 @@
 	}
 }
 
-// arrangeWorkers follows the host list and the shard's racks. A worker that
-// vanished from the lagging list stays as long as it has grants.
+// updateWorkers adopts the workers of the shard's racks from the host list. A worker that
+// is no longer listed stays as long as it has runs, because the list may be out of date.
 func (sh *shard) arrangeWorkers() {
 	racks := make(map[string]bool, len(sh.config.Racks))
 	for _, rack := range sh.config.Racks {
@@ -79,8 +82,8 @@
 	}
 }
 
-// list takes in a line of the host list. The capacity that the worker itself
-// has stated goes before the listed one.
+// updateListed adopts an entry of the host list. A capacity that the worker itself has
+// reported takes precedence over the listed one.
 func (sh *shard) updateListed(host *describer.Host) {
 	w := sh.ensureWorker(host.Name)
 	capacity := w.account.Host.Capacity
@@ -92,6 +95,8 @@
 	w.missingSince = time.Time{}
 }
 
+// reviewWorker removes a worker that is no longer listed and not needed any more, and
+// updates the others.
 func (sh *shard) reviewWorker(w *worker) {
 	if !w.listed && w.missingSince.IsZero() {
 		w.missingSince = sh.state.now
@@ -103,6 +108,7 @@
 	sh.updateClosed(w)
 }
 
+// removeWorker removes a worker that has no runs.
 func (sh *shard) removeWorker(w *worker) {
 	delete(sh.workers, w.name)
 	delete(sh.fleet.Workers, w.name)
@@ -110,9 +116,9 @@
 	sh.sortedWorkers = slices.DeleteFunc(sh.sortedWorkers, func(o *worker) bool { return o == w })
 }
 
-// formerExtent is when the leases that former owners granted have lapsed. One
-// that was cut off may have gone on renewing for the outage limit; one that
-// gave the shard up to this owner said how long its leases last.
+// formerLeasesEnd returns when all leases granted by former owners have expired, without
+// the margin. An owner that lost contact to the store may have renewed leases for the
+// outage limit. An owner that released the shard recorded how long its leases last.
 func (sh *shard) formerLeasesEnd() time.Time {
 	if sh.releaseRecord.Token.Epoch == sh.epoch-1 && sh.releaseRecord.Kind == describer.ShardReleased {
 		return sh.claimedAt.Add(sh.releaseRecord.Wait)
@@ -120,8 +126,8 @@
 	return sh.claimedAt.Add(sh.state.options.OutageLimit + sh.state.options.TaskLease)
 }
 
-// worker returns the worker of that name. One that is known from the ledger
-// only is closed and has no capacity.
+// ensureWorker returns the worker with the given name, which it adds if necessary. A
+// worker that is known only from the ledger is closed and has no capacity.
 func (sh *shard) ensureWorker(name string) *worker {
 	if w := sh.workers[name]; w != nil {
 		return w
@@ -144,7 +150,8 @@
 	return w
 }
 
-// refresh recomputes whether tasks may be placed on the worker.
+// updateClosed recomputes whether the worker is closed to new tasks, and removes the
+// limits of a drain that is over.
 func (sh *shard) updateClosed(w *worker) {
 	if _, drained := sh.state.drains[w.name]; !drained {
 		sh.setBatchLimit(w, false, 0)
@@ -161,7 +168,8 @@
 	w.account.Closed = closed
 }
 
-// closedBy says why no task is placed on the worker, or nothing.
+// closedReason returns why no tasks are placed on the worker, or an empty string if they
+// may be.
 func (sh *shard) closedReason(w *worker) string {
 	d, drained := sh.state.drains[w.name]
 	switch {
@@ -172,19 +180,19 @@
 	case drained && d.state == describer.Draining:
 		return "draining for " + d.id
 	case !w.synced:
-		return "no inventory yet"
+		return "not synced yet"
 	case w.missedSyncs >= maxMissedSyncs:
-		return "no answer"
+		return "not answering"
 	case sh.view.quarantined[w.name] != "" && !w.probeAllowed:
 		return sh.view.quarantined[w.name]
 	case sh.state.now.Before(w.pausedUntil):
-		return "refused a start"
+		return "recently refused a start"
 	}
 	return ""
 }
 
-// hold accounts a started task's grant. In replay it may exceed what the
-// worker has; it is still there.
+// addRun adds a started task and its grant to the accounts of its worker and team. During
+// replay the grant may exceed the worker's known capacity; it is accounted all the same.
 func (sh *shard) addRun(t *task) {
 	w := sh.ensureWorker(t.worker)
 	g := accountant.Grant{
@@ -207,13 +215,16 @@
 	sh.recordShares(w)
 }
 
-// noteShares keeps what runs on the worker for late reports.
+// recordShares notes the batch tasks that run on the worker from now on. The learner needs
+// them when a latency report for this time arrives later.
 func (sh *shard) recordShares(w *worker) {
 	if len(w.account.Host.Services) > 0 {
 		sh.state.timeline.Set(w.name, sh.state.now, w.account.Shares())
 	}
 }
 
+// removeRun removes a task that is no longer started from the accounts of its worker and
+// team.
 func (sh *shard) removeRun(t *task) {
 	w := sh.ensureWorker(t.worker)
 	w.account.Drop(t.id(), t.token)
