--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -11,8 +11,8 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Sizes of one failure domain's share of the target: 27,000 workers and
-// 950,000 running tasks over 11 failure domains.
+// Size of the largest supported fleet divided by its 11 failure domains: 27,000 workers
+// and 950,000 running tasks in all.
 const (
 	domainWorkers = 27_000 / 11
 	domainTasks   = 950_000 / 11
@@ -20,8 +20,8 @@
 	domainTeams   = 480
 )
 
-// fullState returns a State that owns all shards, with tasks running on every
-// worker.
+// newFullState returns a State that owns domainShards shards and has synced with all
+// workers, with tasks running on each of them.
 func newFullState(workers, tasks int, policy placer.Policy) *State {
 	o := testOptions()
 	s := New(o, Policies{Placement: policy})
@@ -39,7 +39,7 @@
 		host.Capacity = describer.Resources{CPU: 64_000, Memory: 250_000}
 		hosts = append(hosts, host)
 	}
-	s.Reduce(Tick{Now: start})
+	s.Reduce(Tick{Now: startTime})
 	s.Reduce(HostsReceived{Hosts: hosts})
 	s.Reduce(ConfigurationReceived{Configuration: c})
 	records := newFullLedgers(hosts, tasks)
@@ -49,7 +49,7 @@
 	return s
 }
 
-// answerAll answers calls for inventories until there are none.
+// answerAllSyncs answers all syncs among the effects, and those that follow from them.
 func answerAllSyncs(s *State, effects []Effect) {
 	for _, e := range effects {
 		if call, ok := e.(SyncWorker); ok {
@@ -58,7 +58,8 @@
 	}
 }
 
-// fullLedger spreads jobs of 10 tasks over the workers.
+// newFullLedgers returns the records of each shard for jobs of 10 tasks that are spread
+// over the workers.
 func newFullLedgers(hosts []describer.Host, tasks int) map[string][]describer.Record {
 	out := make(map[string][]describer.Record)
 	each := len(hosts) / domainShards
@@ -68,11 +69,11 @@
 		id := fmt.Sprintf("s%02d", shard)
 		job := testJob(fmt.Sprintf("0b5f8a52-job-%06d", n), 10)
 		job.Team = fmt.Sprintf("team-%03d", number%domainTeams)
-		out[id] = append(out[id], describer.Record{Kind: describer.JobAccepted, Time: start, Job: &job})
+		out[id] = append(out[id], describer.Record{Kind: describer.JobAccepted, Time: startTime, Job: &job})
 		for i := range 10 {
 			at := (number/domainShards*10+i)%each*domainShards + shard
 			out[id] = append(out[id], describer.Record{
-				Kind: describer.TaskStarted, Time: start, Task: describer.TaskID{Job: job.ID, Index: i},
+				Kind: describer.TaskStarted, Time: startTime, Task: describer.TaskID{Job: job.ID, Index: i},
 				Worker: hosts[at].Name, Token: describer.Token{Epoch: 1, Sequence: int64(n + i)},
 				Granted: describer.Resources{CPU: 1000, Memory: 4000},
 			})
@@ -81,7 +82,7 @@
 	return out
 }
 
-// inventoryOf answers a call with what the State believes to run there.
+// inventoryOf answers a sync with the runs that the State has recorded for the worker.
 func inventoryOf(s *State, call SyncWorker) WorkerSynced {
 	out := WorkerSynced{Shard: call.Sync.Shard, Epoch: call.Sync.Epoch, Worker: call.Worker, SentAt: s.now}
 	out.Synced.Clock = s.now
@@ -93,6 +94,7 @@
 	return out
 }
 
+// forEachSize runs a benchmark at one eighth to all of a failure domain's size.
 func forEachSize(b *testing.B, run func(b *testing.B, s *State)) {
 	for _, part := range []int{8, 4, 2, 1} {
 		workers, tasks := domainWorkers/part, domainTasks/part
@@ -105,8 +107,8 @@
 	}
 }
 
-// BenchmarkSync is one inventory, asked for and taken in. The rate at the
-// share is its workers over the interval.
+// BenchmarkSync measures one sync: emitting the call and processing the inventory. A
+// daemon does this once per worker and sync interval.
 func BenchmarkSync(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *State) {
 		for n := 0; n < b.N; {
@@ -127,7 +129,7 @@
 	})
 }
 
-// BenchmarkTick is a tick at which nothing is due.
+// BenchmarkTick measures a tick at which no timer is due.
 func BenchmarkTick(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *State) {
 		s.timers = timers{}
@@ -137,7 +139,7 @@
 	})
 }
 
-// BenchmarkTask is a job of one task from its submission to its durable end.
+// BenchmarkTask measures a job of one task from its submission to its durable end.
 func BenchmarkTask(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s *State) {
 		for n := range b.N {
@@ -152,7 +154,7 @@
 	return job
 }
 
-// lifeOfTask carries out all effects of a job.
+// runTaskToEnd submits the job and executes the effects until there are none left.
 func runTaskToEnd(s *State, job describer.Job) {
 	work := s.Reduce(SubmitRequested{Request: 1, Job: job})
 	for len(work) > 0 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// BenchmarkPlace is the default policy's choice of a worker.
+// BenchmarkPlace measures the choice of a worker by the default placement policy.
 func BenchmarkPlace(b *testing.B) {
 	s := newFullState(domainWorkers, domainTasks, nil)
 	sh := s.sortedShards[0]
@@ -184,7 +186,7 @@
 	}
 }
 
-// BenchmarkPublish is a routing table of all workers of one failure domain.
+// BenchmarkPublish measures a routing table of all workers of one failure domain.
 func BenchmarkPublish(b *testing.B) {
 	s := newFullState(domainWorkers, 10, placer.FirstFit{})
 	b.ReportAllocs()
@@ -194,7 +196,7 @@
 	}
 }
 
-// BenchmarkSnapshot is the snapshot of one shard.
+// BenchmarkSnapshot measures the snapshot of one shard.
 func BenchmarkSnapshot(b *testing.B) {
 	s := newFullState(domainWorkers, domainTasks, placer.FirstFit{})
 	sh := s.sortedShards[0]
@@ -208,7 +210,7 @@
 	}
 }
 
-// BenchmarkMemory reports the live heap of a full state.
+// BenchmarkMemory reports the live heap size of a full State.
 func BenchmarkMemory(b *testing.B) {
 	for _, part := range []int{8, 4, 2, 1} {
 		workers, tasks := domainWorkers/part, domainTasks/part
--- a/internal/control/reducer/daemon_test.go
+++ b/internal/control/reducer/daemon_test.go
@@ -7,24 +7,25 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// node is a daemon: a State with the executors of its effects.
+// daemon simulates a daemon: a State and the execution of its effects.
 type daemon struct {
 	sim         *simulation
 	name        string
 	state       *State
-	incarnation int // incremented with each boot
+	incarnation int // number of boots and kills; callbacks of an earlier incarnation are dropped
 	alive       bool
-	paused      bool
-	inbox       []Event
-	storeCut    bool
-	unreachable map[string]bool // workers out of reach
-	answersLost map[string]bool // workers that hear it, and whose answers are lost
-	seesNoPeers bool            // sees no peer
-	owned       map[string]int64
-	appends     map[string][]AppendRecords
-	revision    int64
+	paused      bool                       // whether the process is suspended
+	inbox       []Event                    // events that arrived while paused
+	storeCut    bool                       // whether it can't reach the store
+	unreachable map[string]bool            // workers that its calls don't reach
+	answersLost map[string]bool            // workers that its calls reach but whose answers are lost
+	seesNoPeers bool                       // whether its membership view holds only itself
+	owned       map[string]int64           // epochs of owned shards by shard id
+	appends     map[string][]AppendRecords // appends without an answer by shard id
+	revision    int64                      // revision of the latest routing table
 }
 
+// boot starts the daemon with an empty State.
 func (d *daemon) boot() {
 	o := testOptions()
 	o.Daemon, o.TaskLease, o.LeaseMargin = d.name, 10*time.Second, 3*time.Second
@@ -45,6 +46,8 @@
 
 func (d *daemon) kill() { d.alive = false; d.incarnation++ }
 
+// every calls do at an interval for as long as the incarnation lasts, except while the
+// daemon is paused.
 func (d *daemon) every(life int, wait time.Duration, do func()) {
 	d.sim.after(wait, func() {
 		if d.incarnation != life {
@@ -57,7 +60,8 @@
 	})
 }
 
-// resume delivers what came meanwhile before any tick, so with an old time.
+// resume ends a pause. The events that arrived meanwhile are handled before the next tick
+// and therefore at the time when the pause began.
 func (d *daemon) resume() {
 	d.paused = false
 	inbox := d.inbox
@@ -80,7 +84,7 @@
 	}
 }
 
-// later runs in this life of the node.
+// later calls do after a wait unless the incarnation has ended by then.
 func (d *daemon) later(wait time.Duration, do func()) {
 	life := d.incarnation
 	d.sim.after(wait, func() {
@@ -92,7 +96,7 @@
 
 func (d *daemon) reachesStore() bool { return d.sim.store.reachable && !d.storeCut }
 
-// watch brings configuration and membership.
+// refreshViews delivers the configuration, the live peers and the hosts.
 func (d *daemon) refreshViews() {
 	if d.reachesStore() {
 		d.reduce(ConfigurationReceived{Configuration: d.sim.store.config})
@@ -109,7 +113,7 @@
 	d.reduce(HostsReceived{Hosts: d.sim.hosts()})
 }
 
-// renew keeps the shards' leases in the store.
+// renewShardLeases renews the leases of the owned shards in the store.
 func (d *daemon) renewShardLeases() {
 	if !d.reachesStore() {
 		d.reduce(StoreChecked{Reachable: false})
@@ -131,6 +135,7 @@
 	d.reduce(ShardLost{Shard: shard, Epoch: epoch})
 }
 
+// execute simulates the execution of an effect.
 func (d *daemon) execute(effect Effect) {
 	sim := d.sim
 	switch e := effect.(type) {
@@ -176,7 +181,7 @@
 		}
 	case PublishRoutingTable:
 		if e.Table.Revision < d.revision {
-			sim.t.Fatalf("%s: configuration reverts from %d to %d", d.name, d.revision, e.Table.Revision)
+			sim.t.Fatalf("%s: routing table reverts from revision %d to %d", d.name, d.revision, e.Table.Revision)
 		}
 		d.revision = e.Table.Revision
 	case ProposeDrainUpdate:
@@ -210,7 +215,7 @@
 	d.loseShard(e.Shard, e.Epoch)
 }
 
-// append sends the oldest append until it has an answer.
+// append sends the shard's appends in order, each again until it is answered.
 func (d *daemon) append(shard string) {
 	queue := d.appends[shard]
 	if len(queue) == 0 || d.owned[shard] != queue[0].Epoch {
@@ -227,7 +232,7 @@
 		return
 	}
 	if d.sim.chance(0.1) {
-		again() // the answer is lost
+		again() // the answer was lost
 		return
 	}
 	d.appends[shard] = queue[1:]
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -10,16 +10,17 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// fakeWorker is a worker that keeps to its contract and audits its callers.
+// fakeWorker simulates a worker with leases and fencing, and checks that its callers keep
+// to the rules.
 type fakeWorker struct {
 	sim         *simulation
 	name        string
-	clockOffset time.Duration // of its clock
+	clockOffset time.Duration // difference between its clock and the simulation's
 	capacity    describer.Resources
 	down        bool
-	unlisted    bool // missing in the host list
-	failsRuns   bool // fails every run
-	epoch       int64
+	unlisted    bool  // whether the host list lacks it
+	failsRuns   bool  // whether all its runs fail
+	epoch       int64 // greatest epoch seen; calls of lower epochs are refused
 	fences      map[describer.TaskID]describer.Token
 	runs        map[describer.TaskID]*fakeRun
 	outcomes    map[runner.Run]runner.Stopped
@@ -34,7 +35,7 @@
 	lastThrottle describer.Token
 }
 
-// used is sometimes all of the grant and sometimes little of it.
+// used returns a random measured use: all of the granted processors or a quarter of them.
 func (r *fakeRun) used(m *fakeWorker) describer.Resources {
 	if m.sim.chance(0.5) {
 		return r.Granted
@@ -48,6 +49,7 @@
 	return m
 }
 
+// reset forgets everything, as a worker does that restarts without its disk.
 func (m *fakeWorker) reset() {
 	for run, f := range m.finished {
 		if f.OK && m.sim.store.completed[run.Task] == run {
@@ -63,6 +65,7 @@
 
 func (m *fakeWorker) clock() time.Time { return m.sim.now.Add(m.clockOffset) }
 
+// leaseEnd returns the end of a lease granted now, by the worker's clock.
 func (m *fakeWorker) leaseEnd(lease time.Duration, until time.Time) time.Time {
 	end := m.clock().Add(lease)
 	if !until.IsZero() && until.Before(end) {
@@ -71,7 +74,7 @@
 	return end
 }
 
-// advance ends what is over by now.
+// endDueRuns ends the runs that have finished or whose lease has expired by now.
 func (m *fakeWorker) endDueRuns() {
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
@@ -116,7 +119,7 @@
 		Start: s, startedAt: m.clock(), leaseEnd: m.leaseEnd(s.Lease, s.Until), length: m.sim.runLength(),
 	}
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.sim.t.Fatalf("%s is overfilled: %v", m.name, sum)
+		m.sim.t.Fatalf("%s: grants exceed the capacity: %v", m.name, sum)
 	}
 	return ""
 }
@@ -158,7 +161,7 @@
 	r.lastThrottle = order
 	r.Granted.CPU = t.CPU
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.sim.t.Fatalf("%s is overfilled by a throttle: %v", m.name, sum)
+		m.sim.t.Fatalf("%s: grants exceed the capacity after a throttle: %v", m.name, sum)
 	}
 }
 
--- a/internal/control/reducer/partition_test.go
+++ b/internal/control/reducer/partition_test.go
@@ -7,8 +7,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// TestLateStart lets a start arrive after its sender has died and a successor
-// that can't reach the worker has restarted the task elsewhere.
+// TestLateStart guards against a task that runs twice because a delayed start arrives
+// after its sender has died and the new owner, which can't reach the worker, has
+// restarted the task elsewhere.
 func TestLateStart(t *testing.T) {
 	sim := newSimulation(t, 1)
 	sim.reliable, sim.longRuns = true, true
@@ -28,12 +29,12 @@
 	}
 	sim.advance(150 * time.Second)
 	if sim.countRunning() != 1 {
-		t.Fatal("the successor must have restarted the task")
+		t.Fatal("the new owner has not restarted the task")
 	}
 	sim.advance(time.Minute)
 }
 
-// startedOn returns the worker that the task's owner believes to run it.
+// startedOn returns the worker that the task runs on according to its owner.
 func (sim *simulation) startedOn(id describer.TaskID) string {
 	for _, d := range sim.daemons {
 		for _, sh := range d.state.sortedShards {
@@ -45,7 +46,8 @@
 	return ""
 }
 
-// calmWorld has one task that runs for hours, on a worker of one owner.
+// newReliableSimulation returns a simulation without failures in which one task runs for
+// hours, with the owner of its shard and its worker.
 func newReliableSimulation(t *testing.T) (sim *simulation, owner *daemon, m *fakeWorker) {
 	sim = newSimulation(t, 1)
 	sim.reliable, sim.longRuns = true, true
@@ -63,12 +65,12 @@
 		}
 	}
 	if m == nil || owner == nil {
-		t.Fatal("the job doesn't run")
+		t.Fatal("the job is not running")
 	}
 	return sim, owner, m
 }
 
-// running returns how many workers run the job.
+// countRunning returns the number of running tasks.
 func (sim *simulation) countRunning() int {
 	n := 0
 	for _, m := range sim.workers {
@@ -78,52 +80,55 @@
 	return n
 }
 
-// TestSplit leaves a worker with its former owner on one side and the store
-// with the successor on the other. The former owner goes on renewing for the
-// outage limit, and the successor restarts the task after that.
+// TestSplit guards against a task that runs twice after a network partition with a worker
+// and the former owner on one side, and the store and the new owner on the other. The
+// former owner keeps renewing leases for the outage limit, and the new owner restarts the
+// task after that.
 func TestSplit(t *testing.T) {
 	sim, owner, m := newReliableSimulation(t)
 	sim.partition(owner, m, 5*time.Minute)
 	sim.advance(30 * time.Second)
 	if sim.countRunning() != 1 {
-		t.Fatal("the task must go on while its owner may be cut off by an outage")
+		t.Fatal("the task was stopped although the store may only have an outage")
 	}
 	sim.advance(2 * time.Minute)
 	if sim.countRunning() != 1 || len(m.runs) > 0 {
-		t.Fatal("the successor must restart the task elsewhere")
+		t.Fatal("the new owner has not restarted the task on another worker")
 	}
 	sim.advance(5 * time.Minute)
 	if sim.countRunning() != 1 {
-		t.Fatal("the task must run once after the split")
+		t.Fatal("the task does not run exactly once after the partition")
 	}
 }
 
-// TestMute loses all answers of a worker that hears its owner well.
+// TestMute guards against a task that is lost because its worker receives all calls while
+// none of its answers arrive.
 func TestMute(t *testing.T) {
 	sim, owner, m := newReliableSimulation(t)
 	owner.answersLost[m.name] = true
 	sim.advance(time.Minute)
 	if sim.countRunning() != 1 || len(m.runs) > 0 {
-		t.Fatal("the task must be restarted elsewhere when its lease has lapsed")
+		t.Fatal("the task was not restarted on another worker after its lease expired")
 	}
 }
 
-// TestOutage keeps tasks running while the store is away, and catches up.
+// TestOutage checks that tasks keep running during a short outage of the store, and that
+// a job which was refused during the outage is not run later.
 func TestOutage(t *testing.T) {
 	sim, _, m := newReliableSimulation(t)
 	sim.store.reachable = false
 	sim.advance(35 * time.Second)
 	if len(m.runs) != 1 {
-		t.Fatal("the task must go on without the store")
+		t.Fatal("the task was stopped during the store outage")
 	}
 	sim.longRuns = false
 	sim.submit("other", 1)
 	sim.store.reachable = true
 	sim.advance(time.Minute)
 	if len(m.runs) != 1 {
-		t.Fatal("the task must go on after the outage")
+		t.Fatal("the task was stopped after the store outage")
 	}
 	if sim.store.jobs["other"] != nil {
-		t.Fatal("a job that was refused must not run")
+		t.Fatal("a refused job was accepted")
 	}
 }
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -10,8 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// TestInvariants interleaves failures at random. The seed is fixed; -rapid.seed
-// and -rapid.checks ask for others and for more.
+// TestInvariants runs random sequences of jobs and failures and checks that no task runs
+// twice or is lost. The seed is fixed by default; -rapid.seed sets another one and
+// -rapid.checks the number of sequences.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t, rapid.Uint64().Draw(t, "seed"))
@@ -34,7 +35,7 @@
 	return sim.workers[rapid.IntRange(0, len(sim.workers)-1).Draw(t, "worker")]
 }
 
-// step does one thing at random, most often something ordinary.
+// step performs a random action, most often the submission of a job.
 func (sim *simulation) step(t *rapid.T, i int) {
 	length := time.Duration(rapid.IntRange(1, 60).Draw(t, "seconds")) * time.Second
 	switch rapid.IntRange(0, 18).Draw(t, "what") {
@@ -74,7 +75,7 @@
 			m.endDueRuns()
 			m.down = true
 			m.reset()
-			// It forgot its epoch, so it may come back only when no lease is left.
+			// It forgets its epoch, so it must stay down until all leases have expired.
 			sim.after(max(length, 15*time.Second), func() { m.down = false })
 		}
 	case 11:
@@ -115,7 +116,8 @@
 	}
 }
 
-// split leaves a worker on the side of one daemon, and the store on the other.
+// partition leaves the worker reachable only for one daemon, which can reach neither the
+// store nor its peers.
 func (sim *simulation) partition(alone *daemon, m *fakeWorker, length time.Duration) {
 	for _, d := range sim.daemons {
 		if d != alone {
@@ -133,7 +135,7 @@
 	}
 }
 
-// submit tries the daemons in turn, as a caller that isn't told otherwise.
+// submit sends a job to the owner of its home shard, if there is one.
 func (sim *simulation) submit(id string, tasks int) {
 	job := testJob(id, tasks)
 	job.Class = "class-" + id[len(id)-1:]
@@ -152,6 +154,7 @@
 	}
 }
 
+// drain adds a drain of the worker to the configuration, unless it has one.
 func (sim *simulation) drain(id, worker string, length time.Duration) {
 	for _, d := range sim.store.config.Drains {
 		if d.Workers[0] == worker {
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -11,21 +11,22 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// successor replays the records in a new State under the next epoch.
+// newSuccessor returns a State that claims the shard with these records under the next
+// epoch.
 func newSuccessor(records []describer.Record, workers ...string) *harness {
 	h := &harness{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
-	h.feed(Tick{Now: start.Add(time.Hour)})
+	h.feed(Tick{Now: startTime.Add(time.Hour)})
 	h.feed(HostsReceived{Hosts: testHosts(workers...)})
 	h.feed(ConfigurationReceived{Configuration: testConfiguration()})
 	h.feed(ShardClaimed{Shard: "bne-1", Epoch: 2, Records: records})
 	return h
 }
 
-var _ = Describe("a successor", func() {
-	It("keeps a started task until an inventory under its epoch lacks it", func() {
-		d := newHarness("w1")
-		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
-		records := d.answerAppends()
+var _ = Describe("a new owner", func() {
+	It("keeps a started task until an inventory under its epoch doesn't list it", func() {
+		h := newHarness("w1")
+		h.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		records := h.answerAppends()
 
 		s := newSuccessor(records, "w1")
 		s.advance(time.Second)
@@ -36,10 +37,10 @@
 	})
 
 	It("adopts a run that its worker still has", func() {
-		d := newHarness("w1")
-		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
-		records := d.answerAppends()
-		run := startedRun(d.answerStarts()[0])
+		h := newHarness("w1")
+		h.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		records := h.answerAppends()
+		run := startedRun(h.answerStarts()[0])
 
 		s := newSuccessor(records, "w1")
 		s.answerSyncs(runner.Synced{Running: []runner.Running{{Run: run}}})
@@ -48,10 +49,10 @@
 		Expect(takeEffects[AppendRecords](s)).To(BeEmpty())
 	})
 
-	It("restarts a task of a worker that it can't reach once its predecessor can't have renewed", func() {
-		d := newHarness("w1")
-		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
-		records := d.answerAppends()
+	It("restarts a task of an unreachable worker once the former owner's renewals must have ended", func() {
+		h := newHarness("w1")
+		h.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		records := h.answerAppends()
 
 		s := newSuccessor(records, "w1", "w2")
 		for _, c := range takeEffects[SyncWorker](s) {
@@ -83,17 +84,17 @@
 })
 
 var _ = Describe("a hand-over", func() {
-	It("tells the successor how long the leases last at a worker that it can't reach", func() {
-		d := newHarness("w1")
-		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
-		records := d.answerAppends()
-		d.feed(StopRequested{})
-		last := d.answerAppends()
+	It("tells the new owner how long the leases on an unreachable worker last", func() {
+		h := newHarness("w1")
+		h.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		records := h.answerAppends()
+		h.feed(StopRequested{})
+		last := h.answerAppends()
 		Expect(recordKinds(last)).To(Equal([]describer.RecordKind{describer.ShardReleased}))
-		Expect(takeEffects[ReleaseShard](d)).To(HaveLen(1))
+		Expect(takeEffects[ReleaseShard](h)).To(HaveLen(1))
 
 		s := newSuccessor(append(records, last...), "w1")
-		for range 30 + 5 + 3 { // lease, margin, and the interval between looks
+		for range 30 + 5 + 3 { // lease, margin and the interval between syncs, in seconds
 			s.advance(time.Second)
 			for range takeEffects[SyncWorker](s) {
 				s.feed(WorkerSyncFailed{Shard: "bne-1", Epoch: 2, Worker: "w1"})
@@ -102,81 +103,81 @@
 		Expect(recordKinds(s.answerAppends())).To(ContainElement(describer.TaskReleased))
 	})
 
-	It("is not taken as one of an owner before the last", func() {
-		d := newHarness("w1")
-		d.feed(StopRequested{})
-		last := d.answerAppends()
+	It("is ignored if the former owner did not record it", func() {
+		h := newHarness("w1")
+		h.feed(StopRequested{})
+		last := h.answerAppends()
 		s := &harness{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
-		s.feed(Tick{Now: start})
+		s.feed(Tick{Now: startTime})
 		s.feed(ConfigurationReceived{Configuration: testConfiguration()})
 		s.feed(ShardClaimed{Shard: "bne-1", Epoch: 3, Records: last})
-		Expect(s.sortedShards[0].formerLeasesEnd()).To(Equal(start.Add(time.Minute + 30*time.Second)))
+		Expect(s.sortedShards[0].formerLeasesEnd()).To(Equal(startTime.Add(time.Minute + 30*time.Second)))
 	})
 })
 
 var _ = Describe("a drain", func() {
-	It("moves work off with a checkpoint and ends in a restore", func() {
-		d := newHarness("w1", "w2")
-		d.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
-		d.answerAppends()
-		Expect(d.answerStarts()[0].Worker).To(Equal("w1"))
+	It("stops runs with a checkpoint and ends in a restore", func() {
+		h := newHarness("w1", "w2")
+		h.feed(SubmitRequested{Request: 1, Job: testJob("menu", 1)})
+		h.answerAppends()
+		Expect(h.answerStarts()[0].Worker).To(Equal("w1"))
 
 		c := testConfiguration()
 		c.Revision = 2
 		c.Drains = []describer.Drain{{
-			ID: "d1", Workers: []string{"w1"}, State: describer.Draining, Until: d.now.Add(time.Minute),
+			ID: "d1", Workers: []string{"w1"}, State: describer.Draining, Until: h.now.Add(time.Minute),
 		}}
-		d.feed(ConfigurationReceived{Configuration: c})
-		d.advance(2 * time.Second)
-		tables := takeEffects[PublishRoutingTable](d)
+		h.feed(ConfigurationReceived{Configuration: c})
+		h.advance(2 * time.Second)
+		tables := takeEffects[PublishRoutingTable](h)
 		Expect(tables[len(tables)-1].Table.Services["menu-desk"][0].Closed).To(BeTrue())
-		stop := takeEffects[StopTask](d)[0]
+		stop := takeEffects[StopTask](h)[0]
 		Expect(stop.Stop.Checkpoint).To(BeTrue())
-		d.feed(StopAnswered{
+		h.feed(StopAnswered{
 			Shard: "bne-1", Epoch: 1, Worker: "w1", Task: stop.Stop.Task, Token: stop.Stop.Token,
 			Stopped: runner.Stopped{Ran: true, Checkpoint: "half"},
 		})
-		records := d.answerAppends()
+		records := h.answerAppends()
 		Expect(records[0].DrainedOff).To(Equal("w1"))
-		again := d.answerStarts()
+		again := h.answerStarts()
 		Expect(again[0].Worker).To(Equal("w2"))
 		Expect(again[0].Start.Checkpoint).To(Equal("half"))
 
-		d.advance(time.Minute)
-		d.answerSyncs(runner.Synced{Running: []runner.Running{{Run: startedRun(again[0])}}})
-		proposals := takeEffects[ProposeDrainUpdate](d)
+		h.advance(time.Minute)
+		h.answerSyncs(runner.Synced{Running: []runner.Running{{Run: startedRun(again[0])}}})
+		proposals := takeEffects[ProposeDrainUpdate](h)
 		Expect(proposals[0]).To(Equal(ProposeDrainUpdate{Drain: "d1"}))
 		Expect(len(proposals)).To(BeNumerically("<=", 2))
 
 		c.Revision = 3
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.feed(ConfigurationReceived{Configuration: c})
+		h.feed(ConfigurationReceived{Configuration: c})
 		for range 60 {
-			d.advance(5 * time.Second)
-			d.answerSyncs(runner.Synced{Running: []runner.Running{{Run: startedRun(again[0])}}})
+			h.advance(5 * time.Second)
+			h.answerSyncs(runner.Synced{Running: []runner.Running{{Run: startedRun(again[0])}}})
 		}
-		Expect(takeEffects[ProposeDrainUpdate](d)).To(BeEmpty(), "its end isn't durable")
-		Expect(recordKinds(d.answerAppends())).To(ContainElement(describer.DrainRestored))
-		d.advance(12 * time.Second)
-		Expect(len(takeEffects[ProposeDrainUpdate](d))).To(BeNumerically(">", 1), "it is repeated until the configuration shows it")
+		Expect(takeEffects[ProposeDrainUpdate](h)).To(BeEmpty(), "the end of the restore isn't durable")
+		Expect(recordKinds(h.answerAppends())).To(ContainElement(describer.DrainRestored))
+		h.advance(12 * time.Second)
+		Expect(len(takeEffects[ProposeDrainUpdate](h))).To(BeNumerically(">", 1), "the proposal is repeated until the configuration shows it")
 		c.Revision = 4
 		c.Drains = nil
-		d.feed(ConfigurationReceived{Configuration: c})
-		d.advance(12 * time.Second)
-		Expect(takeEffects[ProposeDrainUpdate](d)).To(BeEmpty())
+		h.feed(ConfigurationReceived{Configuration: c})
+		h.advance(12 * time.Second)
+		Expect(takeEffects[ProposeDrainUpdate](h)).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a restore under way", func() {
-	It("is seen while a drain of its workers is restoring", func() {
-		d := newHarness("w1")
+var _ = Describe("a restore in progress", func() {
+	It("is detected while a drain of one of the shard's workers is restoring", func() {
+		h := newHarness("w1")
 		c := testConfiguration()
 		c.Revision = 2
 		c.Drains = []describer.Drain{{ID: "d1", Workers: []string{"w1"}, State: describer.Restoring}}
-		d.feed(ConfigurationReceived{Configuration: c})
-		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeTrue())
+		h.feed(ConfigurationReceived{Configuration: c})
+		Expect(h.shards["bne-1"].hasRestoringWorker()).To(BeTrue())
 		c.Revision, c.Drains = 3, nil
-		d.feed(ConfigurationReceived{Configuration: c})
-		Expect(d.shards["bne-1"].hasRestoringWorker()).To(BeFalse())
+		h.feed(ConfigurationReceived{Configuration: c})
+		Expect(h.shards["bne-1"].hasRestoringWorker()).To(BeFalse())
 	})
 })
--- a/internal/control/reducer/simulation_test.go
+++ b/internal/control/reducer/simulation_test.go
@@ -10,15 +10,15 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Times of the fake world.
+// Times in the simulation.
 const (
-	simStoreLease  = 8 * time.Second
-	simCallTimeout = 2 * time.Second // of a call
-	simMaxDelay    = 90 * time.Second
+	simStoreLease  = 8 * time.Second  // lease of a shard in the store
+	simCallTimeout = 2 * time.Second  // time after which a caller gives up a call
+	simMaxDelay    = 90 * time.Second // longest delay of a message
 )
 
-// world is a virtual fleet: daemons, workers with leases and fences, a store
-// with outages, and messages that are lost or late.
+// simulation is a fleet in virtual time: daemons, workers with leases and fencing, a
+// store with outages, and messages that are lost or delayed.
 type simulation struct {
 	t             fataler
 	now           time.Time
@@ -29,28 +29,28 @@
 	daemons       []*daemon
 	workers       []*fakeWorker
 	requests      RequestID
-	submissions   map[RequestID]string // submissions by request
-	refusedNotRun map[string]bool      // jobs with a refusal that promises NotRun
-	reliable      bool                 // nothing more is lost or late
-	longRuns      bool                 // runs take hours
-	startDelay    time.Duration        // of every start, if set
+	submissions   map[RequestID]string // ids of submitted jobs by request
+	refusedNotRun map[string]bool      // ids of jobs that were refused with the verdict NotRun
+	reliable      bool                 // whether no message is lost or delayed
+	longRuns      bool                 // whether runs take hours
+	startDelay    time.Duration        // delay of each start call if not 0
 }
 
-// letter is something that happens at a time.
+// scheduledCall is a function that is called at a virtual time.
 type scheduledCall struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
-// failer is what the audits need of a test.
+// fataler is the part of a test handle that the checks need.
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
 func newSimulation(t fataler, seed uint64) *simulation {
 	sim := &simulation{
-		t: t, now: start, rng: rand.New(rand.NewPCG(seed, 1)),
+		t: t, now: startTime, rng: rand.New(rand.NewPCG(seed, 1)),
 		submissions: make(map[RequestID]string), refusedNotRun: make(map[string]bool),
 	}
 	sim.store = newFakeStore(sim)
@@ -66,12 +66,14 @@
 	return sim
 }
 
+// chance returns true with the given probability, and never if the simulation is reliable.
 func (sim *simulation) chance(share float64) bool { return !sim.reliable && sim.rng.Float64() < share }
 
 func (sim *simulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
 
+// after schedules a call. Calls at the same time run in the order of scheduling.
 func (sim *simulation) after(wait time.Duration, do func()) {
 	sim.lastSeq++
 	l := scheduledCall{sim.now.Add(wait), sim.lastSeq, do}
@@ -79,7 +81,7 @@
 	sim.scheduled = slices.Insert(sim.scheduled, at, l)
 }
 
-// length is a run's, mostly short.
+// runLength returns a random length of a run, mostly a short one.
 func (sim *simulation) runLength() time.Duration {
 	if sim.longRuns {
 		return 10 * time.Hour
@@ -90,7 +92,7 @@
 	return sim.randomDuration(time.Second, 15*time.Second)
 }
 
-// pass lets time go by.
+// advance moves the time on by d and makes all scheduled calls.
 func (sim *simulation) advance(d time.Duration) {
 	for end := sim.now.Add(d); len(sim.scheduled) > 0 && !sim.scheduled[0].at.After(end); {
 		l := sim.scheduled[0]
@@ -100,8 +102,8 @@
 	}
 }
 
-// call carries a message to a worker and its answer back. Either may be lost
-// or come long after the caller has given up.
+// callWorker delivers a call to a worker and its answer to the daemon. Either may be
+// lost, or delayed until long after the caller has given up; then the daemon gets failed.
 func (sim *simulation) callWorker(d *daemon, worker string, do func(*fakeWorker) Event, failed Event) {
 	answered := false
 	answer := func(e Event) func() {
--- a/internal/control/reducer/store_test.go
+++ b/internal/control/reducer/store_test.go
@@ -9,28 +9,28 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// ledgers is the fake store. It keeps all that was ever committed, against
-// which workers audit what they are asked for.
+// fakeStore simulates the store with the shards' leases and ledgers and the configuration.
+// It keeps a summary of all records ever committed, which workers check calls against.
 type fakeStore struct {
 	sim             *simulation
 	reachable       bool
 	config          describer.Configuration
 	shards          map[string]*fakeLedger
-	drained         map[string]bool // drains that were ever begun
-	startCommits    map[runner.Run]int
+	drained         map[string]bool                 // ids of drains
+	startCommits    map[runner.Run]int              // number of the commit that recorded the start
 	checkpoints     map[describer.TaskID]string     // latest durable checkpoint
-	resumeFrom      map[runner.Run]string           // checkpoint that a run has to resume from
-	lapsed          map[runner.Run]bool             // because their leases lapsed at a silent worker
-	finished        map[describer.TaskID]runner.Run // finished durably
+	resumeFrom      map[runner.Run]string           // checkpoint that each run must resume from
+	lapsed          map[runner.Run]bool             // whether the run was released because its lease expired
+	finished        map[describer.TaskID]runner.Run // run whose result is durable
 	jobs            map[string]*describer.Job
-	cancelCommits   map[string]int
-	failed          map[describer.TaskID]bool
-	restoreRecorded map[string]bool // drain and worker with a durable record
-	completed       map[describer.TaskID]runner.Run
+	cancelCommits   map[string]int                  // number of the commit that recorded the cancellation
+	failed          map[describer.TaskID]bool       // tasks that failed permanently
+	restoreRecorded map[string]bool                 // drain id and worker name joined; restores recorded as complete
+	completed       map[describer.TaskID]runner.Run // run that a worker completed, durable or not
 	commits         int
 }
 
-// ledger is one shard's.
+// fakeLedger is the ledger and the lease of one shard.
 type fakeLedger struct {
 	owner       *daemon
 	incarnation int
@@ -41,6 +41,7 @@
 	appends     []AppendRecords
 }
 
+// records returns the records appended since the snapshot.
 func (l *fakeLedger) records() []describer.Record {
 	var out []describer.Record
 	for _, a := range l.appends {
@@ -101,7 +102,8 @@
 	}
 }
 
-// append commits a batch once; it is refused to a former owner.
+// append commits a batch. A batch that was committed before is accepted without effect,
+// and one of a former owner is refused.
 func (s *fakeStore) append(a AppendRecords) bool {
 	l := s.shards[a.Shard]
 	if l.epoch != a.Epoch {
@@ -111,7 +113,7 @@
 		return true
 	}
 	if a.Batch != l.lastBatch+1 {
-		s.sim.t.Fatalf("%s: batch %d after %d", a.Shard, a.Batch, l.lastBatch)
+		s.sim.t.Fatalf("%s: batch %d follows batch %d", a.Shard, a.Batch, l.lastBatch)
 	}
 	l.lastBatch = a.Batch
 	l.appends = append(l.appends, a)
@@ -121,26 +123,27 @@
 	return true
 }
 
+// commit checks a record against earlier ones and adds it to the summary.
 func (s *fakeStore) commit(r describer.Record) {
 	s.commits++
 	run := runner.Run{Task: r.Task, Token: r.Token}
 	switch r.Kind {
 	case describer.JobAccepted:
 		if s.jobs[r.Job.ID] != nil {
-			s.sim.t.Fatalf("%s is accepted twice", r.Job.ID)
+			s.sim.t.Fatalf("job %s was accepted twice", r.Job.ID)
 		}
 		s.jobs[r.Job.ID] = r.Job
 	case describer.JobCancelled:
 		s.cancelCommits[r.JobID] = s.commits
 	case describer.TaskStarted:
 		if s.cancelCommits[r.Task.Job] > 0 {
-			s.sim.t.Fatalf("%s is started after its cancellation", r.Task)
+			s.sim.t.Fatalf("%s was started after its cancellation", r.Task)
 		}
 		s.startCommits[run] = s.commits
 		s.resumeFrom[run] = s.checkpoints[r.Task]
 	case describer.TaskFinished:
 		if first, ok := s.finished[r.Task]; ok {
-			s.sim.t.Fatalf("%s ends twice, in %v and in %v", r.Task, first, run)
+			s.sim.t.Fatalf("%s finished twice, in runs %v and %v", r.Task, first, run)
 		}
 		s.finished[r.Task] = run
 	case describer.TaskReleased:
@@ -168,7 +171,7 @@
 	l.appends = slices.Clone(l.appends[i:])
 }
 
-// propose changes the configuration as the distributor does.
+// propose applies a drain update to the configuration, as the distributor does.
 func (s *fakeStore) propose(from *daemon, e ProposeDrainUpdate) {
 	i := slices.IndexFunc(s.config.Drains, func(d describer.Drain) bool { return d.ID == e.Drain })
 	if !from.reachesStore() || i < 0 {
@@ -179,13 +182,13 @@
 	s.config.Revision++
 	if e.Worker == "" {
 		if d.Until.After(s.sim.now) {
-			s.sim.t.Fatalf("drain %s is restored before its time", d.ID)
+			s.sim.t.Fatalf("drain %s started to restore before its time", d.ID)
 		}
 		d.State = describer.Restoring
 		return
 	}
 	if !s.restoreRecorded[d.ID+e.Worker] {
-		s.sim.t.Fatalf("drain %s gives up %s without a record", d.ID, e.Worker)
+		s.sim.t.Fatalf("drain %s: worker %s was restored without a durable record", d.ID, e.Worker)
 	}
 	d.Restored = append(slices.Clone(d.Restored), e.Worker)
 	if len(d.Restored) == len(d.Workers) {
@@ -193,21 +196,21 @@
 	}
 }
 
-// audit checks a run that begins against what is durable and what runs.
+// checkStart checks a run that starts against the committed records and all running tasks.
 func (sim *simulation) checkStart(m *fakeWorker, s runner.Start) {
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	at, ok := sim.store.startCommits[run]
 	if !ok {
-		sim.t.Fatalf("%s begins without a durable record", s.Task)
+		sim.t.Fatalf("%s started without a durable record", s.Task)
 	}
 	if c := sim.store.cancelCommits[s.Task.Job]; c > 0 && c < at {
-		sim.t.Fatalf("%s begins after its cancellation", s.Task)
+		sim.t.Fatalf("%s started after its cancellation", s.Task)
 	}
 	if c, ok := sim.store.completed[s.Task]; ok && !sim.store.lapsed[c] {
-		sim.t.Fatalf("%s begins again after it was completed", s.Task)
+		sim.t.Fatalf("%s started again after it was completed", s.Task)
 	}
 	if s.Checkpoint != sim.store.resumeFrom[run] {
-		sim.t.Fatalf("%s resumes from %q, not from %q", s.Task, s.Checkpoint, sim.store.resumeFrom[run])
+		sim.t.Fatalf("%s resumed from checkpoint %q, want %q", s.Task, s.Checkpoint, sim.store.resumeFrom[run])
 	}
 	for _, other := range sim.workers {
 		other.endDueRuns()
@@ -217,47 +220,47 @@
 	}
 }
 
-// complete checks that a task is completed again only when the earlier
-// completion was out of reach until its run was given up.
+// recordCompletion checks that a task is completed a second time only if the lease of the
+// first run expired before its result arrived.
 func (s *fakeStore) recordCompletion(run runner.Run) {
 	if first, ok := s.completed[run.Task]; ok && !s.lapsed[first] {
-		s.sim.t.Fatalf("%s is completed twice", run.Task)
+		s.sim.t.Fatalf("%s was completed twice", run.Task)
 	}
 	s.completed[run.Task] = run
 }
 
-// checkAck checks that a completion is forgotten only when it is durable.
+// checkAck checks that a completion is acknowledged only if it is durable.
 func (s *fakeStore) checkAck(f runner.Finished) {
 	if !f.OK || s.cancelCommits[f.Task.Job] > 0 {
 		return
 	}
 	if s.finished[f.Task] != f.Run && !s.lapsed[f.Run] {
-		s.sim.t.Fatalf("the completion of %s is acknowledged before it is durable", f.Task)
+		s.sim.t.Fatalf("completion of %s was acknowledged before it was durable", f.Task)
 	}
 }
 
-// check looks at the end, after everything has been well for a while.
+// checkEnd checks, after a while without failures, that every job and drain has ended.
 func (s *fakeStore) checkEnd() {
 	for _, id := range sortedKeys(s.jobs) {
 		if s.sim.refusedNotRun[id] {
-			s.sim.t.Fatalf("%s was refused as not run, and accepted", id)
+			s.sim.t.Fatalf("job %s was refused as not run but was accepted", id)
 		}
 		for i := range s.jobs[id].Tasks {
 			task := describer.TaskID{Job: id, Index: i}
 			_, done := s.finished[task]
 			if !done && s.cancelCommits[id] == 0 && !s.failed[task] {
-				s.sim.t.Fatalf("%s has no end: %s", task, s.sim.explain(task))
+				s.sim.t.Fatalf("%s has not ended: %s", task, s.sim.explain(task))
 			}
 		}
 	}
 	if len(s.config.Drains) > 0 {
-		s.sim.t.Fatalf("drains are left over: %+v", s.config.Drains)
+		s.sim.t.Fatalf("unfinished drains: %+v", s.config.Drains)
 	}
 }
 
-// explain says what the owners know about a task.
+// explain describes what the owners know about a task, for failure messages.
 func (sim *simulation) explain(id describer.TaskID) string {
-	out := "no owner knows it"
+	out := "no owner has the task"
 	for _, d := range sim.daemons {
 		for _, sh := range d.state.sortedShards {
 			if sh.view == nil {
--- a/internal/control/reducer/suite_test.go
+++ b/internal/control/reducer/suite_test.go
@@ -19,9 +19,9 @@
 	RunSpecs(t, "reducer")
 }
 
-var start = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
 
-// desk drives one State by hand: it keeps the effects until a spec answers.
+// harness feeds events to one State and keeps the effects until a test takes them.
 type harness struct {
 	*State
 	effects []Effect
@@ -63,11 +63,11 @@
 	}
 }
 
-// newDesk returns a State that owns its shard, with inventories from all of
+// newHarness returns a harness whose State owns the shard bne-1 and has synced with all of
 // its workers.
 func newHarness(workers ...string) *harness {
 	h := &harness{State: New(testOptions(), Policies{Placement: placer.FirstFit{}})}
-	h.feed(Tick{Now: start})
+	h.feed(Tick{Now: startTime})
 	h.feed(HostsReceived{Hosts: testHosts(workers...)})
 	h.feed(ConfigurationReceived{Configuration: testConfiguration()})
 	Expect(takeEffects[ClaimShard](h)).To(HaveLen(1))
@@ -78,6 +78,7 @@
 
 func (h *harness) feed(e Event) { h.effects = append(h.effects, h.Reduce(e)...) }
 
+// advance moves the time on by t in ticks of 250 ms, with a reachable store.
 func (h *harness) advance(t time.Duration) {
 	for end := h.now.Add(t); h.now.Before(end); {
 		h.feed(Tick{Now: h.now.Add(min(250*time.Millisecond, end.Sub(h.now)))})
@@ -85,7 +86,7 @@
 	}
 }
 
-// taken removes and returns the effects of one type.
+// takeEffects removes and returns the effects of one type.
 func takeEffects[E Effect](h *harness) []E {
 	var out []E
 	var rest []Effect
@@ -100,7 +101,7 @@
 	return out
 }
 
-// durable answers all appends and returns their records.
+// answerAppends answers all appends, also those that follow, and returns their records.
 func (h *harness) answerAppends() []describer.Record {
 	var out []describer.Record
 	for {
@@ -116,14 +117,14 @@
 	}
 }
 
-// inventory answers all outstanding calls for inventories alike.
+// answerSyncs answers all pending syncs with the same inventory.
 func (h *harness) answerSyncs(s runner.Synced) {
 	for _, c := range takeEffects[SyncWorker](h) {
 		h.feed(WorkerSynced{Shard: c.Sync.Shard, Epoch: c.Sync.Epoch, Worker: c.Worker, SentAt: h.now, Synced: s})
 	}
 }
 
-// started answers all starts with success and returns them.
+// answerStarts answers all pending starts with success and returns them.
 func (h *harness) answerStarts() []StartTask {
 	out := takeEffects[StartTask](h)
 	for _, s := range out {
@@ -142,7 +143,7 @@
 
 func startedRun(s StartTask) runner.Run { return runner.Run{Task: s.Start.Task, Token: s.Start.Token} }
 
-// TestMain fixes the seed of property tests unless the command line has one.
+// TestMain sets a fixed seed for property tests unless the command line has one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
