--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -299,9 +299,9 @@
 	sh.placementIdle = false
 	sh.lastPassAt = s.now
 	sh.failedClaims = 0
-	sh.arrangeWorkers()
+	sh.updateWorkers()
 	sh.evictionBudget = sh.newEvictionBudget(s.now)
-	sh.releaseRecord = describer.Record{}
+	sh.formerRelease = describer.Record{}
 	if sh.restore(e.Snapshot) != nil {
 		// Without the complete state no decision would be safe.
 		sh.ownership = releasing
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -9,6 +9,12 @@
 // each change of owner. All state of a shard that must survive its owner is
 // kept in a ledger: a snapshot and the records appended since.
 //
+// A job consists of one or more tasks. Each start of a task on a worker is a run,
+// which is identified by a token and granted resources and a lease. The owner renews
+// leases with periodic syncs, in which the worker reports its inventory: the runs that
+// are running or have ended. When a worker is unreachable, its runs count as over only
+// after their leases have expired.
+//
 // The caller owns a [State] and passes it one [Event] at a time. Each call of
 // [State.Reduce] returns the [Effect] values that the caller must execute; their
 // outcomes come back as events. Nothing in this package does I/O, reads a clock
@@ -67,6 +73,7 @@
 	OutageLimit time.Duration
 }
 
+// defaultOutageLimit is the default of [Options.OutageLimit].
 const defaultOutageLimit = 15 * time.Minute
 
 // State is the control state of one daemon. It is not safe for concurrent use.
@@ -75,8 +82,8 @@
 	policies       Policies
 	placer         placer.Policy
 	services       map[string]describer.Service // by name
-	timeline       learner.Timeline
-	usage          placer.Usage
+	timeline       learner.Timeline             // batch tasks on each worker over time
+	usage          placer.Usage                 // measured resource use by team and class of job
 	now            time.Time
 	config         describer.Configuration
 	hosts          []describer.Host
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -51,7 +51,7 @@
 	epoch          int64
 	view           *ledgerView
 	claimedAt      time.Time
-	releaseRecord  describer.Record   // last record of a former owner that released the shard; zero if none did
+	formerRelease  describer.Record   // last record of a former owner that released the shard; zero if none did
 	lastSequence   int64              // sequence number of the latest token or throttle
 	workers        map[string]*worker // by name
 	sortedWorkers  []*worker          // values of workers, sorted by name
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -34,7 +34,7 @@
 	retry   time.Duration      // delay after which the caller may retry; 0 if that is no use
 }
 
-// reply emits the reply unless nobody waits for it.
+// reply emits the reply, unless the event asked for none.
 func (s *State) reply(r Reply) {
 	if r.Request != 0 {
 		s.emit(r)
--- a/internal/control/reducer/view.go
+++ b/internal/control/reducer/view.go
@@ -61,7 +61,7 @@
 	case describer.DrainRestored:
 		sh.view.restored[r.Worker] = r.Key
 	case describer.ShardReleased:
-		sh.releaseRecord = r
+		sh.formerRelease = r
 	case describer.KeyClaimed:
 		if _, ok := sh.view.keys[r.Key]; !ok {
 			sh.view.keys[r.Key] = claimedKey{owner: r.Owner, time: r.Time}
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -56,14 +56,14 @@
 func (s *State) updateWorkers() {
 	for _, sh := range s.sortedShards {
 		if sh.view != nil {
-			sh.arrangeWorkers()
+			sh.updateWorkers()
 		}
 	}
 }
 
 // updateWorkers adopts the workers of the shard's racks from the host list. A worker that
 // is no longer listed stays as long as it has runs, because the list may be out of date.
-func (sh *shard) arrangeWorkers() {
+func (sh *shard) updateWorkers() {
 	racks := make(map[string]bool, len(sh.config.Racks))
 	for _, rack := range sh.config.Racks {
 		racks[rack] = true
@@ -120,8 +120,8 @@
 // the margin. An owner that lost contact to the store may have renewed leases for the
 // outage limit. An owner that released the shard recorded how long its leases last.
 func (sh *shard) formerLeasesEnd() time.Time {
-	if sh.releaseRecord.Token.Epoch == sh.epoch-1 && sh.releaseRecord.Kind == describer.ShardReleased {
-		return sh.claimedAt.Add(sh.releaseRecord.Wait)
+	if sh.formerRelease.Token.Epoch == sh.epoch-1 && sh.formerRelease.Kind == describer.ShardReleased {
+		return sh.claimedAt.Add(sh.formerRelease.Wait)
 	}
 	return sh.claimedAt.Add(sh.state.options.OutageLimit + sh.state.options.TaskLease)
 }
