--- a/internal/control/reducer/bench_test.go
+++ b/internal/control/reducer/bench_test.go
@@ -11,8 +11,8 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Size of the largest supported fleet divided by its 11 failure domains: 27,000 workers
-// and 950,000 running tasks in all.
+// Size of one failure domain if the target fleet of 27,000 workers and 950,000 running
+// tasks is divided into 11 failure domains.
 const (
 	domainWorkers = 27_000 / 11
 	domainTasks   = 950_000 / 11
--- a/internal/control/reducer/failure.go
+++ b/internal/control/reducer/failure.go
@@ -139,7 +139,7 @@
 			return
 		}
 	}
-	sh.failPermanently(t, "larger than the capacity of every worker in its shard")
+	sh.failPermanently(t, "larger than every worker of its shard")
 }
 
 // failPermanently records that the pending task will not be tried again.
--- a/internal/control/reducer/placement_test.go
+++ b/internal/control/reducer/placement_test.go
@@ -80,7 +80,7 @@
 		h.answerAppends()
 		status := h.jobStatus("huge")
 		Expect(status.State).To(Equal("failed"))
-		Expect(status.Reason).To(Equal("larger than the capacity of every worker in its shard"))
+		Expect(status.Reason).To(Equal("larger than every worker of its shard"))
 	})
 
 	It("frees capacity for an urgent task by throttling", func() {
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -311,7 +311,7 @@
 		}
 		switch {
 		case t.startPhase == startAdopted:
-			sh.recordReleased(t, runEnd{reason: "not known to its worker"})
+			sh.recordReleased(t, runEnd{reason: "unknown to its worker"})
 		case t.startPhase == startConfirmed && t.confirmedSync < w.syncs:
 			sh.recordReleased(t, runEnd{reason: "lost by its worker"})
 		}
