--- a/internal/control/reducer/daemon_test.go
+++ b/internal/control/reducer/daemon_test.go
@@ -71,6 +71,8 @@
 	}
 }
 
+// reduce passes an event to the State and executes the effects. A paused daemon keeps the
+// event in its inbox.
 func (d *daemon) reduce(e Event) {
 	if !d.alive {
 		return
@@ -191,6 +193,7 @@
 	}
 }
 
+// claim claims a shard in the store. The answer of a successful claim is sometimes lost.
 func (d *daemon) claim(shard string) {
 	epoch, ok := d.sim.store.claim(d, shard)
 	if !ok || d.sim.chance(0.1) {
@@ -203,6 +206,7 @@
 	d.reduce(ShardClaimed{Shard: shard, Epoch: epoch, Snapshot: l.snapshot, Records: l.records()})
 }
 
+// release gives up a shard in the store after its appends are done.
 func (d *daemon) release(e ReleaseShard) {
 	if d.owned[e.Shard] != e.Epoch {
 		return
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -63,6 +63,7 @@
 	m.finished = make(map[runner.Run]runner.Finished)
 }
 
+// clock returns the time by the worker's own clock.
 func (m *fakeWorker) clock() time.Time { return m.sim.now.Add(m.clockOffset) }
 
 // leaseEnd returns the end of a lease granted now, by the worker's clock.
@@ -98,6 +99,7 @@
 	}
 }
 
+// start starts a run and returns an empty string, or why it is refused.
 func (m *fakeWorker) start(s runner.Start) string {
 	m.endDueRuns()
 	run := runner.Run{Task: s.Task, Token: s.Token}
@@ -132,6 +134,8 @@
 	return sum
 }
 
+// stop stops a run, or prevents its start if the start arrives later. The second result
+// says why the call is refused.
 func (m *fakeWorker) stop(s runner.Stop) (runner.Stopped, string) {
 	m.endDueRuns()
 	if s.Epoch < m.epoch {
@@ -151,6 +155,7 @@
 	return m.outcomes[run], ""
 }
 
+// throttle changes the processor grant of a run, unless a later throttle was applied.
 func (m *fakeWorker) throttle(t runner.Throttle) {
 	m.endDueRuns()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
@@ -165,6 +170,8 @@
 	}
 }
 
+// sync renews leases, forgets acknowledged runs and returns the inventory. The second
+// result says why the call is refused.
 func (m *fakeWorker) sync(s runner.Sync) (runner.Synced, string) {
 	m.endDueRuns()
 	if s.Epoch < m.epoch {
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -162,6 +162,7 @@
 	return nil
 }
 
+// restoreJob adds a job from a snapshot and its tasks to the view.
 func (sh *shard) restoreJob(in *savedJob) {
 	j := &job{Job: in.Job, seq: in.Seq, cancelled: in.Cancelled, endedAt: in.Ended}
 	j.tasks = make([]task, len(in.Tasks))
@@ -176,6 +177,7 @@
 	}
 }
 
+// restore loads a task from a snapshot. A started run is to be confirmed by its worker.
 func (t *task) restore(j *job, in *describer.Task) {
 	*t = task{
 		job:        j,
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -84,6 +84,7 @@
 	s.reply(Reply{Request: e.Request, Status: out})
 }
 
+// status returns the summary of an owned shard.
 func (sh *shard) status() ShardStatus {
 	out := ShardStatus{
 		Shard:     sh.id,
--- a/internal/control/reducer/store_test.go
+++ b/internal/control/reducer/store_test.go
@@ -73,6 +73,8 @@
 	}
 }
 
+// claim makes the daemon the owner of a shard and returns the new epoch. It fails if the
+// store is unreachable or another daemon or incarnation holds the lease.
 func (s *fakeStore) claim(d *daemon, shard string) (int64, bool) {
 	l := s.shards[shard]
 	if d.paused || !d.reachesStore() {
@@ -158,6 +160,7 @@
 	}
 }
 
+// save replaces the appends up to the snapshot's batch. It is ignored for a former owner.
 func (s *fakeStore) save(d *daemon, e SaveSnapshot) {
 	l := s.shards[e.Shard]
 	if d.paused || !d.reachesStore() || l.epoch != e.Epoch {
