--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -123,7 +123,7 @@
 	Attempts    int             `json:"attempts,omitempty"` // runs that ended in failure
 	Evictions   int             `json:"evictions,omitempty"`
 	DrainedFrom string          `json:"drained,omitempty"` // worker it was drained from and is owed back to
-	MayHaveRun         bool            `json:"ran,omitempty"`     // some run may have begun
+	MayHaveRun  bool            `json:"ran,omitempty"`     // some run may have begun
 	Result      json.RawMessage `json:"result,omitempty"`
 	Reason      string          `json:"reason,omitempty"`
 }
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -66,14 +66,14 @@
 
 // Input is what a decision is made from. State and Budget are changed.
 type Input struct {
-	Now      time.Time
-	Worker   *accountant.Worker
-	Services map[string]describer.Service // by name
-	Learner  *learner.Learner
-	LatencyBounds   map[string]time.Duration // optional, by service: throttle where more is expected
-	State    *State                   // of the worker, kept between calls
-	Budget   *Budget                  // shared by the shard's workers
-	Options  Options
+	Now           time.Time
+	Worker        *accountant.Worker
+	Services      map[string]describer.Service // by name
+	Learner       *learner.Learner
+	LatencyBounds map[string]time.Duration // optional, by service: throttle where more is expected
+	State         *State                   // of the worker, kept between calls
+	Budget        *Budget                  // shared by the shard's workers
+	Options       Options
 }
 
 // Options tune the decisions. Zero fields take defaults.
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -86,14 +86,14 @@
 // escalate relieves the worker's services, in order of cost.
 func (h *shard) escalate(w *worker) {
 	actions := escalator.Decide(escalator.Input{
-		Now:      h.state.now,
-		Worker:   w.account,
-		Services: h.state.services,
-		Learner:  h.state.policies.Learner,
-		State:    &w.escalation,
-		Budget:   h.budget,
-		Options:  h.state.policies.Escalate,
-		LatencyBounds:   h.bounds(w),
+		Now:           h.state.now,
+		Worker:        w.account,
+		Services:      h.state.services,
+		Learner:       h.state.policies.Learner,
+		State:         &w.escalation,
+		Budget:        h.budget,
+		Options:       h.state.policies.Escalate,
+		LatencyBounds: h.bounds(w),
 	})
 	for _, a := range actions {
 		h.act(w, a)
--- a/internal/control/reducer/snapshot.go
+++ b/internal/control/reducer/snapshot.go
@@ -125,7 +125,7 @@
 		Attempts:    int(t.attempts),
 		Evictions:   int(t.evictions),
 		DrainedFrom: t.drainedOff,
-		MayHaveRun:         t.ran,
+		MayHaveRun:  t.ran,
 		Result:      t.result,
 		Reason:      t.reason,
 	}
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -36,10 +36,10 @@
 
 // Decision is what the worker may take now.
 type Decision struct {
-	Open  bool   // requests may be sent to it
-	Limit int64  // millicores that batch tasks may hold
-	Done  bool   // has its work back
-	BlockedBy  string // what holds it back; empty when Done or when only time has to pass
+	Open      bool   // requests may be sent to it
+	Limit     int64  // millicores that batch tasks may hold
+	Done      bool   // has its work back
+	BlockedBy string // what holds it back; empty when Done or when only time has to pass
 }
 
 // Options tune the pace. Zero fields take defaults.
@@ -111,9 +111,9 @@
 	}
 	share := o.Steps[in.State.Step]
 	return Decision{
-		Open:  true,
-		Limit: int64(share * float64(in.Worker.Host.Capacity.CPU)),
-		BlockedBy:  held,
+		Open:      true,
+		Limit:     int64(share * float64(in.Worker.Host.Capacity.CPU)),
+		BlockedBy: held,
 	}
 }
 
