--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -102,15 +102,15 @@
 
 // limiter is a placement policy that also limits what runs already.
 type limiter interface {
-	// Bounds returns the latency that batch tasks may bring each service to.
-	Bounds(w *accountant.Worker) map[string]time.Duration
+	// LatencyBounds returns the latency that batch tasks may bring each service to.
+	LatencyBounds(w *accountant.Worker) map[string]time.Duration
 	// MayGrow weighs a greater grant like a placement.
 	MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool
 }
 
 func (h *shard) bounds(w *worker) map[string]time.Duration {
 	if l, ok := h.state.placer.(limiter); ok {
-		return l.Bounds(w.account)
+		return l.LatencyBounds(w.account)
 	}
 	return nil
 }
