--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -1,13 +1,15 @@
-// Package pacer decides how fast fillers may work beside tasks that serve.
+// Package pacer decides how fast fillers may run beside serving tasks.
 //
-// # Load pattern
+// # Algorithm
 //
-// Fillers take the processor time that serving tasks leave unused. A few pairs
-// of images disturb each other by orders of magnitude, most hardly at all, and
-// it shows only in the tail latency of the last half second. So the pace of
-// those that are believed to do the harm falls first, by what the belief says
-// is needed, and the others keep working. A tail that stays over its target
-// although the believed culprits rest stops every filler on the worker.
+// Fillers are best-effort tasks that take the processor time that serving
+// tasks leave unused. A few pairs of images interfere with each other by
+// orders of magnitude, most hardly at all, and only the tail latency of the
+// last half second shows it. [Decide] therefore compares that tail with the
+// target. When it is too high, the fillers with the highest estimated
+// interference are slowed first, by as much as the estimate requires, and the
+// others keep their pace. When the tail has been over its target for too long,
+// because the estimates are wrong, every filler on the worker is stopped.
 package pacer
 
 import (
@@ -19,50 +21,51 @@
 	"dotterelcart.dev/dotterelcart/internal/control/ranker"
 )
 
-// Shares of the target, paces in percent, and times.
 const (
-	high    = 0.95 // tail at which paces fall
-	aim     = 0.82 // tail that paces fall or rise towards
-	low     = 0.75 // tail below which paces may rise
-	caution = 0.5  // part of the room up to aim that one rise may use
-	resting = 8    // a lower pace is none at all
-	rise    = 34   // most that a pace rises at once
-	full    = 100
-	mild    = 0.05 // expected growth of the log tail at full pace that is not worth a cut
+	slowAbove        = 0.95 // tail latency as a share of the target above which paces are reduced
+	tailGoal         = 0.82 // share of the target that paces are adjusted towards
+	raiseBelow       = 0.75 // share of the target below which paces may be raised
+	raiseShare       = 0.5  // share of the headroom up to tailGoal that one raise may use
+	minPace          = 8    // percent; a filler with a lower pace is stopped
+	maxRaise         = 34   // percent; largest raise of one filler in one decision
+	fullPace         = 100  // percent
+	mildInterference = 0.05 // increase of the log tail at full pace below which a filler is not slowed
 )
 
-// overLimit is how long a tail may be over its target before every filler rests.
-const overLimit = 1500 * time.Millisecond
+// stopAllAfter is how long a tail may be over its target before every filler is
+// stopped.
+const stopAllAfter = 1500 * time.Millisecond
 
 // Filler is one filler on a worker.
 type Filler struct {
-	Pace         int     // percent
-	Interference float64 // expected growth of the logarithm of the worst tail, at full pace
-	Lateness     ranker.Lateness
+	Pace         int             // percent of full speed, changed by Decide
+	Interference float64         // estimated increase of the logarithm of the highest tail at full pace
+	Lateness     ranker.Lateness // late fillers are slowed before those that can still end in time
 }
 
-// Decide sets the paces on one worker. tail is the worst tail of its serving
-// tasks as a share of the target, 0 without such tasks; over is for how long
-// one has been over its target.
+// Decide sets the paces of one worker's fillers. tail is the highest tail
+// latency of its serving tasks as a share of the target, or 0 if it has none.
+// over is how long a tail has been over its target.
 func Decide(tail float64, over time.Duration, fillers []Filler) {
 	switch {
-	case over >= overLimit:
+	case over >= stopAllAfter:
 		for i := range fillers {
 			fillers[i].Pace = 0
 		}
-	case tail > high:
-		slow(math.Log(tail/aim), fillers)
-	case tail < low:
-		room := math.Inf(1)
+	case tail > slowAbove:
+		slow(math.Log(tail/tailGoal), fillers)
+	case tail < raiseBelow:
+		headroom := math.Inf(1)
 		if tail > 0 {
-			room = math.Log(aim/tail) * caution
+			headroom = math.Log(tailGoal/tail) * raiseShare
 		}
-		hasten(room, fillers)
+		raise(headroom, fillers)
 	}
 }
 
-// order lists the fillers' indexes in the order in which they give way.
-func order(fillers []Filler) []int {
+// slowdownOrder returns the fillers' indexes, those to be slowed first at the
+// front.
+func slowdownOrder(fillers []Filler) []int {
 	out := make([]int, len(fillers))
 	for i := range out {
 		out[i] = i
@@ -74,60 +77,62 @@
 	return out
 }
 
-// compareMild puts fillers that do no harm last.
+// compareMild puts fillers without noticeable interference last.
 func compareMild(a, b *Filler) int {
 	switch {
-	case a.Interference < mild && b.Interference >= mild:
+	case a.Interference < mildInterference && b.Interference >= mildInterference:
 		return 1
-	case b.Interference < mild && a.Interference >= mild:
+	case b.Interference < mildInterference && a.Interference >= mildInterference:
 		return -1
 	}
 	return 0
 }
 
-// slow takes excess away from the log tail, from the most harmful on.
+// slow reduces paces until they are expected to lower the log tail by excess.
 func slow(excess float64, fillers []Filler) {
-	for _, i := range order(fillers) {
+	for _, i := range slowdownOrder(fillers) {
 		f := &fillers[i]
-		if f.Interference < mild || excess <= 0 {
+		if f.Interference < mildInterference || excess <= 0 {
 			return
 		}
-		share := f.Interference * float64(f.Pace) / full
-		if share <= excess {
+		contribution := f.Interference * float64(f.Pace) / fullPace
+		if contribution <= excess {
 			f.Pace = 0
 		} else {
-			f.Pace = rested(int(float64(f.Pace) * (1 - excess/share)))
+			f.Pace = stopIfTooSlow(int(float64(f.Pace) * (1 - excess/contribution)))
 		}
-		excess -= share
+		excess -= contribution
 	}
 }
 
-// hasten raises paces as far as the room allows, the least harmful first.
-func hasten(room float64, fillers []Filler) {
-	sorted := order(fillers)
+// raise raises paces until they are expected to increase the log tail by
+// headroom, in the reverse order of slow.
+func raise(headroom float64, fillers []Filler) {
+	sorted := slowdownOrder(fillers)
 	slices.Reverse(sorted)
 	for _, i := range sorted {
 		f := &fillers[i]
-		if f.Pace >= full {
+		if f.Pace >= fullPace {
 			continue
 		}
-		step := min(full-f.Pace, rise)
-		if f.Interference >= mild {
-			step = int(min(float64(step), room/f.Interference*full))
+		step := min(fullPace-f.Pace, maxRaise)
+		if f.Interference >= mildInterference {
+			step = int(min(float64(step), headroom/f.Interference*fullPace))
 		}
-		if f.Pace+step < resting {
+		if f.Pace+step < minPace {
 			continue
 		}
 		f.Pace += step
-		room -= max(f.Interference, 0) * float64(step) / full
-		if room <= 0 {
+		headroom -= max(f.Interference, 0) * float64(step) / fullPace
+		if headroom <= 0 {
 			return
 		}
 	}
 }
 
-func rested(percent int) int {
-	if percent < resting {
+// stopIfTooSlow returns 0 for a pace below minPace.
+func stopIfTooSlow(percent int) int {
+	if percent < minPace {
 		return 0
 	}
 	return percent
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -1,12 +1,13 @@
-// Package ranker orders waiting work.
+// Package ranker orders the waiting tasks of jobs.
 //
-// # Load pattern
+// # Order
 //
-// More work waits than there is room. Work of a more urgent priority goes
-// first. Within a priority, work that can still meet its objective goes before
-// work that is late, and that before work whose delay no longer makes a
-// difference: otherwise a burst makes everything a little late. Among equals
-// the earlier objective goes first, so nothing starves that can be served.
+// Under overload more work waits than the workers have capacity for. Work of a
+// more urgent priority always goes first. Within a priority, work that can
+// still meet its objective goes before work that is already late, and that
+// before work whose end is of no use any more; otherwise a burst would make
+// all of it a little late. Among equals the earliest objective goes first, so
+// nothing starves that can still be served.
 package ranker
 
 import (
@@ -14,32 +15,32 @@
 	"time"
 )
 
-// Lateness says what a piece of work can still achieve.
+// Lateness says whether a piece of work can still end in time.
 type Lateness uint8
 
-// Standings, best first.
+// Degrees of lateness, in the order in which work is served.
 const (
-	OnTime Lateness = iota // can meet its objective
-	Late                   // still earns something
-	Overdue
+	OnTime  Lateness = iota // can meet its objective
+	Late                    // ends after its objective but within its grace period
+	Overdue                 // ends after its grace period, when its result is of no use
 )
 
-func (s Lateness) String() string {
-	return [...]string{"on-time", "late", "overdue"}[s]
+func (l Lateness) String() string {
+	return [...]string{"on-time", "late", "overdue"}[l]
 }
 
-// Work is a piece of waiting work.
+// Work is a group of waiting tasks that are ranked together.
 type Work struct {
-	Priority   int // 0 goes first
-	Objective  time.Time
-	GraceEnd   time.Time     // until when an end still earns something
-	Remaining  time.Duration // shortest time to its end
+	Priority   int           // 0 is the most urgent
+	Objective  time.Time     // wanted end
+	GraceEnd   time.Time     // latest end that is still of use
+	Remaining  time.Duration // estimated time from its start to its end
 	Accepted   time.Time
-	NoDeadline bool   // never late: it earns for as long as it runs
-	ID         string // settles ties
+	NoDeadline bool   // always OnTime, as for serving tasks, which are of use for as long as they run
+	ID         string // breaks ties
 }
 
-// Lateness is what the work can still achieve when it starts now.
+// Lateness returns how late the work would end if it started now.
 func (w *Work) Lateness(now time.Time) Lateness {
 	end := now.Add(w.Remaining)
 	switch {
@@ -53,7 +54,8 @@
 	return Overdue
 }
 
-// Compare orders two pieces of work; a negative result puts a first.
+// Compare returns a negative number if a goes before b, a positive one if b
+// goes before a, and 0 if they have the same ID and rank.
 func Compare(now time.Time, a, b *Work) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
--- a/internal/control/ranker/ranker_test.go
+++ b/internal/control/ranker/ranker_test.go
@@ -24,7 +24,7 @@
 }
 
 var _ = Describe("Compare", func() {
-	It("puts the more urgent priority first, whatever its standing", func() {
+	It("puts the more urgent priority first, however late it is", func() {
 		Expect(order(
 			work("batch", 2, time.Second, time.Minute, 0),
 			work("urgent", 0, -time.Hour, -time.Hour, 0),
@@ -39,7 +39,7 @@
 		)).To(Equal([]string{"on time", "late", "overdue"}))
 	})
 
-	It("takes the earlier objective first among equals", func() {
+	It("puts the earlier objective first among equals", func() {
 		Expect(order(
 			work("later", 0, 9*time.Second, time.Minute, 0),
 			work("earlier", 0, 3*time.Second, time.Minute, 0),
@@ -48,9 +48,9 @@
 })
 
 var _ = Describe("a burst", func() {
-	// One server, twice the work that it can do for ten seconds: with the
-	// order kept, every piece that ends at all on time ends early in its queue.
-	It("leaves more work on time than first come, first served", func() {
+	// One server gets twice the work that it can do for ten seconds. Served first
+	// come, first served, most of the work ends late.
+	It("ends more work on time than first come, first served", func() {
 		serve := func(sorted bool) (inTime int) {
 			var waiting []Work
 			clock := now
@@ -64,8 +64,8 @@
 			for len(waiting) > 0 {
 				next := 0
 				for i := range waiting {
-					here := !waiting[i].Accepted.After(clock)
-					if sorted && here && Compare(clock, &waiting[i], &waiting[next]) < 0 {
+					isHere := !waiting[i].Accepted.After(clock)
+					if sorted && isHere && Compare(clock, &waiting[i], &waiting[next]) < 0 {
 						next = i
 					}
 				}
