--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -11,14 +11,14 @@
 	busyMemory   = 12 * time.Hour // in which a report loses half of its weight
 )
 
-// Busy is the load that a service's requests meet, weighted by their number.
-type Busy struct {
+// LoadHistogram is the load that a service's requests meet, weighted by their number.
+type LoadHistogram struct {
 	Weights [busyBins]float64
 	Updated time.Time
 }
 
 // add takes in a report.
-func (b *Busy) add(load float64, count int64, now time.Time) {
+func (b *LoadHistogram) add(load float64, count int64, now time.Time) {
 	if passed := now.Sub(b.Updated); !b.Updated.IsZero() && passed > 0 {
 		keep := math.Exp2(-passed.Seconds() / busyMemory.Seconds())
 		for i := range b.Weights {
@@ -32,7 +32,7 @@
 }
 
 // load returns the load that three tenths of the requests exceed.
-func (b *Busy) load() float64 {
+func (b *LoadHistogram) load() float64 {
 	total := 0.0
 	for _, w := range b.Weights {
 		total += w
