--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -51,7 +51,7 @@
 // tasks that bring a quiet worker no further do not change the service's
 // overall percentile much.
 func (l *Learner) BusyLatency(service string) (time.Duration, bool) {
-	b := l.Busy[service]
+	b := l.LoadHistograms[service]
 	if b == nil {
 		return 0, false
 	}
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -51,7 +51,7 @@
 type Learner struct {
 	Options Options
 	Models  map[Key]*Model
-	Busy    map[string]*LoadHistogram // by service
+	LoadHistograms    map[string]*LoadHistogram // by service
 }
 
 // Key names one regression.
@@ -68,7 +68,7 @@
 	o.UpperSigmas = orDefault(o.UpperSigmas, 1)
 	o.HalfLife = orDefault(o.HalfLife, 2*time.Hour)
 	o.Classes = orDefault(o.Classes, 24)
-	return &Learner{Options: o, Models: make(map[Key]*Model), Busy: make(map[string]*LoadHistogram)}
+	return &Learner{Options: o, Models: make(map[Key]*Model), LoadHistograms: make(map[string]*LoadHistogram)}
 }
 
 // Band returns the band of a load, 0 to Bands-1.
@@ -88,10 +88,10 @@
 		l.Models[key] = m
 	}
 	m.observe(l.Options, s)
-	b := l.Busy[key.Service]
+	b := l.LoadHistograms[key.Service]
 	if b == nil {
 		b = &LoadHistogram{}
-		l.Busy[key.Service] = b
+		l.LoadHistograms[key.Service] = b
 	}
 	b.add(s.Latency.Load, s.Latency.Count, s.Latency.To)
 }
