--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -50,12 +50,12 @@
 // Learner holds the estimates. It is not safe for concurrent use.
 type Learner struct {
 	Options Options
-	Models  map[Key]*Model
+	Models  map[ModelKey]*Model
 	LoadHistograms    map[string]*LoadHistogram // by service
 }
 
-// Key names one regression.
-type Key struct {
+// ModelKey names one regression.
+type ModelKey struct {
 	Service string
 	Band    int
 }
@@ -68,7 +68,7 @@
 	o.UpperSigmas = orDefault(o.UpperSigmas, 1)
 	o.HalfLife = orDefault(o.HalfLife, 2*time.Hour)
 	o.Classes = orDefault(o.Classes, 24)
-	return &Learner{Options: o, Models: make(map[Key]*Model), LoadHistograms: make(map[string]*LoadHistogram)}
+	return &Learner{Options: o, Models: make(map[ModelKey]*Model), LoadHistograms: make(map[string]*LoadHistogram)}
 }
 
 // Band returns the band of a load, 0 to Bands-1.
@@ -81,7 +81,7 @@
 	if s.Latency.P99 <= 0 || s.Latency.Count <= 0 {
 		return
 	}
-	key := Key{s.Latency.Service, Band(s.Latency.Load)}
+	key := ModelKey{s.Latency.Service, Band(s.Latency.Load)}
 	m := l.Models[key]
 	if m == nil {
 		m = newModel(s.Latency.P99.Seconds())
@@ -99,7 +99,7 @@
 // Coefficient returns the coefficient of a class for a service at a load: the
 // logarithm of the slow-down if the class held all of the worker's processors.
 func (l *Learner) Coefficient(service, class string, load float64) (mean, upper float64) {
-	m := l.Models[Key{service, Band(load)}]
+	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
 		return l.Options.Prior, l.Options.Prior + l.Options.UpperSigmas*l.Options.Deviation
 	}
@@ -112,7 +112,7 @@
 // Slowdown returns the expected relative slow-down, 0.1 being 10 %, of a
 // service by classes that hold the given shares of processors.
 func (l *Learner) Slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
-	m := l.Models[Key{service, Band(load)}]
+	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
 		m = noEvidence
 	}
@@ -123,7 +123,7 @@
 // Baseline returns the 99th percentile of latency expected without batch
 // tasks, and false without evidence.
 func (l *Learner) Baseline(service string, load float64) (time.Duration, bool) {
-	m := l.Models[Key{service, Band(load)}]
+	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
 		return 0, false
 	}
@@ -135,7 +135,7 @@
 func (l *Learner) Explain(service, class string) []string {
 	var out []string
 	for band := range Bands {
-		m := l.Models[Key{service, band}]
+		m := l.Models[ModelKey{service, band}]
 		if m == nil || m.Seen[class] == 0 {
 			continue
 		}
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -86,7 +86,7 @@
 		l := New(Options{Classes: 1})
 		s := report(rand.New(rand.NewPCG(1, 1)), start, 0.3, 0.3)
 		l.Observe(s)
-		model := l.Models[Key{"desk", Band(0.6)}]
+		model := l.Models[ModelKey{"desk", Band(0.6)}]
 		Expect(model.Mean).To(HaveLen(3))
 		Expect(model.Index["heavy"]).To(Equal(model.Index["light"]))
 	})
