--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -116,7 +116,7 @@
 	})
 
 	It("keeps a bounded past", func() {
-		t := Timeline{Keep: time.Minute}
+		t := Timeline{Retention: time.Minute}
 		for i := range 1000 {
 			t.Record("w", start.Add(time.Duration(i)*time.Second), nil)
 		}
--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -5,7 +5,7 @@
 // Timeline keeps what ran on each worker in the recent past, so that late
 // reports meet what ran when they were measured.
 type Timeline struct {
-	Keep    time.Duration // how far back; zero means 5 minutes
+	Retention    time.Duration // how far back; zero means 5 minutes
 	Workers map[string][]Change
 }
 
@@ -22,7 +22,7 @@
 		t.Workers = make(map[string][]Change)
 	}
 	changes := t.Workers[worker]
-	cutoff := now.Add(-orDefault(t.Keep, 5*time.Minute))
+	cutoff := now.Add(-orDefault(t.Retention, 5*time.Minute))
 	first := 0
 	for first+1 < len(changes) && !changes[first+1].At.After(cutoff) {
 		first++
