--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -6,11 +6,11 @@
 // reports meet what ran when they were measured.
 type Timeline struct {
 	Retention    time.Duration // how far back; zero means 5 minutes
-	Workers map[string][]Change
+	Workers map[string][]ShareChange
 }
 
-// Change is the shares of processors by class from a time on.
-type Change struct {
+// ShareChange is the shares of processors by class from a time on.
+type ShareChange struct {
 	At     time.Time
 	Shares map[string]float64
 }
@@ -19,7 +19,7 @@
 // grants, with accountant.Worker.Shares.
 func (t *Timeline) Record(worker string, now time.Time, shares map[string]float64) {
 	if t.Workers == nil {
-		t.Workers = make(map[string][]Change)
+		t.Workers = make(map[string][]ShareChange)
 	}
 	changes := t.Workers[worker]
 	cutoff := now.Add(-orDefault(t.Retention, 5*time.Minute))
@@ -31,7 +31,7 @@
 	if n := len(changes); n > 0 && changes[n-1].At.Equal(now) {
 		changes = changes[:n-1]
 	}
-	t.Workers[worker] = append(changes, Change{now, shares})
+	t.Workers[worker] = append(changes, ShareChange{now, shares})
 }
 
 // Average returns the shares averaged over an interval, and false if the
