--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -78,7 +78,7 @@
 
 // Options tune the decisions. Zero fields take defaults.
 type Options struct {
-	Enter  float64       // share of the target above which steps are taken
+	EscalateAbove  float64       // share of the target above which steps are taken
 	Leave  float64       // share of the target below which they are undone
 	Settle time.Duration // between steps, longer than the lag of reports
 	Endure time.Duration // for which a target must be missed without a break before evictions
@@ -93,7 +93,7 @@
 			*v = otherwise
 		}
 	}
-	set(&o.Enter, 1)
+	set(&o.EscalateAbove, 1)
 	set(&o.Leave, 0.85)
 	set(&o.Weight, 0.3)
 	set(&o.Floor, 0.5)
@@ -130,12 +130,12 @@
 	in.Options = in.Options.orDefault()
 	in.State.take(in)
 	service, ratio := in.State.worst()
-	in.State.Missed = since(in.State.Missed, in.Now, ratio > in.Options.Enter)
+	in.State.Missed = since(in.State.Missed, in.Now, ratio > in.Options.EscalateAbove)
 	in.State.Calm = since(in.State.Calm, in.Now, ratio < in.Options.Leave)
 	switch {
 	case service == "":
 		return nil
-	case ratio > in.Options.Enter:
+	case ratio > in.Options.EscalateAbove:
 		return escalate(in, service, ratio)
 	}
 	if service, excess := expected(in); excess > 1 {
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -41,7 +41,7 @@
 	if math.Expm1(total) < in.Options.Blame {
 		return actions // without batch tasks it would be as slow
 	}
-	need := math.Log(ratio / in.Options.Enter)
+	need := math.Log(ratio / in.Options.EscalateAbove)
 	if throttles := throttle(in, suspects, need, service); len(throttles) > 0 {
 		in.State.backOff(in.Now)
 		return in.State.acted(in.Now, Throttle, append(actions, throttles...))
@@ -50,7 +50,7 @@
 		return actions // a wave passes, an eviction does not
 	}
 	kind := Move
-	if in.State.Level >= Move && ratio > 2*in.Options.Enter {
+	if in.State.Level >= Move && ratio > 2*in.Options.EscalateAbove {
 		kind = Stop
 	}
 	evictions := evict(in, suspects, kind, need, service)
