--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -79,7 +79,7 @@
 // Options tune the decisions. Zero fields take defaults.
 type Options struct {
 	EscalateAbove  float64       // share of the target above which steps are taken
-	Leave  float64       // share of the target below which they are undone
+	RelaxBelow  float64       // share of the target below which they are undone
 	Settle time.Duration // between steps, longer than the lag of reports
 	Endure time.Duration // for which a target must be missed without a break before evictions
 	Weight float64       // of the newest report in the smoothed latency
@@ -94,7 +94,7 @@
 		}
 	}
 	set(&o.EscalateAbove, 1)
-	set(&o.Leave, 0.85)
+	set(&o.RelaxBelow, 0.85)
 	set(&o.Weight, 0.3)
 	set(&o.Floor, 0.5)
 	set(&o.Blame, 0.03)
@@ -131,7 +131,7 @@
 	in.State.take(in)
 	service, ratio := in.State.worst()
 	in.State.Missed = since(in.State.Missed, in.Now, ratio > in.Options.EscalateAbove)
-	in.State.Calm = since(in.State.Calm, in.Now, ratio < in.Options.Leave)
+	in.State.Calm = since(in.State.Calm, in.Now, ratio < in.Options.RelaxBelow)
 	switch {
 	case service == "":
 		return nil
@@ -143,7 +143,7 @@
 		return prevent(in, service, excess)
 	}
 	switch {
-	case ratio < in.Options.Leave:
+	case ratio < in.Options.RelaxBelow:
 		return relax(in)
 	}
 	return nil
