--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -80,7 +80,7 @@
 type Options struct {
 	EscalateAbove  float64       // share of the target above which steps are taken
 	RelaxBelow  float64       // share of the target below which they are undone
-	Settle time.Duration // between steps, longer than the lag of reports
+	StepInterval time.Duration // between steps, longer than the lag of reports
 	Endure time.Duration // for which a target must be missed without a break before evictions
 	Weight float64       // of the newest report in the smoothed latency
 	Floor  float64       // share of its grant that a throttled task keeps
@@ -98,11 +98,11 @@
 	set(&o.Weight, 0.3)
 	set(&o.Floor, 0.5)
 	set(&o.Blame, 0.03)
-	if o.Settle == 0 {
-		o.Settle = 45 * time.Second
+	if o.StepInterval == 0 {
+		o.StepInterval = 45 * time.Second
 	}
 	if o.Endure == 0 {
-		o.Endure = 2 * o.Settle
+		o.Endure = 2 * o.StepInterval
 	}
 	return o
 }
