--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -81,7 +81,7 @@
 	EscalateAbove  float64       // share of the target above which steps are taken
 	RelaxBelow  float64       // share of the target below which they are undone
 	StepInterval time.Duration // between steps, longer than the lag of reports
-	Endure time.Duration // for which a target must be missed without a break before evictions
+	EvictAfter time.Duration // for which a target must be missed without a break before evictions
 	Weight float64       // of the newest report in the smoothed latency
 	Floor  float64       // share of its grant that a throttled task keeps
 	Blame  float64       // relative slow-down by batch below which batch is not to blame
@@ -101,8 +101,8 @@
 	if o.StepInterval == 0 {
 		o.StepInterval = 45 * time.Second
 	}
-	if o.Endure == 0 {
-		o.Endure = 2 * o.StepInterval
+	if o.EvictAfter == 0 {
+		o.EvictAfter = 2 * o.StepInterval
 	}
 	return o
 }
