--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -82,7 +82,7 @@
 	RelaxBelow  float64       // share of the target below which they are undone
 	StepInterval time.Duration // between steps, longer than the lag of reports
 	EvictAfter time.Duration // for which a target must be missed without a break before evictions
-	Weight float64       // of the newest report in the smoothed latency
+	Smoothing float64       // of the newest report in the smoothed latency
 	Floor  float64       // share of its grant that a throttled task keeps
 	Blame  float64       // relative slow-down by batch below which batch is not to blame
 }
@@ -95,7 +95,7 @@
 	}
 	set(&o.EscalateAbove, 1)
 	set(&o.RelaxBelow, 0.85)
-	set(&o.Weight, 0.3)
+	set(&o.Smoothing, 0.3)
 	set(&o.Floor, 0.5)
 	set(&o.Blame, 0.03)
 	if o.StepInterval == 0 {
@@ -172,7 +172,7 @@
 			continue
 		}
 		if report.To.After(old.Last) {
-			old.Log += in.Options.Weight * (value - old.Log)
+			old.Log += in.Options.Smoothing * (value - old.Log)
 			old.Last = report.To
 		}
 	}
