--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -83,7 +83,7 @@
 	StepInterval time.Duration // between steps, longer than the lag of reports
 	EvictAfter time.Duration // for which a target must be missed without a break before evictions
 	Smoothing float64       // of the newest report in the smoothed latency
-	Floor  float64       // share of its grant that a throttled task keeps
+	ThrottleShare  float64       // share of its grant that a throttled task keeps
 	Blame  float64       // relative slow-down by batch below which batch is not to blame
 }
 
@@ -96,7 +96,7 @@
 	set(&o.EscalateAbove, 1)
 	set(&o.RelaxBelow, 0.85)
 	set(&o.Smoothing, 0.3)
-	set(&o.Floor, 0.5)
+	set(&o.ThrottleShare, 0.5)
 	set(&o.Blame, 0.03)
 	if o.StepInterval == 0 {
 		o.StepInterval = 45 * time.Second
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -156,7 +156,7 @@
 	var actions []Action
 	for _, s := range suspects {
 		_, done := in.State.Throttled[s.task]
-		to := int64(float64(s.cpu) * in.Options.Floor)
+		to := int64(float64(s.cpu) * in.Options.ThrottleShare)
 		if done || to < 1 || s.slow <= 0 {
 			continue
 		}
@@ -164,7 +164,7 @@
 			break
 		}
 		in.State.Throttled[s.task] = s.cpu
-		need -= s.slow * (1 - in.Options.Floor)
+		need -= s.slow * (1 - in.Options.ThrottleShare)
 		actions = append(actions, Action{
 			Kind: Throttle, Task: s.task, Token: in.Worker.Grants[s.task].Token, CPU: to,
 			Reason: "slows " + service,
