--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -84,7 +84,7 @@
 	EvictAfter time.Duration // for which a target must be missed without a break before evictions
 	Smoothing float64       // of the newest report in the smoothed latency
 	ThrottleShare  float64       // share of its grant that a throttled task keeps
-	Blame  float64       // relative slow-down by batch below which batch is not to blame
+	MinSlowdown  float64       // relative slow-down by batch below which batch is not to blame
 }
 
 func (o Options) orDefault() Options {
@@ -97,7 +97,7 @@
 	set(&o.RelaxBelow, 0.85)
 	set(&o.Smoothing, 0.3)
 	set(&o.ThrottleShare, 0.5)
-	set(&o.Blame, 0.03)
+	set(&o.MinSlowdown, 0.03)
 	if o.StepInterval == 0 {
 		o.StepInterval = 45 * time.Second
 	}
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -38,7 +38,7 @@
 	for _, s := range suspects {
 		total += s.slow
 	}
-	if math.Expm1(total) < in.Options.Blame {
+	if math.Expm1(total) < in.Options.MinSlowdown {
 		return actions // without batch tasks it would be as slow
 	}
 	need := math.Log(ratio / in.Options.EscalateAbove)
