--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -111,7 +111,7 @@
 type State struct {
 	Services  map[string]*Smoothed
 	Throttled map[describer.TaskID]int64 // grant before throttling, millicores
-	Acted     time.Time                  // last step or undoing
+	LastStep     time.Time                  // last step or undoing
 	Missed    time.Time                  // since when a target is missed without a break; zero if met
 	Calm      time.Time                  // since when all targets are kept with ease; zero if not
 	Raised    time.Time                  // last undoing
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -105,9 +105,9 @@
 	It("waits until reports can show the effect", func() {
 		b := newBench(2, 9)
 		b.report(1.5)
-		acted := b.state.Acted
+		acted := b.state.LastStep
 		b.report(1.5)
-		Expect(b.state.Acted).To(Equal(acted))
+		Expect(b.state.LastStep).To(Equal(acted))
 	})
 
 	It("does nothing but keep tasks off when batch is not to blame", func() {
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -30,7 +30,7 @@
 		Until:  in.Now.Add(2 * in.Options.StepInterval),
 		Reason: fmt.Sprintf("%s is at %.0f %% of its target", service, 100*ratio),
 	}}
-	if in.Now.Sub(in.State.Acted) < in.Options.StepInterval {
+	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval {
 		return actions
 	}
 	suspects := suspectsOf(in, service)
@@ -63,7 +63,7 @@
 // prevent throttles, and no more, where a service is expected to exceed its
 // bound because load has risen since its batch tasks were placed.
 func prevent(in Input, service string, excess float64) []Action {
-	if in.Now.Sub(in.State.Acted) < in.Options.StepInterval {
+	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval {
 		return nil
 	}
 	throttles := throttle(in, suspectsOf(in, service), math.Log(excess), service)
@@ -77,7 +77,7 @@
 // relax undoes throttles, one task at a time, the largest first.
 func relax(in Input) []Action {
 	in.State.Hold = max(in.State.Hold, 2*in.Options.StepInterval)
-	if in.Now.Sub(in.State.Acted) < in.Options.StepInterval || in.Now.Sub(in.State.Calm) < in.State.Hold {
+	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.Calm) < in.State.Hold {
 		return nil
 	}
 	var best describer.TaskID
@@ -123,7 +123,7 @@
 }
 
 func (s *State) acted(now time.Time, level Kind, actions []Action) []Action {
-	s.Acted = now
+	s.LastStep = now
 	s.Level = level
 	return actions
 }
