--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -112,7 +112,7 @@
 	Services  map[string]*Smoothed
 	Throttled map[describer.TaskID]int64 // grant before throttling, millicores
 	LastStep     time.Time                  // last step or undoing
-	Missed    time.Time                  // since when a target is missed without a break; zero if met
+	MissedSince    time.Time                  // since when a target is missed without a break; zero if met
 	Calm      time.Time                  // since when all targets are kept with ease; zero if not
 	Raised    time.Time                  // last undoing
 	Hold      time.Duration              // of calm before the next undoing; doubles when one was premature
@@ -130,7 +130,7 @@
 	in.Options = in.Options.orDefault()
 	in.State.take(in)
 	service, ratio := in.State.worst()
-	in.State.Missed = since(in.State.Missed, in.Now, ratio > in.Options.EscalateAbove)
+	in.State.MissedSince = since(in.State.MissedSince, in.Now, ratio > in.Options.EscalateAbove)
 	in.State.Calm = since(in.State.Calm, in.Now, ratio < in.Options.RelaxBelow)
 	switch {
 	case service == "":
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -46,7 +46,7 @@
 		in.State.backOff(in.Now)
 		return in.State.acted(in.Now, Throttle, append(actions, throttles...))
 	}
-	if in.Now.Sub(in.State.Missed) < in.Options.EvictAfter {
+	if in.Now.Sub(in.State.MissedSince) < in.Options.EvictAfter {
 		return actions // a wave passes, an eviction does not
 	}
 	kind := Move
