--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -113,7 +113,7 @@
 	Throttled map[describer.TaskID]int64 // grant before throttling, millicores
 	LastStep     time.Time                  // last step or undoing
 	MissedSince    time.Time                  // since when a target is missed without a break; zero if met
-	Calm      time.Time                  // since when all targets are kept with ease; zero if not
+	RelaxedSince      time.Time                  // since when all targets are kept with ease; zero if not
 	Raised    time.Time                  // last undoing
 	Hold      time.Duration              // of calm before the next undoing; doubles when one was premature
 	Level     Kind                       // of the last step; Raise when at rest
@@ -131,7 +131,7 @@
 	in.State.take(in)
 	service, ratio := in.State.worst()
 	in.State.MissedSince = since(in.State.MissedSince, in.Now, ratio > in.Options.EscalateAbove)
-	in.State.Calm = since(in.State.Calm, in.Now, ratio < in.Options.RelaxBelow)
+	in.State.RelaxedSince = since(in.State.RelaxedSince, in.Now, ratio < in.Options.RelaxBelow)
 	switch {
 	case service == "":
 		return nil
@@ -139,7 +139,7 @@
 		return escalate(in, service, ratio)
 	}
 	if service, excess := expected(in); excess > 1 {
-		in.State.Calm = time.Time{}
+		in.State.RelaxedSince = time.Time{}
 		return prevent(in, service, excess)
 	}
 	switch {
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -77,7 +77,7 @@
 // relax undoes throttles, one task at a time, the largest first.
 func relax(in Input) []Action {
 	in.State.Hold = max(in.State.Hold, 2*in.Options.StepInterval)
-	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.Calm) < in.State.Hold {
+	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.RelaxedSince) < in.State.Hold {
 		return nil
 	}
 	var best describer.TaskID
