--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -100,7 +100,7 @@
 	if missing <= 0 {
 		return nil
 	}
-	in.State.Raised = in.Now
+	in.State.LastUnthrottle = in.Now
 	g := in.Worker.Grants[best]
 	delete(in.State.Throttled, best)
 	return in.State.acted(in.Now, Unthrottle, []Action{{
@@ -112,10 +112,10 @@
 // backOff doubles the calm that the next undoing needs if the last one was
 // premature, and halves it otherwise.
 func (s *State) backOff(now time.Time) {
-	if s.Raised.IsZero() {
+	if s.LastUnthrottle.IsZero() {
 		return
 	}
-	if now.Sub(s.Raised) < premature {
+	if now.Sub(s.LastUnthrottle) < premature {
 		s.Hold = min(2*s.Hold, longestHold)
 	} else {
 		s.Hold /= 2
