--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -115,7 +115,7 @@
 	MissedSince    time.Time                  // since when a target is missed without a break; zero if met
 	RelaxedSince      time.Time                  // since when all targets are kept with ease; zero if not
 	LastUnthrottle    time.Time                  // last undoing
-	Hold      time.Duration              // of calm before the next undoing; doubles when one was premature
+	UnthrottleDelay      time.Duration              // of calm before the next undoing; doubles when one was premature
 	Level     Kind                       // of the last step; Raise when at rest
 }
 
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -76,8 +76,8 @@
 
 // relax undoes throttles, one task at a time, the largest first.
 func relax(in Input) []Action {
-	in.State.Hold = max(in.State.Hold, 2*in.Options.StepInterval)
-	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.RelaxedSince) < in.State.Hold {
+	in.State.UnthrottleDelay = max(in.State.UnthrottleDelay, 2*in.Options.StepInterval)
+	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.RelaxedSince) < in.State.UnthrottleDelay {
 		return nil
 	}
 	var best describer.TaskID
@@ -116,9 +116,9 @@
 		return
 	}
 	if now.Sub(s.LastUnthrottle) < premature {
-		s.Hold = min(2*s.Hold, longestHold)
+		s.UnthrottleDelay = min(2*s.UnthrottleDelay, longestHold)
 	} else {
-		s.Hold /= 2
+		s.UnthrottleDelay /= 2
 	}
 }
 
