--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -49,7 +49,7 @@
 	MaxStep        time.Duration // longest time of a step
 	SilenceTimeout time.Duration // without inventory the worker counts as silent
 	Hot            float64       // share of a service's target above which a step is held back
-	Cool           float64       // share below which it is no longer
+	ResumeBelow           float64       // share below which it is no longer
 	Weight         float64       // of the newest report in the smoothed latency
 }
 
@@ -71,7 +71,7 @@
 		}
 	}
 	number(&o.Hot, 1)
-	number(&o.Cool, 0.9)
+	number(&o.ResumeBelow, 0.9)
 	number(&o.Weight, 0.3)
 	return o
 }
@@ -121,7 +121,7 @@
 func (s *State) held(in Input, o Options, service string, ratio float64) string {
 	if s.Hot {
 		return fmt.Sprintf("%s is at %.0f %% of its target, must fall below %.0f %%",
-			service, 100*ratio, 100*o.Cool)
+			service, 100*ratio, 100*o.ResumeBelow)
 	}
 	if s.Step == len(o.Steps)-1 && in.Returning > 0 {
 		return fmt.Sprintf("%d tasks wait to come back", in.Returning)
@@ -157,7 +157,7 @@
 	if ratio > o.Hot {
 		s.Hot = true
 	}
-	if ratio < o.Cool {
+	if ratio < o.ResumeBelow {
 		s.Hot = false
 	}
 	return service, ratio
