--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -50,7 +50,7 @@
 	SilenceTimeout time.Duration // without inventory the worker counts as silent
 	Hot            float64       // share of a service's target above which a step is held back
 	ResumeBelow           float64       // share below which it is no longer
-	Weight         float64       // of the newest report in the smoothed latency
+	Smoothing         float64       // of the newest report in the smoothed latency
 }
 
 func (o Options) orDefault() Options {
@@ -72,7 +72,7 @@
 	}
 	number(&o.Hot, 1)
 	number(&o.ResumeBelow, 0.9)
-	number(&o.Weight, 0.3)
+	number(&o.Smoothing, 0.3)
 	return o
 }
 
@@ -144,7 +144,7 @@
 		if last, ok := s.Last[name]; !ok {
 			s.Smoothed[name] = value
 		} else if report.To.After(last) {
-			s.Smoothed[name] += o.Weight * (value - s.Smoothed[name])
+			s.Smoothed[name] += o.Smoothing * (value - s.Smoothed[name])
 		}
 		s.Last[name] = report.To
 	}
