--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -81,7 +81,7 @@
 type State struct {
 	Step     int
 	Since    time.Time // of the step
-	Hot      bool
+	Paused      bool
 	Smoothed map[string]float64 // logarithm of latency as a share of the target, by service
 	Last     map[string]time.Time
 }
@@ -119,7 +119,7 @@
 
 // held returns what keeps the present step from ending.
 func (s *State) held(in Input, o Options, service string, ratio float64) string {
-	if s.Hot {
+	if s.Paused {
 		return fmt.Sprintf("%s is at %.0f %% of its target, must fall below %.0f %%",
 			service, 100*ratio, 100*o.ResumeBelow)
 	}
@@ -155,10 +155,10 @@
 		}
 	}
 	if ratio > o.Hot {
-		s.Hot = true
+		s.Paused = true
 	}
 	if ratio < o.ResumeBelow {
-		s.Hot = false
+		s.Paused = false
 	}
 	return service, ratio
 }
