--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -83,7 +83,7 @@
 	Since    time.Time // of the step
 	Paused      bool
 	Smoothed map[string]float64 // logarithm of latency as a share of the target, by service
-	Last     map[string]time.Time
+	LastReport     map[string]time.Time
 }
 
 // Decide returns what the worker may take now.
@@ -133,7 +133,7 @@
 func (s *State) take(in Input, o Options) (service string, ratio float64) {
 	if s.Smoothed == nil {
 		s.Smoothed = make(map[string]float64)
-		s.Last = make(map[string]time.Time)
+		s.LastReport = make(map[string]time.Time)
 	}
 	for name, report := range in.Worker.Reports {
 		target := in.Services[name].Target
@@ -141,12 +141,12 @@
 			continue
 		}
 		value := math.Log(report.P99.Seconds() / target.Seconds())
-		if last, ok := s.Last[name]; !ok {
+		if last, ok := s.LastReport[name]; !ok {
 			s.Smoothed[name] = value
 		} else if report.To.After(last) {
 			s.Smoothed[name] += o.Smoothing * (value - s.Smoothed[name])
 		}
-		s.Last[name] = report.To
+		s.LastReport[name] = report.To
 	}
 	for name, v := range s.Smoothed {
 		r := math.Exp(v)
