--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -80,7 +80,7 @@
 // successor that lost it begins again at the first step, which is safe.
 type State struct {
 	Step     int
-	Since    time.Time // of the step
+	StepSince    time.Time // of the step
 	Paused      bool
 	Smoothed map[string]float64 // logarithm of latency as a share of the target, by service
 	LastReport     map[string]time.Time
@@ -93,21 +93,21 @@
 		return Decision{Done: true}
 	}
 	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.SilenceTimeout {
-		in.State.Since = in.Now // no time passes in a step for a silent worker
+		in.State.StepSince = in.Now // no time passes in a step for a silent worker
 		return Decision{BlockedBy: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
 	}
-	if in.State.Since.IsZero() {
-		in.State.Since = in.Now
+	if in.State.StepSince.IsZero() {
+		in.State.StepSince = in.Now
 	}
 	service, ratio := in.State.take(in, o)
-	passed := in.Now.Sub(in.State.Since)
+	passed := in.Now.Sub(in.State.StepSince)
 	held := in.State.held(in, o, service, ratio)
 	if passed >= o.MaxStep || passed >= o.MinStep && held == "" {
 		if in.State.Step == len(o.Steps)-1 {
 			return Decision{Open: true, Limit: in.Worker.Host.Capacity.CPU, Done: true}
 		}
 		in.State.Step++
-		in.State.Since = in.Now
+		in.State.StepSince = in.Now
 	}
 	share := o.Steps[in.State.Step]
 	return Decision{
