--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -41,15 +41,15 @@
 // within the bound, and Why says the reason.
 type Preemption struct {
 	Worker   string
-	Throttle []Shrink            // lower these processor grants
+	Throttle []GrantReduction            // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
 	Reason   string
 }
 
-// Shrink lowers the processor grant of a run.
-type Shrink struct {
+// GrantReduction lowers the processor grant of a run.
+type GrantReduction struct {
 	Task describer.TaskID
 	From int64 // millicores
 	To   int64 // millicores
@@ -156,8 +156,8 @@
 
 func shrinks(
 	w *accountant.Worker, victims []describer.TaskID, cpu int64, evicted []describer.TaskID, floor float64,
-) []Shrink {
-	var out []Shrink
+) []GrantReduction {
+	var out []GrantReduction
 	for _, task := range victims {
 		if cpu <= 0 {
 			break
@@ -171,7 +171,7 @@
 			continue
 		}
 		cpu -= give
-		out = append(out, Shrink{task, from, from - give})
+		out = append(out, GrantReduction{task, from, from - give})
 	}
 	return out
 }
