--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -393,7 +393,7 @@
 		}
 		urgent++
 		switch {
-		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentBound:
+		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentStartLimit:
 			o.Urgent++
 		case r.refused != "":
 			o.Refused++
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -230,7 +230,7 @@
 			}
 			return
 		}
-		if len(room.Evict) > budget || elapsed+room.Wait > placer.UrgentBound {
+		if len(room.Evict) > budget || elapsed+room.Wait > placer.UrgentStartLimit {
 			t.Fatalf("%d evictions with a budget of %d, starts after %s", len(room.Evict), budget, elapsed+room.Wait)
 		}
 		w := f.Workers[room.Worker]
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -10,8 +10,8 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// UrgentBound is the time within which an urgent task starts or is refused.
-const UrgentBound = 6800 * time.Millisecond
+// UrgentStartLimit is the time within which an urgent task starts or is refused.
+const UrgentStartLimit = 6800 * time.Millisecond
 
 // Costs are the times that making room takes. Zero fields take defaults.
 type Costs struct {
@@ -74,8 +74,8 @@
 			why = reason
 			continue
 		}
-		if elapsed+room.Wait > UrgentBound {
-			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentBound)
+		if elapsed+room.Wait > UrgentStartLimit {
+			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentStartLimit)
 			continue
 		}
 		if best.Worker == "" || cheaper(room, best) {
