--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -18,7 +18,7 @@
 	Throttle   time.Duration // until a lower processor grant is in force
 	Checkpoint time.Duration // until a run has saved its progress and ended
 	Start      time.Duration // from decision to running, with the durable record
-	Floor      float64       // share of its grant that a throttled task keeps
+	ThrottleShare      float64       // share of its grant that a throttled task keeps
 }
 
 func (c Costs) orDefault() Costs {
@@ -31,8 +31,8 @@
 	if c.Start == 0 {
 		c.Start = 1500 * time.Millisecond
 	}
-	if c.Floor == 0 {
-		c.Floor = 0.5
+	if c.ThrottleShare == 0 {
+		c.ThrottleShare = 0.5
 	}
 	return c
 }
@@ -105,7 +105,7 @@
 	}
 	victims := victimsOf(w)
 	for _, task := range victims {
-		if isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
+		if isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
 			break
 		}
 		if len(room.Evict) == evictions {
@@ -114,10 +114,10 @@
 		missing = missing.Sub(w.Grants[task].Resources)
 		room.Evict = append(room.Evict, task)
 	}
-	if !isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
+	if !isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
 		return Preemption{}, "latency-critical and urgent tasks hold the capacity"
 	}
-	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.Floor)
+	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.ThrottleShare)
 	room.Freed = want.Sub(w.Free()).Sub(missing)
 	for _, s := range room.Throttle {
 		room.Freed.CPU += s.From - s.To
