--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -21,7 +21,7 @@
 
 // Limits bound what Default accepts. Zero fields take defaults.
 type Limits struct {
-	Slowdown float64       // cautious relative slow-down of a service that batch may cause at most
+	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
 	Target   float64       // share of the service's target that the expected latency may take
 	Comfort  float64       // share of the service's target below which slow-down does not matter
 	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
@@ -31,10 +31,10 @@
 // orDefault fills in the defaults. A deployment that weighs latency more
 // accepts less slow-down.
 func (l Limits) orDefault(w describer.Weights) Limits {
-	if l.Slowdown == 0 {
-		l.Slowdown = 0.12
+	if l.MaxSlowdown == 0 {
+		l.MaxSlowdown = 0.12
 		if w.Latency > w.Throughput {
-			l.Slowdown = 0.08
+			l.MaxSlowdown = 0.08
 		}
 	}
 	if l.Target == 0 {
@@ -56,10 +56,10 @@
 func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
 	limits := d.Limits.orDefault(d.Weights)
 	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.Patience {
-		limits.Slowdown *= 2
+		limits.MaxSlowdown *= 2
 	}
 	if r.Job.Priority == describer.Urgent {
-		limits.Slowdown *= 4
+		limits.MaxSlowdown *= 4
 	}
 	racks := busyRacks(fleet, r.Job.ID)
 	scarcity := d.scarcity(fleet)
@@ -165,7 +165,7 @@
 func (d InterferenceAware) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
 	base, known := d.baseline(service, load)
 	if !known {
-		if upper > limits.Slowdown && !isTrial {
+		if upper > limits.MaxSlowdown && !isTrial {
 			return objection{slows, service, upper}
 		}
 		return objection{}
@@ -185,7 +185,7 @@
 func (d InterferenceAware) bound(service string, base time.Duration, limits Limits) time.Duration {
 	busy, _ := d.Learner.BusyLatency(service)
 	comfort := limits.Comfort * float64(d.Services[service].Target)
-	return max(time.Duration(float64(base)*(1+limits.Slowdown)), busy, time.Duration(comfort))
+	return max(time.Duration(float64(base)*(1+limits.MaxSlowdown)), busy, time.Duration(comfort))
 }
 
 // LatencyBounds returns for each service of a worker the latency that batch tasks
