--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -22,7 +22,7 @@
 // Limits bound what Default accepts. Zero fields take defaults.
 type Limits struct {
 	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
-	Target   float64       // share of the service's target that the expected latency may take
+	TargetShare   float64       // share of the service's target that the expected latency may take
 	Comfort  float64       // share of the service's target below which slow-down does not matter
 	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
 	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
@@ -37,8 +37,8 @@
 			l.MaxSlowdown = 0.08
 		}
 	}
-	if l.Target == 0 {
-		l.Target = 0.9
+	if l.TargetShare == 0 {
+		l.TargetShare = 0.9
 	}
 	if l.Comfort == 0 {
 		l.Comfort = 0.47
@@ -175,7 +175,7 @@
 		return objection{slows, service, upper}
 	}
 	target := d.Services[service].Target
-	if target > 0 && latency > limits.Target*target.Seconds() && upper > 0.01 {
+	if target > 0 && latency > limits.TargetShare*target.Seconds() && upper > 0.01 {
 		return objection{endangers, service, upper}
 	}
 	return objection{}
