--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -23,7 +23,7 @@
 type Limits struct {
 	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
 	TargetShare   float64       // share of the service's target that the expected latency may take
-	Comfort  float64       // share of the service's target below which slow-down does not matter
+	ComfortShare  float64       // share of the service's target below which slow-down does not matter
 	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
 	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
 }
@@ -40,8 +40,8 @@
 	if l.TargetShare == 0 {
 		l.TargetShare = 0.9
 	}
-	if l.Comfort == 0 {
-		l.Comfort = 0.47
+	if l.ComfortShare == 0 {
+		l.ComfortShare = 0.47
 	}
 	if l.Trial == 0 {
 		l.Trial = 0.1
@@ -184,7 +184,7 @@
 // bound is the latency that batch tasks may bring a service to.
 func (d InterferenceAware) bound(service string, base time.Duration, limits Limits) time.Duration {
 	busy, _ := d.Learner.BusyLatency(service)
-	comfort := limits.Comfort * float64(d.Services[service].Target)
+	comfort := limits.ComfortShare * float64(d.Services[service].Target)
 	return max(time.Duration(float64(base)*(1+limits.MaxSlowdown)), busy, time.Duration(comfort))
 }
 
