--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -24,7 +24,7 @@
 	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
 	TargetShare   float64       // share of the service's target that the expected latency may take
 	ComfortShare  float64       // share of the service's target below which slow-down does not matter
-	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
+	TrialShare    float64       // share of an idle worker's processors that a task may take while nothing is known
 	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
 }
 
@@ -43,8 +43,8 @@
 	if l.ComfortShare == 0 {
 		l.ComfortShare = 0.47
 	}
-	if l.Trial == 0 {
-		l.Trial = 0.1
+	if l.TrialShare == 0 {
+		l.TrialShare = 0.1
 	}
 	if l.Patience == 0 {
 		l.Patience = 30 * time.Minute
@@ -135,7 +135,7 @@
 	for _, service := range w.Host.Services {
 		load := w.Reports[service].Load
 		mean, upper := d.slowdown(service, shares, load)
-		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.Trial
+		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.TrialShare
 		if o := d.objects(service, load, upper, isTrial, limits); o.kind != none {
 			return 0, o
 		}
