--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -25,7 +25,7 @@
 	TargetShare   float64       // share of the service's target that the expected latency may take
 	ComfortShare  float64       // share of the service's target below which slow-down does not matter
 	TrialShare    float64       // share of an idle worker's processors that a task may take while nothing is known
-	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
+	DeadlineWindow time.Duration // before its deadline, in which a task may take twice the slow-down
 }
 
 // orDefault fills in the defaults. A deployment that weighs latency more
@@ -46,8 +46,8 @@
 	if l.TrialShare == 0 {
 		l.TrialShare = 0.1
 	}
-	if l.Patience == 0 {
-		l.Patience = 30 * time.Minute
+	if l.DeadlineWindow == 0 {
+		l.DeadlineWindow = 30 * time.Minute
 	}
 	return l
 }
@@ -55,7 +55,7 @@
 // Place implements Policy.
 func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
 	limits := d.Limits.orDefault(d.Weights)
-	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.Patience {
+	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.DeadlineWindow {
 		limits.MaxSlowdown *= 2
 	}
 	if r.Job.Priority == describer.Urgent {
