--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -18,8 +18,8 @@
 // packing are the baselines that pack batch tasks beside services.
 var packing = []string{"first-fit", "least-loaded", "least-loaded-declared", "static-threshold"}
 
-// Contender is a way to decide.
-type Contender struct {
+// Variant is a way to decide.
+type Variant struct {
 	Name     string
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
 	Declared bool // grants as declared, not as measured
@@ -28,11 +28,11 @@
 }
 
 // Contenders returns the default policy and the baselines.
-func Contenders() []Contender {
+func Contenders() []Variant {
 	plain := func(p placer.Policy) func(Deployment, *learner.Learner) placer.Policy {
 		return func(Deployment, *learner.Learner) placer.Policy { return p }
 	}
-	return []Contender{
+	return []Variant{
 		{Name: AloneName, Policy: plain(placer.NoColocation{})},
 		{Name: "first-fit", Policy: plain(placer.FirstFit{}), Evict: true},
 		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), Evict: true},
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -28,7 +28,7 @@
 // control is the decision loop around one contender's policies.
 type control struct {
 	*world
-	contender Contender
+	contender Variant
 	fleet     *accountant.Fleet
 	byName    map[string]*host
 	policy    placer.Policy
@@ -49,7 +49,7 @@
 }
 
 // play runs one morning.
-func play(d Deployment, c Contender, seed uint64) Outcome {
+func play(d Deployment, c Variant, seed uint64) Outcome {
 	w, all := newWorld(d, seed)
 	k := newControl(w, c)
 	for next := 0; w.now.Sub(begin) < morning; {
@@ -68,7 +68,7 @@
 	return k.outcome(all)
 }
 
-func newControl(w *world, c Contender) *control {
+func newControl(w *world, c Variant) *control {
 	k := &control{
 		world: w, contender: c, learner: learner.New(learner.Options{}),
 		fleet:    &accountant.Fleet{Workers: make(map[string]*accountant.Worker)},
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -42,7 +42,7 @@
 	First       uint64
 	Parallel    int          // simulations at once; default 2
 	Deployments []Deployment // default both
-	Contenders  []Contender  // default all
+	Contenders  []Variant  // default all
 }
 
 // Report holds one result for each deployment and contender.
@@ -91,7 +91,7 @@
 }
 
 // mornings plays one contender's mornings, a few at once.
-func mornings(o Options, d Deployment, c Contender) []Outcome {
+func mornings(o Options, d Deployment, c Variant) []Outcome {
 	outcomes := make([]Outcome, o.Seeds)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, o.Parallel)
@@ -106,7 +106,7 @@
 	return outcomes
 }
 
-func result(d Deployment, c Contender, outcomes []Outcome) Result {
+func result(d Deployment, c Variant, outcomes []Outcome) Result {
 	r := Result{Deployment: d.Name, Contender: c.Name, Seeds: outcomes}
 	n := float64(len(outcomes))
 	for _, o := range outcomes {
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -14,7 +14,7 @@
 	return d
 }
 
-func contender(name string) Contender {
+func contender(name string) Variant {
 	for _, c := range Contenders() {
 		if c.Name == name {
 			return c
@@ -39,7 +39,7 @@
 	ginkgo.It("tabulates the goals", func() {
 		r := Run(Options{
 			Seeds: 1, Deployments: []Deployment{small()},
-			Contenders: []Contender{contender(AloneName), contender("first-fit"), contender(DefaultName)},
+			Contenders: []Variant{contender(AloneName), contender("first-fit"), contender(DefaultName)},
 		})
 		Expect(r.Table()).To(ContainSubstring("against no colocation (goal +5 %)"))
 	})
