--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -27,8 +27,8 @@
 	Full     bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
 
-// Contenders returns the default policy and the baselines.
-func Contenders() []Variant {
+// Variants returns the default policy and the baselines.
+func Variants() []Variant {
 	plain := func(p placer.Policy) func(Deployment, *learner.Learner) placer.Policy {
 		return func(Deployment, *learner.Learner) placer.Policy { return p }
 	}
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -79,7 +79,7 @@
 		o.Deployments = Deployments()
 	}
 	if o.Contenders == nil {
-		o.Contenders = Contenders()
+		o.Contenders = Variants()
 	}
 	report := Report{Seeds: o.Seeds}
 	for _, d := range o.Deployments {
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -15,7 +15,7 @@
 }
 
 func contender(name string) Variant {
-	for _, c := range Contenders() {
+	for _, c := range Variants() {
 		if c.Name == name {
 			return c
 		}
