--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -12,7 +12,7 @@
 // Names of contenders that goals refer to.
 const (
 	DefaultName = "default"
-	AloneName   = "no-colocation"
+	NoColocationName   = "no-colocation"
 )
 
 // packing are the baselines that pack batch tasks beside services.
@@ -33,7 +33,7 @@
 		return func(Deployment, *learner.Learner) placer.Policy { return p }
 	}
 	return []Variant{
-		{Name: AloneName, Policy: plain(placer.NoColocation{})},
+		{Name: NoColocationName, Policy: plain(placer.NoColocation{})},
 		{Name: "first-fit", Policy: plain(placer.FirstFit{}), Evict: true},
 		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), Evict: true},
 		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), Evict: true, Declared: true},
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -167,7 +167,7 @@
 	for _, s := range r.Results {
 		switch {
 		case s.Deployment != deployment || s.Contender == DefaultName:
-		case s.Contender == AloneName:
+		case s.Contender == NoColocationName:
 			alone = s
 		case s.Work > best.Work && slices.Contains(packing, s.Contender):
 			best = s
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -39,7 +39,7 @@
 	ginkgo.It("tabulates the goals", func() {
 		r := Run(Options{
 			Seeds: 1, Deployments: []Deployment{small()},
-			Contenders: []Variant{contender(AloneName), contender("first-fit"), contender(DefaultName)},
+			Contenders: []Variant{contender(NoColocationName), contender("first-fit"), contender(DefaultName)},
 		})
 		Expect(r.Table()).To(ContainSubstring("against no colocation (goal +5 %)"))
 	})
@@ -60,7 +60,7 @@
 			}
 			return out
 		}
-		Expect(loads("first-fit")).To(Equal(loads(AloneName)))
+		Expect(loads("first-fit")).To(Equal(loads(NoColocationName)))
 	})
 
 	ginkgo.It("never grants more than a worker has", func() {
