--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -24,7 +24,7 @@
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
 	Declared bool // grants as declared, not as measured
 	Evict    bool // evicts the newest batch task for each report above the target
-	Full     bool // learns, escalates, restores gradually and makes room for urgent tasks
+	Adaptive     bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
 
 // Variants returns the default policy and the baselines.
@@ -38,7 +38,7 @@
 		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), Evict: true},
 		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), Evict: true, Declared: true},
 		{Name: "static-threshold", Policy: plain(placer.StaticThreshold{Share: 0.5, Load: 0.7}), Evict: true},
-		{Name: DefaultName, Policy: defaultPolicy, Full: true},
+		{Name: DefaultName, Policy: defaultPolicy, Adaptive: true},
 	}
 }
 
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -140,7 +140,7 @@
 		for _, l := range k.arrived(h) {
 			h.account.Reports[l.Service] = l
 			shares, ok := k.timeline.Average(h.account.Host.Name, l.From, l.To)
-			if ok && k.contender.Full {
+			if ok && k.contender.Adaptive {
 				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
 			if k.contender.Evict && l.P99 > k.deployment.Target {
@@ -175,7 +175,7 @@
 
 // protect escalates where services miss their targets.
 func (k *control) protect() {
-	if !k.contender.Full {
+	if !k.contender.Adaptive {
 		return
 	}
 	for _, h := range k.hosts {
@@ -243,7 +243,7 @@
 func (k *control) restore(h *host, state *restorer.State) {
 	name := h.account.Host.Name
 	d := restorer.Decision{Done: true}
-	if k.contender.Full {
+	if k.contender.Adaptive {
 		d = restorer.Decide(restorer.Input{
 			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Returning: k.owed(name),
 		})
@@ -298,7 +298,7 @@
 func (k *control) start(r *run) bool {
 	request := k.request(r)
 	choice := k.policy.Place(k.fleet, request, k.now)
-	if choice.Worker == "" && r.job.Priority == describer.Urgent && k.contender.Full {
+	if choice.Worker == "" && r.job.Priority == describer.Urgent && k.contender.Adaptive {
 		choice = k.makeRoom(r, request)
 	}
 	if choice.Worker == "" {
