--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -42,7 +42,7 @@
 	First       uint64
 	Parallel    int          // simulations at once; default 2
 	Deployments []Deployment // default both
-	Contenders  []Variant  // default all
+	Variants  []Variant  // default all
 }
 
 // Report holds one result for each deployment and contender.
@@ -78,12 +78,12 @@
 	if o.Deployments == nil {
 		o.Deployments = Deployments()
 	}
-	if o.Contenders == nil {
-		o.Contenders = Variants()
+	if o.Variants == nil {
+		o.Variants = Variants()
 	}
 	report := Report{Seeds: o.Seeds}
 	for _, d := range o.Deployments {
-		for _, c := range o.Contenders {
+		for _, c := range o.Variants {
 			report.Results = append(report.Results, result(d, c, mornings(o, d, c)))
 		}
 	}
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -39,7 +39,7 @@
 	ginkgo.It("tabulates the goals", func() {
 		r := Run(Options{
 			Seeds: 1, Deployments: []Deployment{small()},
-			Contenders: []Variant{contender(NoColocationName), contender("first-fit"), contender(DefaultName)},
+			Variants: []Variant{contender(NoColocationName), contender("first-fit"), contender(DefaultName)},
 		})
 		Expect(r.Table()).To(ContainSubstring("against no colocation (goal +5 %)"))
 	})
