--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -54,7 +54,7 @@
 // Result is a contender's mean over all seeds in one deployment.
 type Result struct {
 	Deployment string
-	Contender  string
+	Variant  string
 	P99        time.Duration // of all requests of a morning
 	P99Worst   time.Duration // of the worst seed
 	Within     float64       // share of worker intervals whose 99th percentile is within the target
@@ -107,7 +107,7 @@
 }
 
 func result(d Deployment, c Variant, outcomes []Outcome) Result {
-	r := Result{Deployment: d.Name, Contender: c.Name, Seeds: outcomes}
+	r := Result{Deployment: d.Name, Variant: c.Name, Seeds: outcomes}
 	n := float64(len(outcomes))
 	for _, o := range outcomes {
 		r.P99 += o.P99 / time.Duration(n)
@@ -131,7 +131,7 @@
 	fmt.Fprintln(t, "deployment\tpolicy\tp99\tworst\twithin target\twork by deadline\tevictions\tby drain\trestore\turgent in bound\trefused\t")
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
-			s.Deployment, s.Contender, ms(s.P99), ms(s.P99Worst), 100*s.Within, 100*s.Work,
+			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.Within, 100*s.Work,
 			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.Urgent, 100*s.Refused)
 	}
 	if t.Flush() != nil {
@@ -147,17 +147,17 @@
 func (r Report) goals() []string {
 	var out []string
 	for _, s := range r.Results {
-		if s.Contender != DefaultName {
+		if s.Variant != DefaultName {
 			continue
 		}
 		alone, best := r.baselines(s.Deployment)
-		if alone.Contender == "" || best.Contender == "" {
+		if alone.Variant == "" || best.Variant == "" {
 			continue
 		}
 		out = append(out, fmt.Sprintf(
 			"%s: p99 %+.1f %% against no colocation (goal +5 %%), work %.1f %% of %s (goal 90 %%), evictions %.1f %% of it (goal 10 %%)",
 			s.Deployment, 100*(float64(s.P99)/float64(alone.P99)-1),
-			100*s.Work/best.Work, best.Contender, 100*s.Evictions/max(best.Evictions, 1e-9)))
+			100*s.Work/best.Work, best.Variant, 100*s.Evictions/max(best.Evictions, 1e-9)))
 	}
 	return out
 }
@@ -166,10 +166,10 @@
 func (r Report) baselines(deployment string) (alone, best Result) {
 	for _, s := range r.Results {
 		switch {
-		case s.Deployment != deployment || s.Contender == DefaultName:
-		case s.Contender == NoColocationName:
+		case s.Deployment != deployment || s.Variant == DefaultName:
+		case s.Variant == NoColocationName:
 			alone = s
-		case s.Work > best.Work && slices.Contains(packing, s.Contender):
+		case s.Work > best.Work && slices.Contains(packing, s.Variant):
 			best = s
 		}
 	}
