--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -57,7 +57,7 @@
 	Variant  string
 	P99        time.Duration // of all requests of a morning
 	P99Worst   time.Duration // of the worst seed
-	Within     float64       // share of worker intervals whose 99th percentile is within the target
+	WithinTarget     float64       // share of worker intervals whose 99th percentile is within the target
 	Work       float64       // share of batch work, by true core seconds, done by its deadline
 	Evictions  float64       // for the sake of services or urgent tasks, each morning
 	Drained    float64       // evictions by the drain, each morning
@@ -112,7 +112,7 @@
 	for _, o := range outcomes {
 		r.P99 += o.P99 / time.Duration(n)
 		r.P99Worst = max(r.P99Worst, o.P99)
-		r.Within += o.Within / n
+		r.WithinTarget += o.Within / n
 		r.Work += o.Work / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
@@ -131,7 +131,7 @@
 	fmt.Fprintln(t, "deployment\tpolicy\tp99\tworst\twithin target\twork by deadline\tevictions\tby drain\trestore\turgent in bound\trefused\t")
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
-			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.Within, 100*s.Work,
+			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.Work,
 			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.Urgent, 100*s.Refused)
 	}
 	if t.Flush() != nil {
