--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -16,7 +16,7 @@
 // Outcome is one morning.
 type Outcome struct {
 	P99       time.Duration
-	Within    float64
+	WithinTarget    float64
 	Work      float64
 	Evictions int
 	Drained   int
@@ -375,7 +375,7 @@
 func (k *control) outcome(all []*run) Outcome {
 	o := Outcome{
 		P99:       time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
-		Within:    float64(k.within) / float64(max(k.intervals, 1)),
+		WithinTarget:    float64(k.within) / float64(max(k.intervals, 1)),
 		Evictions: k.evictions, Drained: k.drained, Restore: k.restored,
 	}
 	if len(k.restores) > 0 {
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -112,7 +112,7 @@
 	for _, o := range outcomes {
 		r.P99 += o.P99 / time.Duration(n)
 		r.P99Worst = max(r.P99Worst, o.P99)
-		r.WithinTarget += o.Within / n
+		r.WithinTarget += o.WithinTarget / n
 		r.Work += o.Work / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
