--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -37,7 +37,7 @@
 	Noise       float64       // standard deviation of one report's log latency
 	UpperSigmas float64       // standard deviations from mean to upper bound
 	HalfLife    time.Duration // in which a coefficient's evidence loses half of its weight
-	Classes     int           // classes for each service and band; later ones share one coefficient
+	MaxClasses     int           // classes for each service and band; later ones share one coefficient
 }
 
 // Sample is one report with what ran on the worker during its interval.
@@ -67,7 +67,7 @@
 	o.Noise = orDefault(o.Noise, 0.25)
 	o.UpperSigmas = orDefault(o.UpperSigmas, 1)
 	o.HalfLife = orDefault(o.HalfLife, 2*time.Hour)
-	o.Classes = orDefault(o.Classes, 24)
+	o.MaxClasses = orDefault(o.MaxClasses, 24)
 	return &Learner{Options: o, Models: make(map[ModelKey]*Model), LoadHistograms: make(map[string]*LoadHistogram)}
 }
 
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -83,7 +83,7 @@
 	})
 
 	It("shares one coefficient between classes beyond its limit", func() {
-		l := New(Options{Classes: 1})
+		l := New(Options{MaxClasses: 1})
 		s := report(rand.New(rand.NewPCG(1, 1)), start, 0.3, 0.3)
 		l.Observe(s)
 		model := l.Models[ModelKey{"desk", Band(0.6)}]
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -105,7 +105,7 @@
 		if _, ok := m.Index[class]; ok {
 			continue
 		}
-		if len(m.Mean) < o.Classes+fixed {
+		if len(m.Mean) < o.MaxClasses+fixed {
 			m.grow(o.Prior, o.Deviation*o.Deviation)
 		}
 		m.Index[class] = len(m.Mean) - 1
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -27,7 +27,7 @@
 func newHarm() *learner.Learner {
 	return learner.New(learner.Options{
 		Prior: harmPrior, Deviation: harmDeviation, Noise: harmNoise, UpperSigmas: 1,
-		HalfLife: harmHalfLife, Classes: harmImages,
+		HalfLife: harmHalfLife, MaxClasses: harmImages,
 	})
 }
 
