--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -48,7 +48,7 @@
 	MinStep        time.Duration // shortest time of a step, longer than the lag of reports
 	MaxStep        time.Duration // longest time of a step
 	SilenceTimeout time.Duration // without inventory the worker counts as silent
-	Hot            float64       // share of a service's target above which a step is held back
+	PauseAbove            float64       // share of a service's target above which a step is held back
 	ResumeBelow           float64       // share below which it is no longer
 	Smoothing         float64       // of the newest report in the smoothed latency
 }
@@ -70,7 +70,7 @@
 			*v = otherwise
 		}
 	}
-	number(&o.Hot, 1)
+	number(&o.PauseAbove, 1)
 	number(&o.ResumeBelow, 0.9)
 	number(&o.Smoothing, 0.3)
 	return o
@@ -154,7 +154,7 @@
 			service, ratio = name, r
 		}
 	}
-	if ratio > o.Hot {
+	if ratio > o.PauseAbove {
 		s.Paused = true
 	}
 	if ratio < o.ResumeBelow {
