--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -6,54 +6,55 @@
 )
 
 const (
-	busyBins     = 50             // of load
-	busyQuantile = 0.7            // of requests, ordered by the load they met
-	busyMemory   = 12 * time.Hour // in which a report loses half of its weight
+	loadBins     = 50             // of equal width, over loads from 0 to 1
+	busyQuantile = 0.7            // share of the requests that met at most the load of busy times
+	loadHalfLife = 12 * time.Hour // time in which a report loses half of its weight
 )
 
-// LoadHistogram is the load that a service's requests meet, weighted by their number.
+// LoadHistogram is the distribution of the load that a service's requests met,
+// weighted by their number and age.
 type LoadHistogram struct {
-	Weights [busyBins]float64
-	Updated time.Time
+	Weights [loadBins]float64
+	Updated time.Time // time of the latest report
 }
 
-// add takes in a report.
-func (b *LoadHistogram) add(load float64, count int64, now time.Time) {
-	if passed := now.Sub(b.Updated); !b.Updated.IsZero() && passed > 0 {
-		keep := math.Exp2(-passed.Seconds() / busyMemory.Seconds())
-		for i := range b.Weights {
-			b.Weights[i] *= keep
+// add counts the requests of one report in the bin of their load.
+func (h *LoadHistogram) add(load float64, count int64, now time.Time) {
+	if passed := now.Sub(h.Updated); !h.Updated.IsZero() && passed > 0 {
+		keep := math.Exp2(-passed.Seconds() / loadHalfLife.Seconds())
+		for i := range h.Weights {
+			h.Weights[i] *= keep
 		}
 	}
-	if now.After(b.Updated) {
-		b.Updated = now
+	if now.After(h.Updated) {
+		h.Updated = now
 	}
-	b.Weights[min(max(int(load*busyBins), 0), busyBins-1)] += float64(count)
+	h.Weights[min(max(int(load*loadBins), 0), loadBins-1)] += float64(count)
 }
 
-// load returns the load that three tenths of the requests exceed.
-func (b *LoadHistogram) load() float64 {
+// busyLoad returns the load at busy times: the busyQuantile of the distribution.
+func (h *LoadHistogram) busyLoad() float64 {
 	total := 0.0
-	for _, w := range b.Weights {
+	for _, w := range h.Weights {
 		total += w
 	}
 	below := 0.0
-	for i, w := range b.Weights {
+	for i, w := range h.Weights {
 		if below += w; below >= busyQuantile*total {
-			return (float64(i) + 0.5) / busyBins
+			return (float64(i) + 0.5) / loadBins
 		}
 	}
 	return 1
 }
 
 // BusyLatency returns the 99th percentile of latency that the service has
-// without batch tasks at its busy times, and false without evidence. Batch
-// tasks that bring a quiet worker no further do not change the service's
-// overall percentile much.
+// without batch tasks at its busy times, and false if there are no reports.
+// Batch tasks that raise the latency of a quiet worker no higher than that
+// hardly change the service's overall percentile.
 func (l *Learner) BusyLatency(service string) (time.Duration, bool) {
-	b := l.LoadHistograms[service]
-	if b == nil {
+	h := l.LoadHistograms[service]
+	if h == nil {
 		return 0, false
 	}
-	return l.Baseline(service, b.load())
+	return l.Baseline(service, h.busyLoad())
 }
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -1,20 +1,22 @@
-// Package learner estimates how much batch tasks slow down a service.
+// Package learner estimates by how much batch tasks slow down the services on
+// the same worker.
 //
 // # Model
 //
-// For each service and band of load, the logarithm of the 99th percentile of
-// latency is taken as a baseline, linear in load, plus, for each class of batch tasks, a
-// coefficient times the share of the worker's processors that the class held.
-// Each band is a Bayesian linear regression: coefficients without evidence
-// stay at the prior, evidence ages because uncertainty grows with time, and
-// the upper bound is the mean plus a multiple of the standard deviation.
+// Every batch task belongs to an interference class. For each service and band
+// of load, the logarithm of the 99th percentile of latency is modelled as a
+// baseline, linear in load, plus for each class a coefficient times the share
+// of the worker's processors that the class held. Each band is a Bayesian
+// linear regression: coefficients of classes without reports keep the prior,
+// old reports lose weight because uncertainty grows with time, and the upper
+// bound of an estimate is its mean plus a multiple of its standard deviation.
 //
 //	l := learner.New(learner.Options{})
 //	l.Observe(sample)
-//	mean, upper := l.Estimate("menu-desk", "translate", 0.6)
+//	mean, upper := l.Coefficient("menu-desk", "translate", 0.6)
 //
-// Reports are late: a [Timeline] keeps what ran on each worker, so that a
-// sample holds what ran in the interval that it measures.
+// Reports arrive late. A [Timeline] keeps what ran on each worker, so that a
+// sample contains what ran during the interval that its report covers.
 package learner
 
 import (
@@ -27,40 +29,42 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Bands is the number of load bands, of equal width.
+// Bands is the number of load bands. They have equal width and cover loads from
+// 0 to 1.
 const Bands = 4
 
-// Options set the prior and the speed of forgetting. Zero fields take defaults.
+// Options set the prior and how fast reports lose weight. Zero fields take
+// defaults.
 type Options struct {
-	Prior       float64       // coefficient of a class without evidence
+	Prior       float64       // coefficient of a class without reports
 	Deviation   float64       // standard deviation of the prior
 	Noise       float64       // standard deviation of one report's log latency
-	UpperSigmas float64       // standard deviations from mean to upper bound
-	HalfLife    time.Duration // in which a coefficient's evidence loses half of its weight
-	MaxClasses     int           // classes for each service and band; later ones share one coefficient
+	UpperSigmas float64       // standard deviations from the mean to the upper bound
+	HalfLife    time.Duration // time in which reports lose half of their weight
+	MaxClasses  int           // classes with a coefficient of their own in each service and band; the last one is shared by all further classes
 }
 
-// Sample is one report with what ran on the worker during its interval.
+// Sample is one latency report with what ran on the worker during its interval.
 type Sample struct {
 	Worker  string
 	Latency runner.Latency
-	Shares  map[string]float64 // share of the worker's processors by class, averaged over the interval
+	Shares  map[string]float64 // mean share of the worker's processors by class, 0 to 1
 }
 
 // Learner holds the estimates. It is not safe for concurrent use.
 type Learner struct {
-	Options Options
-	Models  map[ModelKey]*Model
-	LoadHistograms    map[string]*LoadHistogram // by service
+	Options        Options
+	Models         map[ModelKey]*Model
+	LoadHistograms map[string]*LoadHistogram // by service
 }
 
-// ModelKey names one regression.
+// ModelKey identifies one regression.
 type ModelKey struct {
 	Service string
 	Band    int
 }
 
-// New returns a Learner without evidence.
+// New returns a Learner without reports.
 func New(o Options) *Learner {
 	o.Prior = orDefault(o.Prior, 0.4)
 	o.Deviation = orDefault(o.Deviation, 0.6)
@@ -71,12 +75,13 @@
 	return &Learner{Options: o, Models: make(map[ModelKey]*Model), LoadHistograms: make(map[string]*LoadHistogram)}
 }
 
-// Band returns the band of a load, 0 to Bands-1.
+// Band returns the index of the band that contains a load from 0 to 1.
 func Band(load float64) int {
 	return min(max(int(load*Bands), 0), Bands-1)
 }
 
-// Observe takes in a sample. Samples without requests are ignored.
+// Observe updates the estimates with a sample. Samples without requests are
+// ignored.
 func (l *Learner) Observe(s Sample) {
 	if s.Latency.P99 <= 0 || s.Latency.Count <= 0 {
 		return
@@ -88,16 +93,17 @@
 		l.Models[key] = m
 	}
 	m.observe(l.Options, s)
-	b := l.LoadHistograms[key.Service]
-	if b == nil {
-		b = &LoadHistogram{}
-		l.LoadHistograms[key.Service] = b
+	h := l.LoadHistograms[key.Service]
+	if h == nil {
+		h = &LoadHistogram{}
+		l.LoadHistograms[key.Service] = h
 	}
-	b.add(s.Latency.Load, s.Latency.Count, s.Latency.To)
+	h.add(s.Latency.Load, s.Latency.Count, s.Latency.To)
 }
 
-// Coefficient returns the coefficient of a class for a service at a load: the
-// logarithm of the slow-down if the class held all of the worker's processors.
+// Coefficient returns the coefficient of a class for a service at a load, with
+// its upper bound: the logarithm of the slowdown if the class held all of the
+// worker's processors.
 func (l *Learner) Coefficient(service, class string, load float64) (mean, upper float64) {
 	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
@@ -106,22 +112,23 @@
 	return m.estimate(l.Options, map[string]float64{class: 1})
 }
 
-// noEvidence is the model of a service without reports. It is only read.
-var noEvidence = newModel(1)
+// emptyModel is the model of a service without reports. It must not be changed.
+var emptyModel = newModel(1)
 
-// Slowdown returns the expected relative slow-down, 0.1 being 10 %, of a
-// service by classes that hold the given shares of processors.
+// Slowdown returns the expected relative slowdown of a service, 0.1 being 10 %,
+// and its upper bound, when classes hold the given shares of the worker's
+// processors.
 func (l *Learner) Slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
 	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
-		m = noEvidence
+		m = emptyModel
 	}
 	mean, upper = m.estimate(l.Options, shares)
 	return math.Expm1(max(mean, 0)), math.Expm1(max(upper, 0))
 }
 
 // Baseline returns the 99th percentile of latency expected without batch
-// tasks, and false without evidence.
+// tasks, and false if there are no reports at this band of load.
 func (l *Learner) Baseline(service string, load float64) (time.Duration, bool) {
 	m := l.Models[ModelKey{service, Band(load)}]
 	if m == nil {
@@ -130,8 +137,8 @@
 	return time.Duration(math.Exp(m.baseline(load)) * float64(time.Second)), true
 }
 
-// Explain returns one line on each load band in which the service was seen
-// beside the class.
+// Explain returns one line for operators on each load band with reports of the
+// service while the class ran on the same worker.
 func (l *Learner) Explain(service, class string) []string {
 	var out []string
 	for band := range Bands {
@@ -148,7 +155,8 @@
 	return out
 }
 
-// Classes returns the classes that a service was seen beside, in order.
+// Classes returns the sorted classes that ran on a worker while the service
+// reported from it.
 func (l *Learner) Classes(service string) []string {
 	seen := make(map[string]bool)
 	for key, m := range l.Models {
@@ -162,10 +170,10 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-func orDefault[T comparable](v, otherwise T) T {
+func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
-		return otherwise
+		return fallback
 	}
 	return v
 }
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 3, 2, 6, 0, 0, 0, time.UTC)
 
-// report is a noisy report of a service whose latency is 20 ms alone and grows
-// by exp(0.8 * share of "heavy").
+// report returns a noisy sample of a service whose latency is 20 ms alone and
+// multiplied by exp(0.8 * share of "heavy").
 func report(r *rand.Rand, at time.Time, heavy, light float64) Sample {
 	seconds := 0.02 * math.Exp(0.8*heavy+0.2*r.NormFloat64())
 	return Sample{
@@ -38,14 +38,14 @@
 }
 
 var _ = Describe("Learner", func() {
-	It("stays at the prior without evidence", func() {
+	It("returns the prior without reports", func() {
 		l := New(Options{})
 		mean, upper := l.Coefficient("desk", "heavy", 0.6)
 		Expect(mean).To(Equal(l.Options.Prior))
 		Expect(upper).To(BeNumerically(">", mean))
 	})
 
-	It("tells classes apart from noisy reports", func() {
+	It("distinguishes classes in noisy reports", func() {
 		l := trained(600)
 		heavy, upper := l.Coefficient("desk", "heavy", 0.6)
 		light, _ := l.Coefficient("desk", "light", 0.6)
@@ -57,12 +57,12 @@
 		Expect(base).To(BeNumerically("~", 20*time.Millisecond, 2*time.Millisecond))
 	})
 
-	It("shrinks towards the prior with few reports", func() {
+	It("stays near the prior with few reports", func() {
 		heavy, _ := trained(3).Coefficient("desk", "heavy", 0.6)
 		Expect(heavy).To(BeNumerically("~", 0.4, 0.25))
 	})
 
-	It("grows less certain with age", func() {
+	It("becomes less certain with time", func() {
 		l := trained(600)
 		mean, upper := l.Coefficient("desk", "heavy", 0.6)
 		late := report(rand.New(rand.NewPCG(1, 1)), start.Add(24*time.Hour), 0, 0)
@@ -72,12 +72,12 @@
 		Expect(math.Abs(agedMean - l.Options.Prior)).To(BeNumerically("<", math.Abs(mean-l.Options.Prior)))
 	})
 
-	It("cuts off single wild reports", func() {
+	It("limits the effect of a single outlier", func() {
 		l := trained(600)
 		before, _ := l.Coefficient("desk", "heavy", 0.6)
-		wild := report(rand.New(rand.NewPCG(1, 1)), start.Add(2*time.Hour), 0.5, 0)
-		wild.Latency.P99 = 20 * time.Second
-		l.Observe(wild)
+		outlier := report(rand.New(rand.NewPCG(1, 1)), start.Add(2*time.Hour), 0.5, 0)
+		outlier.Latency.P99 = 20 * time.Second
+		l.Observe(outlier)
 		after, _ := l.Coefficient("desk", "heavy", 0.6)
 		Expect(after - before).To(BeNumerically("<", 0.3))
 	})
@@ -91,7 +91,7 @@
 		Expect(model.Index["heavy"]).To(Equal(model.Index["light"]))
 	})
 
-	It("explains what it saw", func() {
+	It("explains what the reports showed", func() {
 		lines := trained(600).Explain("desk", "heavy")
 		Expect(lines).To(HaveLen(1))
 		Expect(lines[0]).To(HavePrefix("desk beside heavy at load 50-75 %: half of the worker slows it by "))
@@ -99,7 +99,7 @@
 })
 
 var _ = Describe("Timeline", func() {
-	It("attributes only over the time when both ran", func() {
+	It("weights shares by the time for which they were held", func() {
 		var t Timeline
 		t.Record("w", start, nil)
 		t.Record("w", start.Add(15*time.Second), map[string]float64{"heavy": 0.4})
@@ -108,14 +108,14 @@
 		Expect(shares["heavy"]).To(BeNumerically("~", 0.2, 1e-9))
 	})
 
-	It("knows nothing before its beginning", func() {
+	It("returns false for an interval that begins before its first change", func() {
 		var t Timeline
 		t.Record("w", start, nil)
 		_, ok := t.Average("w", start.Add(-time.Second), start.Add(time.Second))
 		Expect(ok).To(BeFalse())
 	})
 
-	It("keeps a bounded past", func() {
+	It("drops changes older than its retention", func() {
 		t := Timeline{Retention: time.Minute}
 		for i := range 1000 {
 			t.Record("w", start.Add(time.Duration(i)*time.Second), nil)
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// Model is the regression of one service and band. Index 0 is the baseline in
-// the middle of the band, index 1 the slope by load within the band, the
-// others are classes in order of appearance; the last possible one is shared
-// by all further classes.
+// Model is the regression of one service and band. Coefficient 0 is the log
+// latency without batch tasks in the middle of the band, coefficient 1 its slope
+// by load within the band. The others belong to classes in order of appearance;
+// the last one is shared by all classes beyond Options.MaxClasses.
 type Model struct {
-	Classes    []string // in order of appearance
-	Index      map[string]int
-	Seen       map[string]int // reports beside each class
-	Mean       []float64
-	Covariance [][]float64
-	Updated    time.Time
+	Classes    []string       // in order of appearance
+	Index      map[string]int // coefficient of each class
+	Seen       map[string]int // number of reports while each class ran
+	Mean       []float64      // of each coefficient
+	Covariance [][]float64    // of the coefficients
+	Updated    time.Time      // end of the latest report
 }
 
-const fixed = 2 // coefficients that are not classes
+const baseCoefficients = 2 // number of coefficients that belong to no class
 
 const (
-	baselineDeviation = 1.0 // of the first report's log latency
-	baselineDrift     = 0.3 // standard deviation that the baseline gains in a half-life
-	slopePrior        = 1.0 // growth of log latency over the whole range of load
-	slopeDeviation    = 1.0
-	minShare          = 0.01 // a class below this share of processors is not counted as seen
-	clip              = 2.5  // standard deviations beyond which a residual is cut
+	baselineDeviation = 1.0  // standard deviation of the first baseline, which is the first report's log latency
+	baselineDrift     = 0.3  // approximate standard deviation that the baseline gains in a half-life
+	slopePrior        = 1.0  // growth of log latency from load 0 to 1
+	slopeDeviation    = 1.0  // standard deviation of slopePrior
+	minShare          = 0.01 // share of processors below which a class does not count as seen
+	maxResidual       = 2.5  // standard deviations; larger residuals are clipped
 )
 
 func newModel(seconds float64) *Model {
 	m := &Model{Index: make(map[string]int), Seen: make(map[string]int)}
-	m.grow(math.Log(seconds), baselineDeviation*baselineDeviation)
-	m.grow(slopePrior, slopeDeviation*slopeDeviation)
+	m.addCoefficient(math.Log(seconds), baselineDeviation*baselineDeviation)
+	m.addCoefficient(slopePrior, slopeDeviation*slopeDeviation)
 	return m
 }
 
-// observe is one step of a Kalman filter whose state is the coefficients.
+// observe updates the coefficients, which are the state of a Kalman filter, with
+// one sample.
 func (m *Model) observe(o Options, s Sample) {
 	m.age(o, s.Latency.To)
 	x := m.regressors(o, s)
-	px := m.times(x)
-	predicted, variance := 0.0, noise(o, s.Latency.Count)
+	px := m.covarianceTimes(x)
+	predicted, variance := 0.0, reportVariance(o, s.Latency.Count)
 	for i, xi := range x {
 		predicted += xi * m.Mean[i]
 		variance += xi * px[i]
 	}
 	residual := math.Log(s.Latency.P99.Seconds()) - predicted
-	limit := clip * math.Sqrt(variance)
+	limit := maxResidual * math.Sqrt(variance)
 	residual = min(max(residual, -limit), limit)
 	for i := range m.Mean {
 		m.Mean[i] += px[i] / variance * residual
@@ -61,21 +62,22 @@
 	}
 }
 
-// age lets evidence lose its weight: means decay towards the prior and
-// variances grow towards the prior's. The baseline only becomes less certain.
+// age reduces the weight of earlier reports: the classes' means decay towards
+// the prior and their variances grow towards the prior's. The baseline keeps
+// its mean and only becomes less certain.
 func (m *Model) age(o Options, now time.Time) {
 	passed := now.Sub(m.Updated)
 	if m.Updated.IsZero() {
 		passed = 0
 	}
 	if passed < 0 {
-		return // a report later than a newer one
+		return // reports can arrive out of order
 	}
 	m.Updated = now
 	keep := math.Exp2(-passed.Seconds() / o.HalfLife.Seconds())
 	scale := math.Sqrt(keep)
 	decay := func(i int) float64 {
-		if i < fixed {
+		if i < baseCoefficients {
 			return 1
 		}
 		return scale
@@ -85,7 +87,7 @@
 			m.Covariance[i][j] *= decay(i) * decay(j)
 		}
 		prior := o.Deviation * o.Deviation
-		if i < fixed {
+		if i < baseCoefficients {
 			prior = baselineDrift * baselineDrift
 		} else {
 			m.Mean[i] = o.Prior + scale*(m.Mean[i]-o.Prior)
@@ -94,7 +96,8 @@
 	}
 }
 
-// regressors returns the vector of a report and adds unknown classes.
+// regressors returns the regressors of a sample and adds a coefficient for each
+// class that is new.
 func (m *Model) regressors(o Options, s Sample) []float64 {
 	shares := s.Shares
 	for _, class := range slices.Sorted(maps.Keys(shares)) {
@@ -105,15 +108,15 @@
 		if _, ok := m.Index[class]; ok {
 			continue
 		}
-		if len(m.Mean) < o.MaxClasses+fixed {
-			m.grow(o.Prior, o.Deviation*o.Deviation)
+		if len(m.Mean) < o.MaxClasses+baseCoefficients {
+			m.addCoefficient(o.Prior, o.Deviation*o.Deviation)
 		}
 		m.Index[class] = len(m.Mean) - 1
 		m.Classes = append(m.Classes, class)
 	}
 	x := make([]float64, len(m.Mean))
 	x[0] = 1
-	x[1] = offset(s.Latency.Load)
+	x[1] = bandOffset(s.Latency.Load)
 	for _, class := range slices.Sorted(maps.Keys(shares)) {
 		if i, ok := m.Index[class]; ok {
 			x[i] += shares[class]
@@ -122,7 +125,8 @@
 	return x
 }
 
-// estimate returns mean and upper bound of the log slow-down.
+// estimate returns the mean and the upper bound of the log slowdown by classes
+// with the given shares of processors.
 func (m *Model) estimate(o Options, shares map[string]float64) (mean, upper float64) {
 	x := make([]float64, len(m.Mean))
 	known := 0
@@ -134,7 +138,7 @@
 	}
 	variance := 0.0
 	if known < len(shares) {
-		mean, variance = m.unknown(o, shares)
+		mean, variance = m.unseenClasses(o, shares)
 	}
 	for i, xi := range x {
 		if xi == 0 {
@@ -148,8 +152,8 @@
 	return mean, mean + o.UpperSigmas*math.Sqrt(max(variance, 0))
 }
 
-// unknown returns the prior's part for classes that were never seen.
-func (m *Model) unknown(o Options, shares map[string]float64) (mean, variance float64) {
+// unseenClasses returns the prior's contribution of the classes without reports.
+func (m *Model) unseenClasses(o Options, shares map[string]float64) (mean, variance float64) {
 	for _, class := range slices.Sorted(maps.Keys(shares)) {
 		if _, ok := m.Index[class]; !ok {
 			mean += shares[class] * o.Prior
@@ -159,13 +163,14 @@
 	return mean, variance
 }
 
-// baseline returns the log latency without batch tasks.
-func (m *Model) baseline(load float64) float64 { return m.Mean[0] + m.Mean[1]*offset(load) }
+// baseline returns the log latency, in seconds, without batch tasks.
+func (m *Model) baseline(load float64) float64 { return m.Mean[0] + m.Mean[1]*bandOffset(load) }
 
-// offset returns how far a load is from the middle of its band.
-func offset(load float64) float64 { return load - (float64(Band(load))+0.5)/Bands }
+// bandOffset returns how far a load is from the middle of its band.
+func bandOffset(load float64) float64 { return load - (float64(Band(load))+0.5)/Bands }
 
-func (m *Model) times(x []float64) []float64 {
+// covarianceTimes returns the product of the covariance matrix and x.
+func (m *Model) covarianceTimes(x []float64) []float64 {
 	out := make([]float64, len(x))
 	for i, row := range m.Covariance {
 		for j, v := range row {
@@ -175,7 +180,8 @@
 	return out
 }
 
-func (m *Model) grow(mean, variance float64) {
+// addCoefficient appends a coefficient that is independent of the others.
+func (m *Model) addCoefficient(mean, variance float64) {
 	for i := range m.Covariance {
 		m.Covariance[i] = append(m.Covariance[i], 0)
 	}
@@ -185,9 +191,10 @@
 	m.Covariance = append(m.Covariance, row)
 }
 
-// noise returns the variance of a report; few requests make it noisier.
-func noise(o Options, count int64) float64 {
-	const enough = 200 // requests from which a 99th percentile is as good as it gets
-	scarce := max(1, enough/float64(count))
-	return o.Noise * o.Noise * min(scarce, 20)
+// reportVariance returns the variance of a report's log latency, which is higher
+// the fewer requests the report covers.
+func reportVariance(o Options, count int64) float64 {
+	const enough = 200 // requests; more do not make the 99th percentile more precise
+	factor := max(1, enough/float64(count))
+	return o.Noise * o.Noise * min(factor, 20)
 }
--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Timeline keeps what ran on each worker in the recent past, so that late
-// reports meet what ran when they were measured.
+// Timeline is the recent history of the shares of processors that batch classes
+// held on each worker. It tells what ran during the interval of a late report.
+// Its zero value is ready to use.
 type Timeline struct {
-	Retention    time.Duration // how far back; zero means 5 minutes
-	Workers map[string][]ShareChange
+	Retention time.Duration            // how long changes are kept; zero means 5 minutes
+	Workers   map[string][]ShareChange // by worker name, in order of time
 }
 
-// ShareChange is the shares of processors by class from a time on.
+// ShareChange holds the shares of processors by class from a time on.
 type ShareChange struct {
 	At     time.Time
 	Shares map[string]float64
 }
 
-// Record says what runs on a worker from now on. Call it at each change of
-// grants, with accountant.Worker.Shares.
+// Record sets the shares of a worker from now on. It must be called at each
+// change of its grants, with the result of accountant.Worker.BatchShares.
 func (t *Timeline) Record(worker string, now time.Time, shares map[string]float64) {
 	if t.Workers == nil {
 		t.Workers = make(map[string][]ShareChange)
@@ -34,8 +35,8 @@
 	t.Workers[worker] = append(changes, ShareChange{now, shares})
 }
 
-// Average returns the shares averaged over an interval, and false if the
-// timeline does not reach back to its beginning.
+// Average returns a worker's mean shares over an interval, and false if the
+// timeline does not reach back to the beginning of the interval.
 func (t *Timeline) Average(worker string, from, to time.Time) (map[string]float64, bool) {
 	changes := t.Workers[worker]
 	total := to.Sub(from).Seconds()
@@ -62,5 +63,5 @@
 	return out, true
 }
 
-// Forget drops a worker.
+// Forget removes a worker.
 func (t *Timeline) Forget(worker string) { delete(t.Workers, worker) }
