--- a/internal/control/escalator/budget.go
+++ b/internal/control/escalator/budget.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Budget is a token bucket of evictions that refills with the time that its
-// callers state. A zero Budget allows none.
+// Budget is a token bucket that limits evictions. It refills by the times that
+// callers pass in. A zero Budget allows no evictions.
 type Budget struct {
-	Burst  float64 // most evictions at once
-	Hourly float64 // evictions an hour in the long run
-	Tokens float64
-	At     time.Time // of Tokens
+	Burst  float64   // capacity of the bucket, in evictions
+	Hourly float64   // evictions per hour that refill it
+	Tokens float64   // evictions left at the time At
+	At     time.Time // time of the last refill
 }
 
 // NewBudget returns a full bucket.
@@ -16,13 +16,13 @@
 	return &Budget{Burst: burst, Hourly: hourly, Tokens: burst, At: now}
 }
 
-// Available returns how many evictions are allowed at once now.
+// Available returns how many evictions are allowed now.
 func (b *Budget) Available(now time.Time) int {
 	b.refill(now)
 	return int(b.Tokens)
 }
 
-// Take uses one eviction and reports whether there was one left.
+// Take takes one eviction out of the bucket and reports whether there was one.
 func (b *Budget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.Tokens < 1 {
@@ -32,6 +32,8 @@
 	return true
 }
 
+// refill adds the evictions gained since the last refill. Times in the past are
+// ignored.
 func (b *Budget) refill(now time.Time) {
 	if passed := now.Sub(b.At); passed > 0 {
 		b.Tokens = min(b.Burst, b.Tokens+b.Hourly*passed.Hours())
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -1,15 +1,16 @@
-// Package escalator decides what to do on a worker whose services miss their
-// latency targets because of colocated batch tasks.
+// Package escalator decides how to protect the services on a worker when batch
+// tasks on the same worker make them miss their latency targets.
 //
 // # Steps
 //
-// The steps, in rising cost, are: keep new batch tasks off, throttle, move
-// (checkpoint and resume elsewhere), stop (without waiting for a checkpoint).
-// [Decide] takes the cheapest step that is expected to restore the target,
-// waits until late reports can show its effect, and only then goes on. Moves
-// and stops are taken from a [Budget]. Reports are smoothed, and the bound at
-// which steps are undone is lower than the one at which they are taken, so
-// that noise does not cause a swing.
+// The steps, in order of rising cost, are: block the placement of new batch
+// tasks, throttle batch tasks, move them (checkpoint and resume on another
+// worker), and stop them (without waiting for a checkpoint). [Decide] takes the
+// cheapest step that is expected to restore the target, waits until reports,
+// which arrive late, can show its effect, and only then takes the next. Moves
+// and stops are evictions, which a [Budget] limits. Latency reports are
+// smoothed, and steps are undone at a lower latency than they are taken, so
+// that noise doesn't make the decisions oscillate.
 //
 //	for _, action := range escalator.Decide(input) {
 //		// carry out
@@ -29,13 +30,13 @@
 // Kind is the kind of an action.
 type Kind uint8
 
-// Kinds of action, in rising cost; Unthrottle undoes a throttle.
+// Kinds of action, in order of rising cost.
 const (
-	Unthrottle Kind = iota
-	BlockBatch
-	Throttle
-	Move
-	Stop
+	Unthrottle Kind = iota // return the processors that a throttle took
+	BlockBatch             // place no batch tasks on the worker for a while
+	Throttle               // reduce the processors granted to a task
+	Move                   // checkpoint a task and resume it on another worker
+	Stop                   // end a task without waiting for a checkpoint
 )
 
 func (k Kind) String() string {
@@ -54,43 +55,45 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// Action is one thing to do on the worker.
+// Action is one thing to do on the worker. Fields that its kind does not use are
+// zero.
 type Action struct {
 	Kind   Kind
-	Task   describer.TaskID // all but KeepOff
-	Token  describer.Token  // of the run
-	CPU    int64            // Raise, Throttle: new grant in millicores
-	Until  time.Time        // KeepOff
-	Reason string
+	Task   describer.TaskID // unused by BlockBatch
+	Token  describer.Token  // of the task's run; unused by BlockBatch
+	CPU    int64            // new grant in millicores; used by Unthrottle and Throttle
+	Until  time.Time        // end of the block; used by BlockBatch
+	Reason string           // for operators
 }
 
-// Input is what a decision is made from. State and Budget are changed.
+// Input is what a decision is made from. Decide changes State and Budget, and
+// only reads the rest.
 type Input struct {
 	Now           time.Time
 	Worker        *accountant.Worker
 	Services      map[string]describer.Service // by name
-	Learner       *learner.Learner
-	LatencyBounds map[string]time.Duration // optional, by service: throttle where more is expected
-	State         *State                   // of the worker, kept between calls
-	Budget        *Budget                  // shared by the shard's workers
+	Learner       *learner.Learner             // optional, estimates the slowdown by batch tasks
+	LatencyBounds map[string]time.Duration     // optional, by service; an expected latency above its bound leads to throttling
+	State         *State                       // of this worker, kept between calls
+	Budget        *Budget                      // shared by the shard's workers; nil means unlimited
 	Options       Options
 }
 
-// Options tune the decisions. Zero fields take defaults.
+// Options are the parameters of the decisions. Zero fields take defaults.
 type Options struct {
-	EscalateAbove  float64       // share of the target above which steps are taken
-	RelaxBelow  float64       // share of the target below which they are undone
-	StepInterval time.Duration // between steps, longer than the lag of reports
-	EvictAfter time.Duration // for which a target must be missed without a break before evictions
-	Smoothing float64       // of the newest report in the smoothed latency
-	ThrottleShare  float64       // share of its grant that a throttled task keeps
-	MinSlowdown  float64       // relative slow-down by batch below which batch is not to blame
+	EscalateAbove float64       // latency as a share of the target above which steps are taken
+	RelaxBelow    float64       // latency as a share of the target below which throttles are undone
+	StepInterval  time.Duration // minimum time between steps, longer than the delay of reports
+	EvictAfter    time.Duration // time for which a target must be missed without interruption before evictions
+	Smoothing     float64       // weight of the newest report in the exponentially smoothed latency
+	ThrottleShare float64       // share of its grant that a throttled task keeps
+	MinSlowdown   float64       // estimated relative slowdown by batch tasks below which they are left alone
 }
 
 func (o Options) orDefault() Options {
-	set := func(v *float64, otherwise float64) {
+	set := func(v *float64, fallback float64) {
 		if *v == 0 {
-			*v = otherwise
+			*v = fallback
 		}
 	}
 	set(&o.EscalateAbove, 1)
@@ -107,29 +110,30 @@
 	return o
 }
 
-// State is what is remembered about one worker. Its zero value is ready to use.
+// State is the memory of the decisions on one worker. Its zero value is ready to
+// use.
 type State struct {
-	Services  map[string]*Smoothed
-	Throttled map[describer.TaskID]int64 // grant before throttling, millicores
-	LastStep     time.Time                  // last step or undoing
-	MissedSince    time.Time                  // since when a target is missed without a break; zero if met
-	RelaxedSince      time.Time                  // since when all targets are kept with ease; zero if not
-	LastUnthrottle    time.Time                  // last undoing
-	UnthrottleDelay      time.Duration              // of calm before the next undoing; doubles when one was premature
-	Level     Kind                       // of the last step; Raise when at rest
+	Services        map[string]*Smoothed       // by name
+	Throttled       map[describer.TaskID]int64 // millicores granted before throttling
+	LastStep        time.Time                  // time of the last step or undoing
+	MissedSince     time.Time                  // start of the uninterrupted time in which a target is missed; zero if all are met
+	RelaxedSince    time.Time                  // start of the uninterrupted time below RelaxBelow; zero if above
+	LastUnthrottle  time.Time                  // time of the last undoing
+	UnthrottleDelay time.Duration              // time below RelaxBelow before the next undoing; doubles when one was premature
+	Level           Kind                       // kind of the last step; Unthrottle if nothing is throttled
 }
 
-// Smoothed is the smoothed latency of one service.
+// Smoothed is the exponentially smoothed latency of one service.
 type Smoothed struct {
-	Log  float64 // logarithm of the 99th percentile as a share of the target
-	Last time.Time
+	Log  float64   // logarithm of the 99th percentile as a share of the target
+	Last time.Time // end of the latest report's interval
 }
 
-// Decide returns what to do on the worker now, or nothing.
+// Decide returns the actions to take on the worker now, if any.
 func Decide(in Input) []Action {
 	in.Options = in.Options.orDefault()
-	in.State.take(in)
-	service, ratio := in.State.worst()
+	in.State.update(in)
+	service, ratio := in.State.slowest()
 	in.State.MissedSince = since(in.State.MissedSince, in.Now, ratio > in.Options.EscalateAbove)
 	in.State.RelaxedSince = since(in.State.RelaxedSince, in.Now, ratio < in.Options.RelaxBelow)
 	switch {
@@ -138,9 +142,9 @@
 	case ratio > in.Options.EscalateAbove:
 		return escalate(in, service, ratio)
 	}
-	if service, excess := expected(in); excess > 1 {
+	if service, excess := highestExpected(in); excess > 1 {
 		in.State.RelaxedSince = time.Time{}
-		return prevent(in, service, excess)
+		return throttleAhead(in, service, excess)
 	}
 	switch {
 	case ratio < in.Options.RelaxBelow:
@@ -149,8 +153,9 @@
 	return nil
 }
 
-// take smooths the reports that are new.
-func (s *State) take(in Input) {
+// update adds new reports to the smoothed latencies and forgets throttled tasks
+// that have left the worker.
+func (s *State) update(in Input) {
 	if s.Services == nil {
 		s.Services = make(map[string]*Smoothed)
 		s.Throttled = make(map[describer.TaskID]int64)
@@ -178,8 +183,8 @@
 	}
 }
 
-// worst returns the service with the highest share of its target.
-func (s *State) worst() (service string, ratio float64) {
+// slowest returns the service whose latency is the highest share of its target.
+func (s *State) slowest() (service string, ratio float64) {
 	for name, v := range s.Services {
 		r := math.Exp(v.Log)
 		if r > ratio || r == ratio && name < service {
@@ -189,20 +194,21 @@
 	return service, ratio
 }
 
-// since returns the time from which a condition holds without a break.
-func since(before, now time.Time, holds bool) time.Time {
+// since returns from when on a condition holds without interruption, or zero if
+// it doesn't hold now. start is the result of the previous call.
+func since(start, now time.Time, holds bool) time.Time {
 	switch {
 	case !holds:
 		return time.Time{}
-	case before.IsZero():
+	case start.IsZero():
 		return now
 	}
-	return before
+	return start
 }
 
-// expected returns the service whose expected latency is the highest as a
-// share of its bound.
-func expected(in Input) (service string, excess float64) {
+// highestExpected returns the service whose expected latency is the highest
+// share of its bound, and that share.
+func highestExpected(in Input) (service string, excess float64) {
 	if in.Learner == nil {
 		return "", 0
 	}
@@ -214,9 +220,9 @@
 			continue
 		}
 		mean, _ := in.Learner.Slowdown(name, shares, load)
-		e := base.Seconds() * (1 + mean) / bound.Seconds()
-		if e > excess || e == excess && name < service {
-			service, excess = name, e
+		share := base.Seconds() * (1 + mean) / bound.Seconds()
+		if share > excess || share == excess && name < service {
+			service, excess = name, share
 		}
 	}
 	return service, excess
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	premature   = 30 * time.Minute // an undoing after which a throttle comes sooner was premature
-	longestHold = time.Hour
+	prematureWithin    = 30 * time.Minute // an undoing followed by a throttle within this time was premature
+	maxUnthrottleDelay = time.Hour
 )
 
-// suspect is a batch task with its part in the slow-down of a service.
-type suspect struct {
-	task  describer.TaskID
-	coeff float64 // log slow-down for all of the worker's processors
-	cpu   int64   // granted, millicores
-	slow  float64 // log slow-down at its grant
+// contributor is a batch task with its estimated share in the slowdown of a
+// service.
+type contributor struct {
+	task        describer.TaskID
+	coefficient float64 // log slowdown if it held all of the worker's processors
+	cpu         int64   // granted millicores
+	slowdown    float64 // log slowdown by the processors granted to it
 }
 
-// escalate takes the next step.
+// escalate blocks batch placement while a service misses its target, and takes
+// the next step when the previous one has had time to show its effect.
 func escalate(in Input, service string, ratio float64) []Action {
 	actions := []Action{{
 		Kind:   BlockBatch,
@@ -33,153 +35,156 @@
 	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval {
 		return actions
 	}
-	suspects := suspectsOf(in, service)
+	batch := contributors(in, service)
 	total := 0.0
-	for _, s := range suspects {
-		total += s.slow
+	for _, c := range batch {
+		total += c.slowdown
 	}
 	if math.Expm1(total) < in.Options.MinSlowdown {
-		return actions // without batch tasks it would be as slow
+		return actions // it would be about as slow without batch tasks
 	}
 	need := math.Log(ratio / in.Options.EscalateAbove)
-	if throttles := throttle(in, suspects, need, service); len(throttles) > 0 {
-		in.State.backOff(in.Now)
-		return in.State.acted(in.Now, Throttle, append(actions, throttles...))
+	if throttles := throttle(in, batch, need, service); len(throttles) > 0 {
+		in.State.adjustDelay(in.Now)
+		return in.State.record(in.Now, Throttle, append(actions, throttles...))
 	}
 	if in.Now.Sub(in.State.MissedSince) < in.Options.EvictAfter {
-		return actions // a wave passes, an eviction does not
+		return actions // a short rise in latency does not justify the loss of progress by an eviction
 	}
 	kind := Move
 	if in.State.Level >= Move && ratio > 2*in.Options.EscalateAbove {
 		kind = Stop
 	}
-	evictions := evict(in, suspects, kind, need, service)
+	evictions := evict(in, batch, kind, need, service)
 	if len(evictions) == 0 {
 		return actions
 	}
-	return in.State.acted(in.Now, kind, append(actions, evictions...))
+	return in.State.record(in.Now, kind, append(actions, evictions...))
 }
 
-// prevent throttles, and no more, where a service is expected to exceed its
-// bound because load has risen since its batch tasks were placed.
-func prevent(in Input, service string, excess float64) []Action {
+// throttleAhead throttles batch tasks when a service is expected to exceed its
+// latency bound although it still meets its target, as when load has risen since
+// the tasks were placed. It never evicts.
+func throttleAhead(in Input, service string, excess float64) []Action {
 	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval {
 		return nil
 	}
-	throttles := throttle(in, suspectsOf(in, service), math.Log(excess), service)
+	throttles := throttle(in, contributors(in, service), math.Log(excess), service)
 	if len(throttles) == 0 {
 		return nil
 	}
-	in.State.backOff(in.Now)
-	return in.State.acted(in.Now, max(in.State.Level, Throttle), throttles)
+	in.State.adjustDelay(in.Now)
+	return in.State.record(in.Now, max(in.State.Level, Throttle), throttles)
 }
 
-// relax undoes throttles, one task at a time, the largest first.
+// relax undoes throttles after latency has stayed low for long enough, one task
+// at a time, starting with the one that lost the most processors.
 func relax(in Input) []Action {
 	in.State.UnthrottleDelay = max(in.State.UnthrottleDelay, 2*in.Options.StepInterval)
 	if in.Now.Sub(in.State.LastStep) < in.Options.StepInterval || in.Now.Sub(in.State.RelaxedSince) < in.State.UnthrottleDelay {
 		return nil
 	}
 	var best describer.TaskID
-	missing := int64(0)
+	reduction := int64(0)
 	for _, task := range in.Worker.Tasks() {
 		before, ok := in.State.Throttled[task]
 		if !ok {
 			continue
 		}
-		if m := before - in.Worker.Grants[task].Resources.CPU; m > missing {
-			best, missing = task, m
+		if r := before - in.Worker.Grants[task].Resources.CPU; r > reduction {
+			best, reduction = task, r
 		}
 	}
-	if missing == 0 {
+	if reduction == 0 {
 		in.State.Level = Unthrottle
 		clear(in.State.Throttled)
 		return nil
 	}
-	missing = min(missing, in.Worker.Free().CPU)
-	if missing <= 0 {
+	reduction = min(reduction, in.Worker.Free().CPU)
+	if reduction <= 0 {
 		return nil
 	}
 	in.State.LastUnthrottle = in.Now
 	g := in.Worker.Grants[best]
 	delete(in.State.Throttled, best)
-	return in.State.acted(in.Now, Unthrottle, []Action{{
-		Kind: Unthrottle, Task: best, Token: g.Token, CPU: g.Resources.CPU + missing,
+	return in.State.record(in.Now, Unthrottle, []Action{{
+		Kind: Unthrottle, Task: best, Token: g.Token, CPU: g.Resources.CPU + reduction,
 		Reason: "services are within their targets again",
 	}})
 }
 
-// backOff doubles the calm that the next undoing needs if the last one was
-// premature, and halves it otherwise.
-func (s *State) backOff(now time.Time) {
+// adjustDelay is called at each new throttle. It doubles the delay before the
+// next undoing if the last undoing was premature, and halves it otherwise.
+func (s *State) adjustDelay(now time.Time) {
 	if s.LastUnthrottle.IsZero() {
 		return
 	}
-	if now.Sub(s.LastUnthrottle) < premature {
-		s.UnthrottleDelay = min(2*s.UnthrottleDelay, longestHold)
+	if now.Sub(s.LastUnthrottle) < prematureWithin {
+		s.UnthrottleDelay = min(2*s.UnthrottleDelay, maxUnthrottleDelay)
 	} else {
 		s.UnthrottleDelay /= 2
 	}
 }
 
-func (s *State) acted(now time.Time, level Kind, actions []Action) []Action {
+// record notes the time and the kind of a step and returns its actions.
+func (s *State) record(now time.Time, level Kind, actions []Action) []Action {
 	s.LastStep = now
 	s.Level = level
 	return actions
 }
 
-// suspectsOf returns the batch tasks, those with the greatest part in the
-// slow-down of the service first.
-func suspectsOf(in Input, service string) []suspect {
+// contributors returns the worker's batch tasks, ordered by their estimated
+// share in the slowdown of the service, the largest first.
+func contributors(in Input, service string) []contributor {
 	load := in.Worker.Reports[service].Load
 	capacity := float64(max(in.Worker.Host.Capacity.CPU, 1))
-	var out []suspect
+	var out []contributor
 	for _, task := range in.Worker.Tasks() {
 		g := in.Worker.Grants[task]
 		if g.Kind != describer.Batch {
 			continue
 		}
-		mean := 0.3
+		mean := 0.3 // assumed coefficient without a learner
 		if in.Learner != nil {
 			mean, _ = in.Learner.Coefficient(service, g.Class, load)
 		}
-		slow := max(mean, 0) * float64(g.Resources.CPU) / capacity
-		out = append(out, suspect{task, mean, g.Resources.CPU, slow})
+		slowdown := max(mean, 0) * float64(g.Resources.CPU) / capacity
+		out = append(out, contributor{task, mean, g.Resources.CPU, slowdown})
 	}
-	slices.SortStableFunc(out, func(a, b suspect) int { return cmp.Compare(b.slow, a.slow) })
+	slices.SortStableFunc(out, func(a, b contributor) int { return cmp.Compare(b.slowdown, a.slowdown) })
 	return out
 }
 
-// throttle lowers the grants of as few tasks as are expected to restore the
-// target, or of all.
-func throttle(in Input, suspects []suspect, need float64, service string) []Action {
+// throttle lowers the grants of as few tasks as are expected to reduce the log
+// latency by need, or of all tasks if that is not enough.
+func throttle(in Input, batch []contributor, need float64, service string) []Action {
 	var actions []Action
-	for _, s := range suspects {
-		_, done := in.State.Throttled[s.task]
-		to := int64(float64(s.cpu) * in.Options.ThrottleShare)
-		if done || to < 1 || s.slow <= 0 {
+	for _, c := range batch {
+		_, isThrottled := in.State.Throttled[c.task]
+		to := int64(float64(c.cpu) * in.Options.ThrottleShare)
+		if isThrottled || to < 1 || c.slowdown <= 0 {
 			continue
 		}
 		if need <= 0 {
 			break
 		}
-		in.State.Throttled[s.task] = s.cpu
-		need -= s.slow * (1 - in.Options.ThrottleShare)
+		in.State.Throttled[c.task] = c.cpu
+		need -= c.slowdown * (1 - in.Options.ThrottleShare)
 		actions = append(actions, Action{
-			Kind: Throttle, Task: s.task, Token: in.Worker.Grants[s.task].Token, CPU: to,
+			Kind: Throttle, Task: c.task, Token: in.Worker.Grants[c.task].Token, CPU: to,
 			Reason: "slows " + service,
 		})
 	}
 	return actions
 }
 
-// evict picks as few runs as are expected to restore the target, as far as
-// the budget goes. Urgent tasks stay.
-func evict(in Input, suspects []suspect, kind Kind, need float64, service string) []Action {
+// evict picks as few tasks as are expected to reduce the log latency by need,
+// within the eviction budget. Urgent tasks are never evicted.
+func evict(in Input, batch []contributor, kind Kind, need float64, service string) []Action {
 	var actions []Action
-	for _, s := range suspects {
-		g := in.Worker.Grants[s.task]
-		if need <= 0 || s.slow <= 0 {
+	for _, c := range batch {
+		g := in.Worker.Grants[c.task]
+		if need <= 0 || c.slowdown <= 0 {
 			break
 		}
 		if g.Priority == describer.Urgent {
@@ -188,9 +193,9 @@
 		if in.Budget != nil && !in.Budget.Take(in.Now) {
 			break
 		}
-		need -= s.slow
+		need -= c.slowdown
 		actions = append(actions, Action{
-			Kind: kind, Task: s.task, Token: g.Token,
+			Kind: kind, Task: c.task, Token: g.Token,
 			Reason: fmt.Sprintf("slows %s, and throttling was not enough", service),
 		})
 	}
