--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -12,33 +12,33 @@
 // Names of contenders that goals refer to.
 const (
 	DefaultName = "default"
-	AloneName   = "no-colocation"
+	NoColocationName   = "no-colocation"
 )
 
 // packing are the baselines that pack batch tasks beside services.
 var packing = []string{"first-fit", "least-loaded", "least-loaded-declared", "static-threshold"}
 
-// Contender is a way to decide.
-type Contender struct {
+// Variant is a way to decide.
+type Variant struct {
 	Name     string
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
 	Declared bool // grants as declared, not as measured
 	Evict    bool // evicts the newest batch task for each report above the target
-	Full     bool // learns, escalates, restores gradually and makes room for urgent tasks
+	Adaptive     bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
 
-// Contenders returns the default policy and the baselines.
-func Contenders() []Contender {
+// Variants returns the default policy and the baselines.
+func Variants() []Variant {
 	plain := func(p placer.Policy) func(Deployment, *learner.Learner) placer.Policy {
 		return func(Deployment, *learner.Learner) placer.Policy { return p }
 	}
-	return []Contender{
-		{Name: AloneName, Policy: plain(placer.NoColocation{})},
+	return []Variant{
+		{Name: NoColocationName, Policy: plain(placer.NoColocation{})},
 		{Name: "first-fit", Policy: plain(placer.FirstFit{}), Evict: true},
 		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), Evict: true},
 		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), Evict: true, Declared: true},
 		{Name: "static-threshold", Policy: plain(placer.StaticThreshold{Share: 0.5, Load: 0.7}), Evict: true},
-		{Name: DefaultName, Policy: defaultPolicy, Full: true},
+		{Name: DefaultName, Policy: defaultPolicy, Adaptive: true},
 	}
 }
 
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -16,7 +16,7 @@
 // Outcome is one morning.
 type Outcome struct {
 	P99       time.Duration
-	Within    float64
+	WithinTarget    float64
 	Work      float64
 	Evictions int
 	Drained   int
@@ -28,7 +28,7 @@
 // control is the decision loop around one contender's policies.
 type control struct {
 	*world
-	contender Contender
+	contender Variant
 	fleet     *accountant.Fleet
 	byName    map[string]*host
 	policy    placer.Policy
@@ -49,7 +49,7 @@
 }
 
 // play runs one morning.
-func play(d Deployment, c Contender, seed uint64) Outcome {
+func play(d Deployment, c Variant, seed uint64) Outcome {
 	w, all := newWorld(d, seed)
 	k := newControl(w, c)
 	for next := 0; w.now.Sub(begin) < morning; {
@@ -68,7 +68,7 @@
 	return k.outcome(all)
 }
 
-func newControl(w *world, c Contender) *control {
+func newControl(w *world, c Variant) *control {
 	k := &control{
 		world: w, contender: c, learner: learner.New(learner.Options{}),
 		fleet:    &accountant.Fleet{Workers: make(map[string]*accountant.Worker)},
@@ -140,7 +140,7 @@
 		for _, l := range k.arrived(h) {
 			h.account.Reports[l.Service] = l
 			shares, ok := k.timeline.Average(h.account.Host.Name, l.From, l.To)
-			if ok && k.contender.Full {
+			if ok && k.contender.Adaptive {
 				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
 			if k.contender.Evict && l.P99 > k.deployment.Target {
@@ -175,7 +175,7 @@
 
 // protect escalates where services miss their targets.
 func (k *control) protect() {
-	if !k.contender.Full {
+	if !k.contender.Adaptive {
 		return
 	}
 	for _, h := range k.hosts {
@@ -243,7 +243,7 @@
 func (k *control) restore(h *host, state *restorer.State) {
 	name := h.account.Host.Name
 	d := restorer.Decision{Done: true}
-	if k.contender.Full {
+	if k.contender.Adaptive {
 		d = restorer.Decide(restorer.Input{
 			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Returning: k.owed(name),
 		})
@@ -298,7 +298,7 @@
 func (k *control) start(r *run) bool {
 	request := k.request(r)
 	choice := k.policy.Place(k.fleet, request, k.now)
-	if choice.Worker == "" && r.job.Priority == describer.Urgent && k.contender.Full {
+	if choice.Worker == "" && r.job.Priority == describer.Urgent && k.contender.Adaptive {
 		choice = k.makeRoom(r, request)
 	}
 	if choice.Worker == "" {
@@ -375,7 +375,7 @@
 func (k *control) outcome(all []*run) Outcome {
 	o := Outcome{
 		P99:       time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
-		Within:    float64(k.within) / float64(max(k.intervals, 1)),
+		WithinTarget:    float64(k.within) / float64(max(k.intervals, 1)),
 		Evictions: k.evictions, Drained: k.drained, Restore: k.restored,
 	}
 	if len(k.restores) > 0 {
@@ -393,7 +393,7 @@
 		}
 		urgent++
 		switch {
-		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentBound:
+		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentStartLimit:
 			o.Urgent++
 		case r.refused != "":
 			o.Refused++
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -21,33 +21,33 @@
 
 // Limits bound what Default accepts. Zero fields take defaults.
 type Limits struct {
-	Slowdown float64       // cautious relative slow-down of a service that batch may cause at most
-	Target   float64       // share of the service's target that the expected latency may take
-	Comfort  float64       // share of the service's target below which slow-down does not matter
-	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
-	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
+	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
+	TargetShare   float64       // share of the service's target that the expected latency may take
+	ComfortShare  float64       // share of the service's target below which slow-down does not matter
+	TrialShare    float64       // share of an idle worker's processors that a task may take while nothing is known
+	DeadlineWindow time.Duration // before its deadline, in which a task may take twice the slow-down
 }
 
 // orDefault fills in the defaults. A deployment that weighs latency more
 // accepts less slow-down.
 func (l Limits) orDefault(w describer.Weights) Limits {
-	if l.Slowdown == 0 {
-		l.Slowdown = 0.12
+	if l.MaxSlowdown == 0 {
+		l.MaxSlowdown = 0.12
 		if w.Latency > w.Throughput {
-			l.Slowdown = 0.08
+			l.MaxSlowdown = 0.08
 		}
 	}
-	if l.Target == 0 {
-		l.Target = 0.9
+	if l.TargetShare == 0 {
+		l.TargetShare = 0.9
 	}
-	if l.Comfort == 0 {
-		l.Comfort = 0.47
+	if l.ComfortShare == 0 {
+		l.ComfortShare = 0.47
 	}
-	if l.Trial == 0 {
-		l.Trial = 0.1
+	if l.TrialShare == 0 {
+		l.TrialShare = 0.1
 	}
-	if l.Patience == 0 {
-		l.Patience = 30 * time.Minute
+	if l.DeadlineWindow == 0 {
+		l.DeadlineWindow = 30 * time.Minute
 	}
 	return l
 }
@@ -55,11 +55,11 @@
 // Place implements Policy.
 func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
 	limits := d.Limits.orDefault(d.Weights)
-	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.Patience {
-		limits.Slowdown *= 2
+	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.DeadlineWindow {
+		limits.MaxSlowdown *= 2
 	}
 	if r.Job.Priority == describer.Urgent {
-		limits.Slowdown *= 4
+		limits.MaxSlowdown *= 4
 	}
 	racks := busyRacks(fleet, r.Job.ID)
 	scarcity := d.scarcity(fleet)
@@ -135,7 +135,7 @@
 	for _, service := range w.Host.Services {
 		load := w.Reports[service].Load
 		mean, upper := d.slowdown(service, shares, load)
-		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.Trial
+		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.TrialShare
 		if o := d.objects(service, load, upper, isTrial, limits); o.kind != none {
 			return 0, o
 		}
@@ -165,7 +165,7 @@
 func (d InterferenceAware) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
 	base, known := d.baseline(service, load)
 	if !known {
-		if upper > limits.Slowdown && !isTrial {
+		if upper > limits.MaxSlowdown && !isTrial {
 			return objection{slows, service, upper}
 		}
 		return objection{}
@@ -175,7 +175,7 @@
 		return objection{slows, service, upper}
 	}
 	target := d.Services[service].Target
-	if target > 0 && latency > limits.Target*target.Seconds() && upper > 0.01 {
+	if target > 0 && latency > limits.TargetShare*target.Seconds() && upper > 0.01 {
 		return objection{endangers, service, upper}
 	}
 	return objection{}
@@ -184,8 +184,8 @@
 // bound is the latency that batch tasks may bring a service to.
 func (d InterferenceAware) bound(service string, base time.Duration, limits Limits) time.Duration {
 	busy, _ := d.Learner.BusyLatency(service)
-	comfort := limits.Comfort * float64(d.Services[service].Target)
-	return max(time.Duration(float64(base)*(1+limits.Slowdown)), busy, time.Duration(comfort))
+	comfort := limits.ComfortShare * float64(d.Services[service].Target)
+	return max(time.Duration(float64(base)*(1+limits.MaxSlowdown)), busy, time.Duration(comfort))
 }
 
 // LatencyBounds returns for each service of a worker the latency that batch tasks
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -10,15 +10,15 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// UrgentBound is the time within which an urgent task starts or is refused.
-const UrgentBound = 6800 * time.Millisecond
+// UrgentStartLimit is the time within which an urgent task starts or is refused.
+const UrgentStartLimit = 6800 * time.Millisecond
 
 // Costs are the times that making room takes. Zero fields take defaults.
 type Costs struct {
 	Throttle   time.Duration // until a lower processor grant is in force
 	Checkpoint time.Duration // until a run has saved its progress and ended
 	Start      time.Duration // from decision to running, with the durable record
-	Floor      float64       // share of its grant that a throttled task keeps
+	ThrottleShare      float64       // share of its grant that a throttled task keeps
 }
 
 func (c Costs) orDefault() Costs {
@@ -31,8 +31,8 @@
 	if c.Start == 0 {
 		c.Start = 1500 * time.Millisecond
 	}
-	if c.Floor == 0 {
-		c.Floor = 0.5
+	if c.ThrottleShare == 0 {
+		c.ThrottleShare = 0.5
 	}
 	return c
 }
@@ -41,15 +41,15 @@
 // within the bound, and Why says the reason.
 type Preemption struct {
 	Worker   string
-	Throttle []Shrink            // lower these processor grants
+	Throttle []GrantReduction            // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
 	Reason   string
 }
 
-// Shrink lowers the processor grant of a run.
-type Shrink struct {
+// GrantReduction lowers the processor grant of a run.
+type GrantReduction struct {
 	Task describer.TaskID
 	From int64 // millicores
 	To   int64 // millicores
@@ -74,8 +74,8 @@
 			why = reason
 			continue
 		}
-		if elapsed+room.Wait > UrgentBound {
-			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentBound)
+		if elapsed+room.Wait > UrgentStartLimit {
+			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentStartLimit)
 			continue
 		}
 		if best.Worker == "" || cheaper(room, best) {
@@ -105,7 +105,7 @@
 	}
 	victims := victimsOf(w)
 	for _, task := range victims {
-		if isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
+		if isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
 			break
 		}
 		if len(room.Evict) == evictions {
@@ -114,10 +114,10 @@
 		missing = missing.Sub(w.Grants[task].Resources)
 		room.Evict = append(room.Evict, task)
 	}
-	if !isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
+	if !isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
 		return Preemption{}, "latency-critical and urgent tasks hold the capacity"
 	}
-	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.Floor)
+	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.ThrottleShare)
 	room.Freed = want.Sub(w.Free()).Sub(missing)
 	for _, s := range room.Throttle {
 		room.Freed.CPU += s.From - s.To
@@ -156,8 +156,8 @@
 
 func shrinks(
 	w *accountant.Worker, victims []describer.TaskID, cpu int64, evicted []describer.TaskID, floor float64,
-) []Shrink {
-	var out []Shrink
+) []GrantReduction {
+	var out []GrantReduction
 	for _, task := range victims {
 		if cpu <= 0 {
 			break
@@ -171,7 +171,7 @@
 			continue
 		}
 		cpu -= give
-		out = append(out, Shrink{task, from, from - give})
+		out = append(out, GrantReduction{task, from, from - give})
 	}
 	return out
 }
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -108,8 +108,8 @@
 // runLimiter is an optional interface of placement policies that also limit runs after
 // their start.
 type runLimiter interface {
-	// Bounds returns for each service the greatest latency that batch tasks may cause.
-	Bounds(w *accountant.Worker) map[string]time.Duration
+	// LatencyBounds returns for each service the greatest latency that batch tasks may cause.
+	LatencyBounds(w *accountant.Worker) map[string]time.Duration
 	// MayGrow reports whether a grant may grow, by the rules for placements.
 	MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool
 }
@@ -117,7 +117,7 @@
 // latencyBounds returns the bounds of the placement policy, or nil if it has none.
 func (sh *shard) latencyBounds(w *worker) map[string]time.Duration {
 	if l, ok := sh.state.placer.(runLimiter); ok {
-		return l.Bounds(w.account)
+		return l.LatencyBounds(w.account)
 	}
 	return nil
 }
