--- a/internal/state/distributor/change.go
+++ b/internal/state/distributor/change.go
@@ -13,25 +13,27 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// errGap says that changes do not lead from the configuration at hand.
-var errGap = errors.New("distributor: changes do not fit the configuration")
+// errNotApplicable is returned when changes do not lead on from the
+// configuration that they are applied to.
+var errNotApplicable = errors.New("distributor: changes do not apply to the configuration")
 
-// change leads from one revision to the next. A changed document is sent as
-// changes, since it is hundreds of times larger than most of them.
+// change is the difference between a revision and the next. Changes are sent in
+// place of the whole configuration, which is hundreds of times larger than most
+// of them.
 type change struct {
-	Revision int64                    `json:"revision"` // that it leads to
-	Sum      uint64                   `json:"sum"`      // of the configuration that it leads to
-	Services *edit[describer.Service] `json:"services,omitempty"`
-	Teams    *edit[describer.Team]    `json:"teams,omitempty"`
-	Shards   *edit[describer.Shard]   `json:"shards,omitempty"`
-	Drains   *edit[describer.Drain]   `json:"drains,omitempty"`
-	Weights  *describer.Weights       `json:"weights,omitempty"`
+	Revision int64                          `json:"revision"` // revision after the change
+	Checksum uint64                         `json:"sum"`      // checksum of the configuration after the change
+	Services *listChange[describer.Service] `json:"services,omitempty"`
+	Teams    *listChange[describer.Team]    `json:"teams,omitempty"`
+	Shards   *listChange[describer.Shard]   `json:"shards,omitempty"`
+	Drains   *listChange[describer.Drain]   `json:"drains,omitempty"`
+	Weights  *describer.Weights             `json:"weights,omitempty"`
 }
 
-// edit changes a list whose entries have a name.
-type edit[T any] struct {
-	Set  []T      `json:"set,omitempty"`
-	Drop []string `json:"drop,omitempty"`
+// listChange is the difference between two lists whose entries have names.
+type listChange[T any] struct {
+	Set    []T      `json:"set,omitempty"`  // entries that are added or replaced
+	Remove []string `json:"drop,omitempty"` // names of the entries that are removed
 }
 
 func serviceName(s describer.Service) string { return s.Name }
@@ -39,18 +41,20 @@
 func shardName(s describer.Shard) string     { return s.ID }
 func drainName(d describer.Drain) string     { return d.ID }
 
-// normalize sorts the lists by name, so that a change gives the same document
-// everywhere. It copies the lists and fails on a name that occurs twice.
-func normalize(c describer.Configuration) (describer.Configuration, error) {
+// sortLists returns c with copies of its lists that are sorted by name, so that
+// all hosts get the same configuration from a change. It fails on a name that
+// occurs twice.
+func sortLists(c describer.Configuration) (describer.Configuration, error) {
 	var errs [4]error
-	c.Services, errs[0] = sorted(c.Services, serviceName)
-	c.Teams, errs[1] = sorted(c.Teams, teamName)
-	c.Shards, errs[2] = sorted(c.Shards, shardName)
-	c.Drains, errs[3] = sorted(c.Drains, drainName)
+	c.Services, errs[0] = sortedByName(c.Services, serviceName)
+	c.Teams, errs[1] = sortedByName(c.Teams, teamName)
+	c.Shards, errs[2] = sortedByName(c.Shards, shardName)
+	c.Drains, errs[3] = sortedByName(c.Drains, drainName)
 	return c, errors.Join(errs[:]...)
 }
 
-func sorted[T any](list []T, name func(T) string) ([]T, error) {
+// sortedByName returns a sorted copy of the list, or nil if the list is empty.
+func sortedByName[T any](list []T, name func(T) string) ([]T, error) {
 	if len(list) == 0 {
 		return nil, nil
 	}
@@ -64,7 +68,7 @@
 	return out, nil
 }
 
-// clone copies a configuration, so that its receiver may change it.
+// clone returns a deep copy of a configuration.
 func clone(c describer.Configuration) (describer.Configuration, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -77,7 +81,8 @@
 	return out, nil
 }
 
-func sum(c describer.Configuration) (uint64, error) {
+// checksum returns the xxhash of the encoded configuration.
+func checksum(c describer.Configuration) (uint64, error) {
 	b, err := json.Marshal(c)
 	if err != nil {
 		return 0, fmt.Errorf("distributor: encode configuration: %w", err)
@@ -85,19 +90,19 @@
 	return xxhash.Sum64(b), nil
 }
 
-// difference returns the change from a to b, both normalized.
-func difference(a, b describer.Configuration) (change, error) {
-	s, err := sum(b)
+// diff returns the change from a to b, whose lists are both sorted.
+func diff(a, b describer.Configuration) (change, error) {
+	s, err := checksum(b)
 	if err != nil {
 		return change{}, err
 	}
 	out := change{
 		Revision: b.Revision,
-		Sum:      s,
-		Services: compare(a.Services, b.Services, serviceName),
-		Teams:    compare(a.Teams, b.Teams, teamName),
-		Shards:   compare(a.Shards, b.Shards, shardName),
-		Drains:   compare(a.Drains, b.Drains, drainName),
+		Checksum: s,
+		Services: diffList(a.Services, b.Services, serviceName),
+		Teams:    diffList(a.Teams, b.Teams, teamName),
+		Shards:   diffList(a.Shards, b.Shards, shardName),
+		Drains:   diffList(a.Drains, b.Drains, drainName),
 	}
 	if a.Weights != b.Weights {
 		out.Weights = &b.Weights
@@ -105,54 +110,57 @@
 	return out, nil
 }
 
-func compare[T any](a, b []T, name func(T) string) *edit[T] {
-	old := make(map[string]T, len(a))
+// diffList returns the difference between two lists, or nil if they are equal.
+func diffList[T any](a, b []T, name func(T) string) *listChange[T] {
+	previous := make(map[string]T, len(a))
 	for _, v := range a {
-		old[name(v)] = v
+		previous[name(v)] = v
 	}
-	out := &edit[T]{}
+	out := &listChange[T]{}
 	for _, v := range b {
-		before, ok := old[name(v)]
-		if !ok || !reflect.DeepEqual(before, v) {
+		oldValue, ok := previous[name(v)]
+		if !ok || !reflect.DeepEqual(oldValue, v) {
 			out.Set = append(out.Set, v)
 		}
-		delete(old, name(v))
+		delete(previous, name(v))
 	}
-	for n := range old {
-		out.Drop = append(out.Drop, n)
+	for n := range previous {
+		out.Remove = append(out.Remove, n)
 	}
-	slices.Sort(out.Drop)
-	if len(out.Set) == 0 && len(out.Drop) == 0 {
+	slices.Sort(out.Remove)
+	if len(out.Set) == 0 && len(out.Remove) == 0 {
 		return nil
 	}
 	return out
 }
 
-// applyTo returns the configuration after the change, leaving c as it is.
-func (g change) applyTo(c describer.Configuration) (describer.Configuration, error) {
-	if c.Revision+1 != g.Revision {
-		return c, errGap
+// applyTo returns the configuration after the change. It does not change c.
+func (ch change) applyTo(c describer.Configuration) (describer.Configuration, error) {
+	if c.Revision+1 != ch.Revision {
+		return c, errNotApplicable
 	}
-	c.Revision = g.Revision
-	c.Services = g.Services.applyTo(c.Services, serviceName)
-	c.Teams = g.Teams.applyTo(c.Teams, teamName)
-	c.Shards = g.Shards.applyTo(c.Shards, shardName)
-	c.Drains = g.Drains.applyTo(c.Drains, drainName)
-	if g.Weights != nil {
-		c.Weights = *g.Weights
+	c.Revision = ch.Revision
+	c.Services = ch.Services.applyTo(c.Services, serviceName)
+	c.Teams = ch.Teams.applyTo(c.Teams, teamName)
+	c.Shards = ch.Shards.applyTo(c.Shards, shardName)
+	c.Drains = ch.Drains.applyTo(c.Drains, drainName)
+	if ch.Weights != nil {
+		c.Weights = *ch.Weights
 	}
 	return c, nil
 }
 
-func (e *edit[T]) applyTo(list []T, name func(T) string) []T {
-	if e == nil {
+// applyTo returns the list after the change, sorted by name. It does not change
+// list.
+func (l *listChange[T]) applyTo(list []T, name func(T) string) []T {
+	if l == nil {
 		return list
 	}
-	replaced := make(map[string]bool, len(e.Set)+len(e.Drop))
-	for _, v := range e.Set {
+	replaced := make(map[string]bool, len(l.Set)+len(l.Remove))
+	for _, v := range l.Set {
 		replaced[name(v)] = true
 	}
-	for _, n := range e.Drop {
+	for _, n := range l.Remove {
 		replaced[n] = true
 	}
 	var out []T
@@ -161,14 +169,14 @@
 			out = append(out, v)
 		}
 	}
-	out = append(out, e.Set...)
+	out = append(out, l.Set...)
 	slices.SortFunc(out, func(a, b T) int { return strings.Compare(name(a), name(b)) })
 	return out
 }
 
-// advance applies the changes that are later than c and checks the outcome
-// against the sum of the last one.
-func advance(c describer.Configuration, changes []change) (describer.Configuration, error) {
+// applyChanges applies the changes whose revisions are greater than that of c
+// and verifies the checksum of the last one.
+func applyChanges(c describer.Configuration, changes []change) (describer.Configuration, error) {
 	var last *change
 	for i := range changes {
 		if changes[i].Revision <= c.Revision {
@@ -183,34 +191,36 @@
 	if last == nil {
 		return c, nil
 	}
-	s, err := sum(c)
+	s, err := checksum(c)
 	if err != nil {
 		return c, err
 	}
-	if s != last.Sum {
-		return c, errGap
+	if s != last.Checksum {
+		return c, errNotApplicable
 	}
 	return c, nil
 }
 
-// kept is the number of recent changes that a host can hand on.
-const kept = 64
+// maxRecentChanges is the number of changes that a host keeps to send them to
+// peers that lack them.
+const maxRecentChanges = 64
 
-// trail joins the changes known before with new ones, if they lead without a
-// gap to the revision.
-func trail(old, changes []change, revision int64) []change {
+// appendChanges appends new changes to the old ones and returns the latest. It
+// drops changes before a gap in the revisions, and returns nil if the changes do
+// not lead to revision.
+func appendChanges(old, changes []change, revision int64) []change {
 	out := slices.Clone(old)
-	for _, g := range changes {
+	for _, ch := range changes {
 		switch {
-		case len(out) > 0 && g.Revision <= out[len(out)-1].Revision:
+		case len(out) > 0 && ch.Revision <= out[len(out)-1].Revision:
 			continue
-		case len(out) > 0 && g.Revision != out[len(out)-1].Revision+1:
+		case len(out) > 0 && ch.Revision != out[len(out)-1].Revision+1:
 			out = nil
 		}
-		out = append(out, g)
+		out = append(out, ch)
 	}
 	if len(out) == 0 || out[len(out)-1].Revision != revision {
 		return nil
 	}
-	return out[max(0, len(out)-kept):]
+	return out[max(0, len(out)-maxRecentChanges):]
 }
--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -1,22 +1,24 @@
-// Package distributor brings the configuration from the store to every entry
-// host, and operators' changes into the store.
+// Package distributor distributes the configuration from the store to every
+// entry host, and writes operators' changes to the store.
 //
 // # Model
 //
-// The configuration is one document in the store, changed by compare-and-swap,
-// with a revision that grows by one. In each failure domain one entry host
-// watches it, the first by rendezvous hash among the live ones; two at once do
-// no harm. It relays changes to its domain along a tree of peers. Heartbeats
-// carry the revision in force, so a host that missed a relay, or a domain cut
-// off from the store, pulls from any peer that knows more.
+// The configuration is one document in the store, which is changed by
+// compare-and-swap. Each change increments its revision by one. In each failure
+// domain one entry host watches the document: the first of the live hosts by
+// rendezvous hash. Two watchers at the same time do no harm. The watcher relays
+// changes to the other hosts of its domain along a tree. Heartbeats carry the
+// installed revision, so that a host that missed a relay, or a domain that is
+// partitioned from the store, pulls the configuration from any peer with a
+// greater revision.
 //
-// A host applies greater revisions only. One that has got no configuration
-// from the store or from a peer that has one is not ready, since whatever it
-// assumed could be a revert.
+// A host installs greater revisions only. A host that has received no
+// configuration yet, from the store or from a peer, is not ready, since any
+// configuration that it assumed could revert a change.
 //
 //	d := distributor.New(options, store, node, sink)
 //	d.SetPeers(alive)
-//	d.Seen("10.0.0.7:7400", 42) // from a heartbeat
+//	d.ObserveRevision("10.0.0.7:7400", 42) // from a heartbeat
 //	c, err := d.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
 //		c.Teams = append(c.Teams, team)
 //		return c, nil
@@ -36,10 +38,10 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/storer"
 )
 
-// DocumentKey is the key of the document in the store.
+// DocumentKey is the store key of the configuration document.
 const DocumentKey = "configuration"
 
-// Store is the part of the store that a distributor uses.
+// Store is the subset of the store operations that a distributor uses.
 type Store interface {
 	Get(ctx context.Context, key string) (storer.Item, error)
 	List(ctx context.Context, prefix string) ([]storer.Item, int64, error)
@@ -48,7 +50,7 @@
 	Watch(ctx context.Context, prefix string, revision int64, wait time.Duration) ([]storer.Item, int64, error)
 }
 
-// Node calls peers and serves their calls.
+// Node sends calls to peers and handles their calls.
 type Node interface {
 	messenger.Caller
 	Handle(method string, h messenger.Handler)
@@ -64,19 +66,20 @@
 
 // Options configure a Distributor. Zero values take the defaults.
 type Options struct {
-	Daemon          string        // name in membership
+	Daemon          string        // name of the daemon in membership
 	Domain          string        // failure domain
-	WatchTimeout    time.Duration // of one watch call
-	PollInterval    time.Duration // between reads by the stand-by of the watcher
+	WatchTimeout    time.Duration // duration of one watch call without changes
+	PollInterval    time.Duration // time between reads by the host that stands by for the watcher
 	MinReadInterval time.Duration // shortest time between two reads of changes
-	Timeout         time.Duration // of one call
+	Timeout         time.Duration // limit of any other store call and of a call to a peer
 	Log             zerolog.Logger
 }
 
-// Distributor holds the configuration in force. It is safe for concurrent use.
+// Distributor holds the installed configuration, the latest that this host
+// knows. It is safe for concurrent use.
 type Distributor struct {
-	Ready chan struct{} // closed once a configuration is in force
-	Done  chan struct{} // closed when nothing will be called or reported any more
+	Ready chan struct{} // closed once a configuration is installed
+	Done  chan struct{} // closed when the distributor will not make any call any more
 
 	options Options
 	store   Store
@@ -86,40 +89,41 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
-	wake    chan struct{}
-	behind  chan struct{}
-
-	apply   sync.Mutex // orders the sink's calls
-	mu      sync.Mutex
-	closed  bool
-	current describer.Configuration // its lists are never changed in place
-	recent  []change                // that led to current, oldest first
-	peers   []reducer.Peer
-	ahead   map[string]int64 // revision seen at an address, greater than current
+
+	followWake chan struct{} // makes followLoop check its rank and the store
+	pullWake   chan struct{} // makes pullLoop check for peers with greater revisions
+
+	installMu     sync.Mutex // held during install, so that the sink is called in order
+	mu            sync.Mutex
+	closed        bool
+	current       describer.Configuration // its lists are never changed in place
+	recentChanges []change                // the latest changes that led to current, oldest first
+	peers         []reducer.Peer
+	newerPeers    map[string]int64 // by address: revision of a peer, greater than that of current
 }
 
-// New starts a Distributor. The sink gets every configuration that comes into
-// force, in order; it must not change it.
+// New starts a Distributor. The sink is called with every configuration that is
+// installed, in order of revision; it must not change the configuration.
 func New(o Options, store Store, node Node, sink func(describer.Configuration)) *Distributor {
-	o.fill()
+	o.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &Distributor{
-		Ready:   make(chan struct{}),
-		Done:    make(chan struct{}),
-		options: o,
-		store:   store,
-		node:    node,
-		sink:    sink,
-		log:     o.Log.With().Str("part", "distributor").Logger(),
-		ctx:     ctx,
-		cancel:  cancel,
-		wake:    make(chan struct{}, 1),
-		behind:  make(chan struct{}, 1),
-		ahead:   map[string]int64{},
+		Ready:      make(chan struct{}),
+		Done:       make(chan struct{}),
+		options:    o,
+		store:      store,
+		node:       node,
+		sink:       sink,
+		log:        o.Log.With().Str("part", "distributor").Logger(),
+		ctx:        ctx,
+		cancel:     cancel,
+		followWake: make(chan struct{}, 1),
+		pullWake:   make(chan struct{}, 1),
+		newerPeers: map[string]int64{},
 	}
-	node.Handle(messenger.Configure, d.serve)
-	d.begin(d.follow)
-	d.begin(d.catchUp)
+	node.Handle(messenger.Configure, d.handleUpdate)
+	d.startTask(d.followLoop)
+	d.startTask(d.pullLoop)
 	go func() {
 		defer close(d.Done)
 		<-ctx.Done()
@@ -128,15 +132,15 @@
 	return d
 }
 
-// Current returns the configuration in force; Revision 0 means none yet. The
-// caller must not change it.
+// Current returns the installed configuration. Its Revision is 0 if there is
+// none yet. The caller must not change it.
 func (d *Distributor) Current() describer.Configuration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
 }
 
-// IsReady reports whether a configuration is in force.
+// IsReady reports whether a configuration is installed.
 func (d *Distributor) IsReady() bool {
 	select {
 	case <-d.Ready:
@@ -146,27 +150,29 @@
 	}
 }
 
-// SetPeers tells the live entry hosts of all failure domains.
+// SetPeers sets the live entry hosts of all failure domains. The distributor
+// keeps the slice.
 func (d *Distributor) SetPeers(alive []reducer.Peer) {
 	d.mu.Lock()
 	d.peers = alive
 	d.mu.Unlock()
-	signal(d.wake)
-	signal(d.behind)
+	signal(d.followWake)
+	signal(d.pullWake)
 }
 
-// ObserveRevision tells that the peer at address has a configuration of this revision.
+// ObserveRevision records that the peer at address has installed the revision,
+// as its heartbeat says.
 func (d *Distributor) ObserveRevision(address string, revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if revision <= d.current.Revision {
 		return
 	}
-	d.ahead[address] = revision
-	signal(d.behind)
+	d.newerPeers[address] = revision
+	signal(d.pullWake)
 }
 
-// Close ends the distributor.
+// Close ends the distributor. It does not wait; see Done.
 func (d *Distributor) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -174,11 +180,12 @@
 	d.cancel()
 }
 
-// install puts a configuration in force if its revision is greater. The
-// changes are those that led to it, as far as known.
+// install replaces the current configuration if the revision of c is greater,
+// and reports whether it did. The changes are those that led to c, as far as
+// known.
 func (d *Distributor) install(c describer.Configuration, changes []change) bool {
-	d.apply.Lock()
-	defer d.apply.Unlock()
+	d.installMu.Lock()
+	defer d.installMu.Unlock()
 	d.mu.Lock()
 	before := d.current.Revision
 	if c.Revision <= before {
@@ -186,10 +193,10 @@
 		return false
 	}
 	d.current = c
-	d.recent = trail(d.recent, changes, c.Revision)
-	for address, revision := range d.ahead {
+	d.recentChanges = appendChanges(d.recentChanges, changes, c.Revision)
+	for address, revision := range d.newerPeers {
 		if revision <= c.Revision {
-			delete(d.ahead, address)
+			delete(d.newerPeers, address)
 		}
 	}
 	d.mu.Unlock()
@@ -197,13 +204,13 @@
 	if before == 0 {
 		close(d.Ready)
 	}
-	d.log.Info().Int64("revision", c.Revision).Msg("Configuration in force.")
-	signal(d.wake)
+	d.log.Info().Int64("revision", c.Revision).Msg("configuration installed")
+	signal(d.followWake)
 	return true
 }
 
-// begin runs f on a goroutine unless the distributor is closed.
-func (d *Distributor) begin(f func()) {
+// startTask runs f on a goroutine unless the distributor is closed.
+func (d *Distributor) startTask(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
@@ -216,8 +223,9 @@
 	}()
 }
 
-// pause waits; it returns false when the distributor is closed.
-func (d *Distributor) pause(t time.Duration, wake <-chan struct{}) bool {
+// waitFor waits for t or until wake receives a signal. It returns false if the
+// distributor is closed.
+func (d *Distributor) waitFor(t time.Duration, wake <-chan struct{}) bool {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
 	select {
@@ -229,6 +237,7 @@
 	return true
 }
 
+// signal sends on c unless a signal is pending already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -236,18 +245,18 @@
 	}
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	for _, f := range []struct {
-		field *time.Duration
-		value time.Duration
+		option       *time.Duration
+		defaultValue time.Duration
 	}{
 		{&o.WatchTimeout, DefaultWatchTimeout},
 		{&o.PollInterval, DefaultPollInterval},
 		{&o.MinReadInterval, DefaultMinReadInterval},
 		{&o.Timeout, DefaultTimeout},
 	} {
-		if *f.field <= 0 {
-			*f.field = f.value
+		if *f.option <= 0 {
+			*f.option = f.defaultValue
 		}
 	}
 }
--- a/internal/state/distributor/distributor_test.go
+++ b/internal/state/distributor/distributor_test.go
@@ -20,6 +20,7 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
+// virtual returns a function that runs f in virtual time.
 func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
 
 var ctx = context.Background()
@@ -28,31 +29,33 @@
 	return context.WithTimeout(ctx, d)
 }
 
-// fleet is a set of distributors that know each other.
+// fleet is a set of hosts that share a store and a network and know each other.
 type fleet struct {
 	store   *faker.Store
 	network *faker.Network
 	hosts   map[string]*host
 }
 
+// host is a distributor with its store client.
 type host struct {
 	*distributor.Distributor
 	client *faker.Client
 
 	mu        sync.Mutex
-	revisions []int64 // in the order in which they came into force
+	revisions []int64 // installed revisions, in order
 }
 
 func newFleet() *fleet {
 	return &fleet{faker.New(), faker.NewNetwork(), map[string]*host{}}
 }
 
-// start starts hosts named domain/number.
+// start starts hosts, whose names have the form domain/number.
 func (f *fleet) start(names ...string) { f.startAs(false, names...) }
 
-// startDown starts hosts that cannot reach the store.
+// startDown starts hosts that cannot reach the store until setDown ends that.
 func (f *fleet) startDown(names ...string) { f.startAs(true, names...) }
 
+// startAs starts hosts, with an outage of their store clients if down is set.
 func (f *fleet) startAs(down bool, names ...string) {
 	for _, name := range names {
 		domain, _, _ := strings.Cut(name, "/")
@@ -67,11 +70,11 @@
 			})
 		f.hosts[name] = h
 	}
-	f.meet()
+	f.setPeers()
 }
 
-// meet tells all hosts about each other.
-func (f *fleet) meet() {
+// setPeers makes all hosts known to each other.
+func (f *fleet) setPeers() {
 	var peers []reducer.Peer
 	for name := range f.hosts {
 		domain, _, _ := strings.Cut(name, "/")
@@ -97,6 +100,8 @@
 	}
 }
 
+// revisions returns the installed revision of each host, once all goroutines are
+// idle.
 func (f *fleet) revisions() map[string]int64 {
 	synctest.Wait()
 	out := map[string]int64{}
@@ -114,6 +119,7 @@
 	}
 }
 
+// propose makes a host propose a new team.
 func (f *fleet) propose(name, team string) {
 	GinkgoHelper()
 	_, err := f.hosts[name].Propose(ctx, addTeam(team))
@@ -121,7 +127,7 @@
 }
 
 var _ = Describe("Distributor", func() {
-	It("brings a change into force everywhere, with one watcher for each domain", virtual(func() {
+	It("installs a change at all hosts, with one watcher per domain", virtual(func() {
 		f := newFleet()
 		defer f.stopAll()
 		f.start("a/1", "a/2", "a/3", "b/1", "b/2", "b/3")
@@ -139,17 +145,17 @@
 		Expect(watching).To(Equal(2))
 	}))
 
-	It("passes on an edit's error with NotRun", virtual(func() {
+	It("returns the error of an edit with verdict NotRun", virtual(func() {
 		f := newFleet()
 		defer f.stopAll()
 		f.start("a/1")
-		refusal := errors.New("changed in the meantime")
-		_, err := f.hosts["a/1"].Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) { return c, refusal })
-		Expect(err).To(MatchError(refusal))
+		editErr := errors.New("changed in the meantime")
+		_, err := f.hosts["a/1"].Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) { return c, editErr })
+		Expect(err).To(MatchError(editErr))
 		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
 	}))
 
-	It("keeps all changes of racing proposals", virtual(func() {
+	It("keeps all changes of concurrent proposals", virtual(func() {
 		f := newFleet()
 		defer f.stopAll()
 		f.start("a/1", "a/2", "b/1")
--- a/internal/state/distributor/failure_test.go
+++ b/internal/state/distributor/failure_test.go
@@ -17,7 +17,8 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// heartbeats tells every host the revisions of the others, as gossip would.
+// heartbeats makes each host observe the revisions of the others, as heartbeats
+// do.
 func (f *fleet) heartbeats() {
 	for _, h := range f.hosts {
 		for name, other := range f.hosts {
@@ -27,8 +28,9 @@
 	time.Sleep(time.Second)
 }
 
-// neverReverts checks the order in which each host's revisions came into force.
-func (f *fleet) neverReverts() {
+// expectNoRevert checks that the installed revisions of each host are in
+// ascending order.
+func (f *fleet) expectNoRevert() {
 	GinkgoHelper()
 	for name, h := range f.hosts {
 		h.mu.Lock()
@@ -37,6 +39,7 @@
 	}
 }
 
+// setDown begins or ends a store outage for the named hosts.
 func (f *fleet) setDown(down bool, names ...string) {
 	for _, name := range names {
 		f.hosts[name].client.SetDown(down)
@@ -45,7 +48,8 @@
 
 var _ = Describe("Distributor under failures", func() {
 	var f *fleet
-	bubble := func(spec func()) func() {
+	// withFleet returns a spec that runs with a new fleet in virtual time.
+	withFleet := func(spec func()) func() {
 		return virtual(func() {
 			f = newFleet()
 			defer f.stopAll()
@@ -53,7 +57,7 @@
 		})
 	}
 
-	It("is not ready without store and informed peer, and becomes so by a peer", bubble(func() {
+	It("is not ready before it reaches the store or a peer with a configuration", withFleet(func() {
 		f.start("a/1", "a/2")
 		f.propose("a/1", "one")
 		time.Sleep(5 * time.Second)
@@ -68,7 +72,7 @@
 		Expect(f.revisions()).To(HaveEach(int64(1)))
 	}))
 
-	It("reaches a domain that is cut off from the store, through other domains", bubble(func() {
+	It("updates a domain that is partitioned from the store through other domains", withFleet(func() {
 		f.start("a/1", "a/2", "b/1", "b/2", "b/3")
 		f.propose("a/1", "one")
 		time.Sleep(5 * time.Second)
@@ -77,10 +81,10 @@
 		time.Sleep(time.Second)
 		f.heartbeats()
 		Expect(f.revisions()).To(HaveEach(int64(2)))
-		f.neverReverts()
+		f.expectNoRevert()
 	}))
 
-	It("replaces a watcher that alone is cut off from the store", bubble(func() {
+	It("replaces a watcher that alone is partitioned from the store", withFleet(func() {
 		f.start("a/1", "a/2", "a/3", "b/1")
 		f.propose("b/1", "one")
 		time.Sleep(5 * time.Second)
@@ -94,25 +98,25 @@
 		Expect(f.revisions()).To(HaveEach(int64(2)))
 	}))
 
-	It("does not go back with an old peer or an old read", bubble(func() {
+	It("does not revert to the revision of an outdated peer or read", withFleet(func() {
 		f.start("a/1", "a/2")
 		for i := range 5 {
 			f.propose("a/1", fmt.Sprint("team ", i))
 		}
 		time.Sleep(5 * time.Second)
-		old := f.network.AddNode("old")
+		outdated := f.network.AddNode("old")
 		whole := map[string]any{"revision": 3, "whole": map[string]any{"revision": 3}}
-		Expect(old.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
+		Expect(outdated.Call(ctx, "a/1", "configure", whole, nil)).To(Succeed())
 		for _, h := range f.hosts {
 			h.client.SetFault(func(faker.Call) faker.Outcome { return faker.StaleRead })
 		}
-		f.meet()
+		f.setPeers()
 		time.Sleep(time.Minute)
 		Expect(f.revisions()).To(HaveEach(int64(5)))
-		f.neverReverts()
+		f.expectNoRevert()
 	}))
 
-	It("brings a host that missed many changes up to date with the whole", bubble(func() {
+	It("sends the whole configuration to a host that missed many changes", withFleet(func() {
 		f.start("a/1", "a/2")
 		f.network.SetPartitioned("a/1", "a/2", true)
 		f.setDown(true, "a/2")
@@ -133,7 +137,7 @@
 		Expect(f.store.Items("base/")).To(HaveLen(1))
 	}))
 
-	It("accepts a configuration of 100 kB and sends small changes of it", bubble(func() {
+	It("accepts a configuration of 100 kB and stores a change of it in a small document", withFleet(func() {
 		f.start("a/1", "a/2")
 		edit := func(c describer.Configuration) (describer.Configuration, error) {
 			for i := range 500 {
@@ -150,7 +154,7 @@
 		Expect(len(f.store.Items(distributor.DocumentKey)[0].Value)).To(BeNumerically("<", 1000))
 	}))
 
-	It("says MayHaveRun when the outcome cannot be read back, and NotRun when nothing was written", bubble(func() {
+	It("returns MayHaveRun if the outcome cannot be read back, and NotRun if nothing was written", withFleet(func() {
 		f.start("a/1")
 		f.propose("a/1", "one")
 		f.hosts["a/1"].client.SetDown(true)
@@ -165,49 +169,49 @@
 			}
 			return faker.Succeed
 		})
-		short, cancel := contextFor(10 * time.Second)
+		shortCtx, cancel := contextFor(10 * time.Second)
 		defer cancel()
-		_, err = f.hosts["a/1"].Propose(short, addTeam("three"))
+		_, err = f.hosts["a/1"].Propose(shortCtx, addTeam("three"))
 		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
 	}))
 
-	It("keeps every accepted change, once, whatever answers are lost", func() {
+	It("makes every accepted change exactly once when responses are lost", func() {
 		for seed := range uint64(30) {
-			bubble(func() { f.race(seed) })()
+			withFleet(func() { f.proposeUnderFaults(seed) })()
 		}
 	})
 })
 
-// race lets hosts propose at once under random faults. Each edit counts one
-// more member of a team, so a change that is lost or made twice shows.
-func (f *fleet) race(seed uint64) {
+// proposeUnderFaults makes hosts propose concurrently under random faults. Each
+// edit increments a counter, so that a change that is lost or made twice shows.
+func (f *fleet) proposeUnderFaults(seed uint64) {
 	GinkgoHelper()
 	f.start("a/1", "a/2", "b/1")
-	fates := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
+	outcomes := []faker.Outcome{faker.Drop, faker.LoseResponse, faker.LoseResponse, faker.StaleRead}
 	for _, name := range []string{"a/1", "a/2", "b/1"} {
 		random := rand.New(rand.NewPCG(seed, uint64(len(name))))
 		f.hosts[name].client.SetFault(func(faker.Call) faker.Outcome {
 			if random.Float64() < 0.3 {
-				return fates[random.IntN(len(fates))]
+				return outcomes[random.IntN(len(outcomes))]
 			}
 			return faker.Succeed
 		})
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	accepted, open := 0, 0
+	accepted, unknown := 0, 0
 	for _, h := range f.hosts {
 		all.Go(func() {
 			for range 15 {
-				limited, cancel := contextFor(time.Minute)
-				_, err := h.Propose(limited, countUp)
+				proposeCtx, cancel := contextFor(time.Minute)
+				_, err := h.Propose(proposeCtx, countUp)
 				cancel()
 				mu.Lock()
 				switch {
 				case err == nil:
 					accepted++
 				case classifier.Of(err) == classifier.MayHaveRun:
-					open++
+					unknown++
 				}
 				mu.Unlock()
 			}
@@ -217,13 +221,14 @@
 	for range 10 {
 		f.heartbeats()
 	}
-	weight := f.hosts["a/1"].Current().Teams[0].Weight
-	Expect(weight).To(BeNumerically(">=", accepted), "seed %d", seed)
-	Expect(weight).To(BeNumerically("<=", accepted+open), "seed %d", seed)
-	Expect(f.revisions()).To(HaveEach(int64(weight)))
-	f.neverReverts()
+	count := f.hosts["a/1"].Current().Teams[0].Weight
+	Expect(count).To(BeNumerically(">=", accepted), "seed %d", seed)
+	Expect(count).To(BeNumerically("<=", accepted+unknown), "seed %d", seed)
+	Expect(f.revisions()).To(HaveEach(int64(count)))
+	f.expectNoRevert()
 }
 
+// countUp increments the counter, which is the weight of a team.
 func countUp(c describer.Configuration) (describer.Configuration, error) {
 	if len(c.Teams) == 0 {
 		c.Teams = []describer.Team{{Name: "counter"}}
--- a/internal/state/distributor/propose.go
+++ b/internal/state/distributor/propose.go
@@ -16,203 +16,217 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Edit changes a copy of the configuration, or gives up with an error.
+// Edit changes a copy of the configuration and returns it. It returns an error to
+// give up the proposal.
 type Edit func(describer.Configuration) (describer.Configuration, error)
 
-// Propose changes the configuration and returns the one accepted. The edit
-// gets a copy of the latest configuration, and is called again with a later
-// one when another proposal was faster; it returns an error to give up. The
-// revision is set by Propose.
+// Propose changes the configuration in the store and returns the new one. The
+// edit is called with a copy of the latest configuration, and again with a later
+// one if another proposal was written in the meantime. Propose sets the
+// revision.
 //
-// Failures are *classifier.Error values. NotRun: the configuration was not
-// changed by this call. MayHaveRun: ctx ended before the outcome was known.
-// The edit's own error is found with errors.Is and errors.As.
+// Errors are *classifier.Error values. Verdict NotRun means that this call did
+// not change the configuration, MayHaveRun that its outcome could not be found
+// out, such as when ctx ended first. An error of the edit is wrapped.
 func (d *Distributor) Propose(ctx context.Context, edit Edit) (describer.Configuration, error) {
 	delay := newBackoff()
 	for {
 		p, err := d.prepare(ctx, edit)
 		if err == nil {
-			err = p.put(ctx)
+			err = p.write(ctx)
 		}
 		if err == nil {
-			d.accept(p)
+			d.installProposal(p)
 			return p.result, nil
 		}
-		if !errors.Is(err, storer.ErrConflict) && !errors.Is(err, errStale) {
+		if !errors.Is(err, storer.ErrConflict) && !errors.Is(err, errStaleRead) {
 			return describer.Configuration{}, err
 		}
 		if !sleep(ctx, delay) {
-			return describer.Configuration{}, unchanged(ctx.Err())
+			return describer.Configuration{}, notChangedError(ctx.Err())
 		}
 	}
 }
 
-// proposal is one attempt: a document that replaces the one it was made from.
+// proposal is one attempt to change the configuration: a document that replaces
+// the one that it was made from.
 type proposal struct {
 	distributor *Distributor
 	nonce       string
-	from        document // that was read
-	expected    int64    // its store revision
-	next        document
-	value       []byte // encoded next
-	result      describer.Configuration
-	change      change
-	rebase      bool // the base must be written first
+
+	previous         document // document that was read
+	expectedRevision int64    // store revision of previous
+	next             document
+	value            []byte // encoded next
+	result           describer.Configuration
+	change           change
+	needsBase        bool // the result must be written as the base of next first
 }
 
-var errStale = errors.New("distributor: store answered with an old value")
+// errStaleRead is returned when the document must be read again.
+var errStaleRead = errors.New("distributor: store returned an outdated document")
 
-// prepare reads the document and makes the one that is to replace it.
+// prepare reads the document and returns a proposal of the one to replace it.
 func (d *Distributor) prepare(ctx context.Context, edit Edit) (*proposal, error) {
-	call, cancel := context.WithTimeout(ctx, d.options.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, d.options.Timeout)
 	defer cancel()
 	p := &proposal{distributor: d, nonce: newNonce()}
 	var err error
-	if p.from, p.expected, err = d.read(call); err != nil {
-		return nil, unchanged(err)
+	if p.previous, p.expectedRevision, err = d.readDocument(callCtx); err != nil {
+		return nil, notChangedError(err)
 	}
 	current := d.Current()
-	if p.from.Revision < current.Revision {
-		return nil, errStale
+	if p.previous.Revision < current.Revision {
+		return nil, errStaleRead
 	}
-	if p.from.Revision > current.Revision {
-		if current, err = d.resolve(call, p.from); err != nil {
-			return nil, retriable(err)
+	if p.previous.Revision > current.Revision {
+		if current, err = d.resolve(callCtx, p.previous); err != nil {
+			return nil, resolveError(err)
 		}
 	}
-	if err := p.edit(current, edit); err != nil {
+	if err := p.applyEdit(current, edit); err != nil {
 		return nil, err
 	}
-	p.next, p.rebase, err = p.from.successor(p.result, p.change, p.nonce)
+	p.next, p.needsBase, err = p.previous.next(p.result, p.change, p.nonce)
 	if err != nil {
-		return nil, refused(err)
+		return nil, rejectedError(err)
 	}
 	if p.value, err = json.Marshal(p.next); err != nil {
-		return nil, refused(err)
+		return nil, rejectedError(err)
 	}
 	return p, nil
 }
 
-// retriable tells a base that was replaced while it was looked for from a
-// store that does not answer.
-func retriable(err error) error {
-	if errors.Is(err, storer.ErrNotFound) || errors.Is(err, errGap) {
-		return errStale
+// resolveError converts an error of resolve. A missing base was replaced after
+// the document was read, so the document must be read again.
+func resolveError(err error) error {
+	if errors.Is(err, storer.ErrNotFound) || errors.Is(err, errNotApplicable) {
+		return errStaleRead
 	}
-	return unchanged(err)
+	return notChangedError(err)
 }
 
-func (p *proposal) edit(current describer.Configuration, edit Edit) error {
-	before, err := clone(current)
+// applyEdit calls the edit and sets result and change.
+func (p *proposal) applyEdit(current describer.Configuration, edit Edit) error {
+	copied, err := clone(current)
 	if err != nil {
-		return refused(err)
+		return rejectedError(err)
 	}
-	after, err := edit(before)
+	edited, err := edit(copied)
 	if err != nil {
-		return refused(err)
+		return rejectedError(err)
 	}
-	if after, err = normalize(after); err != nil {
-		return refused(err)
+	if edited, err = sortLists(edited); err != nil {
+		return rejectedError(err)
 	}
-	after.Revision = current.Revision + 1
-	// Decoded again, so that all hosts hold what the store gives back.
-	if p.result, err = clone(after); err != nil {
-		return refused(err)
+	edited.Revision = current.Revision + 1
+	// Encoded and decoded, so that this host has the same value as the hosts
+	// that read it from the store.
+	if p.result, err = clone(edited); err != nil {
+		return rejectedError(err)
 	}
-	p.change, err = difference(current, p.result)
+	p.change, err = diff(current, p.result)
 	return err
 }
 
-// put writes the proposal. ErrConflict means that it has no effect.
-func (p *proposal) put(ctx context.Context) error {
-	if err := p.putBase(ctx); err != nil {
+// write writes the proposal and finds out its outcome. It returns ErrConflict if
+// another proposal was written first.
+func (p *proposal) write(ctx context.Context) error {
+	if err := p.writeBase(ctx); err != nil {
 		return err
 	}
 	err := p.swap(ctx)
 	delay := newBackoff()
-	for err != nil && isDoubtful(err) {
-		// The write may be in place, under way or lost.
+	for err != nil && isOutcomeUnknown(err) {
+		// The write may have taken effect, be in progress or be lost.
 		if !sleep(ctx, delay) {
-			return unknown(err)
+			return unknownOutcomeError(err)
 		}
-		err = p.settle(ctx, err)
+		err = p.resolveOutcome(ctx, err)
 	}
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, storer.ErrConflict):
-		p.dropBase(ctx)
+		p.deleteBase(ctx)
 		return err
 	case classifier.Of(err) == classifier.MayHaveRun:
-		return unknown(err)
+		return unknownOutcomeError(err)
 	}
-	p.dropBase(ctx)
-	return unchanged(err)
+	p.deleteBase(ctx)
+	return notChangedError(err)
 }
 
-func isDoubtful(err error) bool {
-	return !errors.Is(err, storer.ErrConflict) && !errors.Is(err, errForgotten) &&
+// isOutcomeUnknown reports whether a write that failed with err may still take
+// effect or have taken effect.
+func isOutcomeUnknown(err error) bool {
+	return !errors.Is(err, storer.ErrConflict) && !errors.Is(err, errOutcomeLost) &&
 		classifier.Of(err) != classifier.NotRun
 }
 
-// errForgotten says that too many proposals followed to find out about one.
-var errForgotten = errors.New("distributor: outcome can no longer be read back")
+// errOutcomeLost is returned when so many proposals followed that the document
+// no longer shows the outcome of this one.
+var errOutcomeLost = errors.New("distributor: outcome of the proposal can no longer be read back")
 
+// swap makes one attempt to write the document.
 func (p *proposal) swap(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
 	defer cancel()
-	_, err := p.distributor.store.Swap(ctx, DocumentKey, p.value, p.expected, 0)
+	_, err := p.distributor.store.Swap(ctx, DocumentKey, p.value, p.expectedRevision, 0)
 	return err
 }
 
-// settle finds out about a write without answer: nil if it took effect,
-// ErrConflict if it never will, the doubt otherwise.
-func (p *proposal) settle(ctx context.Context, doubt error) error {
-	call, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
+// resolveOutcome reads the document to find out the outcome of a write that
+// failed with writeErr. It returns nil if the write took effect, ErrConflict if
+// it never will, errOutcomeLost if that cannot be found out, and writeErr if it
+// is still unknown.
+func (p *proposal) resolveOutcome(ctx context.Context, writeErr error) error {
+	callCtx, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
 	defer cancel()
-	doc, revision, err := p.distributor.read(call)
+	doc, revision, err := p.distributor.readDocument(callCtx)
 	switch {
-	case err != nil || revision < p.expected:
-		return doubt
-	case revision == p.expected:
-		// The same value again: if the first write is still under way, only one
-		// of the two can take effect, and it does not matter which. A conflict
-		// says that something did, and needs another look.
+	case err != nil || revision < p.expectedRevision:
+		return writeErr
+	case revision == p.expectedRevision:
+		// Write the same value again. If the first write is still in progress,
+		// only one of the two can take effect, and it does not matter which. After
+		// a conflict the document must be read again.
 		if err := p.swap(ctx); err == nil {
 			return nil
 		}
-		return doubt
+		return writeErr
 	case slices.Contains(doc.Nonces, p.nonce):
 		return nil
-	case doc.Revision-p.from.Revision > maxNonces:
-		return errForgotten
+	case doc.Revision-p.previous.Revision > maxNonces:
+		return errOutcomeLost
 	}
 	return storer.ErrConflict
 }
 
-func (p *proposal) putBase(ctx context.Context) error {
-	if !p.rebase {
+// writeBase writes the result as the new base if the proposal needs it.
+func (p *proposal) writeBase(ctx context.Context) error {
+	if !p.needsBase {
 		return nil
 	}
 	b, err := json.Marshal(p.result)
 	if err != nil {
-		return refused(err)
+		return rejectedError(err)
 	}
 	if len(b) > storer.MaxValue {
-		return refused(fmt.Errorf("distributor: configuration of %d bytes exceeds %d", len(b), storer.MaxValue))
+		return rejectedError(fmt.Errorf("distributor: configuration of %d bytes exceeds %d", len(b), storer.MaxValue))
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
 	defer cancel()
 	if _, err := p.distributor.store.Swap(ctx, basePrefix+p.next.Base, b, 0, 0); err != nil {
-		// Nobody looks at a base before the document names it.
-		return unchanged(err)
+		// A base has no effect before the document refers to it.
+		return notChangedError(err)
 	}
 	return nil
 }
 
-// dropBase removes the base of a proposal that has no effect.
-func (p *proposal) dropBase(ctx context.Context) {
-	if !p.rebase {
+// deleteBase deletes the base of a proposal that did not take effect.
+func (p *proposal) deleteBase(ctx context.Context) {
+	if !p.needsBase {
 		return
 	}
 	d := p.distributor
@@ -223,24 +237,27 @@
 		err = d.store.Delete(ctx, item.Key, item.Revision)
 	}
 	if err != nil {
-		d.log.Debug().Err(err).Str("base", p.next.Base).Msg("Unused base not deleted.")
+		d.log.Debug().Err(err).Str("base", p.next.Base).Msg("unused base deletion failed")
 	}
 }
 
-// accept puts a proposal that took effect in force here and relays it.
-func (d *Distributor) accept(p *proposal) {
+// installProposal installs the result of a proposal that took effect and relays
+// it.
+func (d *Distributor) installProposal(p *proposal) {
 	d.install(p.result, []change{p.change})
-	d.begin(func() {
-		d.relay()
-		if p.rebase {
+	d.startTask(func() {
+		d.relayToDomain()
+		if p.needsBase {
 			ctx, cancel := context.WithTimeout(d.ctx, d.options.Timeout)
 			defer cancel()
-			d.clean(ctx, p.next)
+			d.deleteOldBases(ctx, p.next)
 		}
 	})
 }
 
-func (d *Distributor) read(ctx context.Context) (document, int64, error) {
+// readDocument returns the document and its store revision, which is 0 if there
+// is no document yet.
+func (d *Distributor) readDocument(ctx context.Context) (document, int64, error) {
 	item, err := d.store.Get(ctx, DocumentKey)
 	if errors.Is(err, storer.ErrNotFound) {
 		return document{}, 0, nil
@@ -252,39 +269,45 @@
 	return doc, item.Revision, err
 }
 
-func unchanged(err error) *classifier.Error {
+// notChangedError says that the configuration was not changed because the store
+// cannot be used.
+func notChangedError(err error) *classifier.Error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusServiceUnavailable,
-		Code: "store", Message: "configuration not changed", RetryAfter: longestDelay, Err: err,
+		Code: "store", Message: "configuration not changed", RetryAfter: maxRetryDelay, Err: err,
 	}
 }
 
-func unknown(err error) *classifier.Error {
+// unknownOutcomeError says that the configuration may have been changed.
+func unknownOutcomeError(err error) *classifier.Error {
 	return &classifier.Error{
 		Verdict: classifier.MayHaveRun, Status: http.StatusGatewayTimeout,
 		Code: "store", Message: "outcome of the change is not known", Err: err,
 	}
 }
 
-func refused(err error) *classifier.Error {
+// rejectedError says that the configuration was not changed because the edit
+// failed or its result is not valid.
+func rejectedError(err error) *classifier.Error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusConflict,
 		Code: "refused", Message: "change not accepted", Err: err,
 	}
 }
 
-// Bounds of the delay between attempts.
+// Delays between attempts.
 const (
-	firstDelay   = 20 * time.Millisecond
-	longestDelay = 2 * time.Second
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = firstDelay, longestDelay
+	b.InitialInterval, b.MaxInterval = initialRetryDelay, maxRetryDelay
 	return b
 }
 
+// sleep waits for the next delay. It returns false if ctx ends first.
 func sleep(ctx context.Context, b *backoff.ExponentialBackOff) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/state/distributor/suite_test.go
+++ b/internal/state/distributor/suite_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// current runs the bubbles of specs with virtual time.
+// current is the test that the synctest bubbles of the specs belong to.
 var current *testing.T
 
 func TestDistributor(t *testing.T) {
--- a/internal/state/distributor/target_test.go
+++ b/internal/state/distributor/target_test.go
@@ -16,14 +16,14 @@
 
 // The stated target.
 const (
-	inForce    = 19 * time.Second
-	changeRate = 15_000.0 / 86_400 // a second
-	budget     = 3000.0            // bytes a second for control, of which a third may go here
+	installLimit  = 19 * time.Second  // time until a change is installed at all hosts
+	changeRate    = 15_000.0 / 86_400 // changes per second
+	controlBudget = 3000.0            // bytes per second of all control traffic; a third is for the configuration
 )
 
-var _ = Describe("Distributor at the target", func() {
+var _ = Describe("Distributor under the target load", func() {
 	var f *fleet
-	regions := func(domains, hosts int) {
+	startHosts := func(domains, hosts int) {
 		var names []string
 		for d := range domains {
 			for h := range hosts {
@@ -35,9 +35,10 @@
 			h.client.SetDelay(func(faker.Call) time.Duration { return 5 * time.Millisecond })
 		}
 	}
-	// force returns the virtual time until every host has the revision.
-	force := func(revision int64) time.Duration {
-		began := time.Now()
+	// timeUntil returns the virtual time until all hosts have installed the
+	// revision, at most about a minute.
+	timeUntil := func(revision int64) time.Duration {
+		start := time.Now()
 		for {
 			behind := 0
 			for _, r := range f.revisions() {
@@ -45,13 +46,15 @@
 					behind++
 				}
 			}
-			if behind == 0 || time.Since(began) > time.Minute {
-				return time.Since(began)
+			if behind == 0 || time.Since(start) > time.Minute {
+				return time.Since(start)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	edit := func(c describer.Configuration) (describer.Configuration, error) {
+	// addTeamsAndShards is an edit that makes the configuration as large as the
+	// target says.
+	addTeamsAndShards := func(c describer.Configuration) (describer.Configuration, error) {
 		for i := range 480 {
 			c.Teams = append(c.Teams, describer.Team{Name: fmt.Sprintf("team-%03d", i), Weight: 1})
 		}
@@ -61,36 +64,36 @@
 		return c, nil
 	}
 
-	It("is in force everywhere in time, with the store up and cut off for most", virtual(func() {
+	It("installs changes in time when the store is up, and when most domains cannot reach it", virtual(func() {
 		f = newFleet()
 		defer f.stopAll()
-		regions(11, 5)
-		_, err := f.hosts["d0/0"].Propose(ctx, edit)
+		startHosts(11, 5)
+		_, err := f.hosts["d0/0"].Propose(ctx, addTeamsAndShards)
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(30 * time.Second)
 		f.propose("d0/0", "one")
-		up := force(2)
+		up := timeUntil(2)
 		for name, h := range f.hosts {
 			h.client.SetDown(name[:2] != "d0")
 		}
 		time.Sleep(30 * time.Second)
 		f.propose("d0/0", "two")
-		f.heartbeats() // within some seconds of each other
-		cut := force(3)
-		AddReportEntry("virtual time until in force at 55 hosts", fmt.Sprintf("store up %s, cut off for 10 of 11 domains %s after a heartbeat", up, cut))
-		Expect(up).To(BeNumerically("<", inForce))
-		Expect(cut).To(BeNumerically("<", inForce))
-		f.neverReverts()
+		f.heartbeats() // heartbeats are at most a few seconds apart
+		partitioned := timeUntil(3)
+		AddReportEntry("virtual time until installed at 55 hosts", fmt.Sprintf("store up %s, 10 of 11 domains partitioned from the store %s after a heartbeat", up, partitioned))
+		Expect(up).To(BeNumerically("<", installLimit))
+		Expect(partitioned).To(BeNumerically("<", installLimit))
+		f.expectNoRevert()
 	}))
 
-	It("relays within its share of the budget", virtual(func() {
+	It("relays changes within its share of the control traffic budget", virtual(func() {
 		f = newFleet()
 		defer f.stopAll()
-		regions(1, 12)
-		_, err := f.hosts["d0/0"].Propose(ctx, edit)
+		startHosts(1, 12)
+		_, err := f.hosts["d0/0"].Propose(ctx, addTeamsAndShards)
 		Expect(err).NotTo(HaveOccurred())
 		time.Sleep(30 * time.Second)
-		before := f.sent()
+		before := f.sentBytes()
 		const changes = 45
 		largest := 0
 		for i := range changes {
@@ -98,18 +101,19 @@
 			largest = max(largest, len(f.store.Items(distributor.DocumentKey)[0].Value))
 			time.Sleep(5 * time.Second)
 		}
-		most := 0.0
-		for name, n := range f.sent() {
-			most = max(most, float64(n-before[name])/changes*changeRate)
+		maxRelayed := 0.0
+		for name, n := range f.sentBytes() {
+			maxRelayed = max(maxRelayed, float64(n-before[name])/changes*changeRate)
 		}
-		watch := float64(largest) * changeRate
-		AddReportEntry("bytes a second at 12 hosts of one domain", fmt.Sprintf("relay, busiest host %.0f; watch, at most %.0f", most, watch))
+		watched := float64(largest) * changeRate
+		AddReportEntry("bytes per second at 12 hosts of one domain", fmt.Sprintf("relay, busiest host %.0f; watch, at most %.0f", maxRelayed, watched))
 		Expect(largest).To(BeNumerically("<", 5000))
-		Expect(most + watch).To(BeNumerically("<", budget/2))
+		Expect(maxRelayed + watched).To(BeNumerically("<", controlBudget/2))
 	}))
 })
 
-func (f *fleet) sent() map[string]int64 {
+// sentBytes returns the bytes that each host has sent.
+func (f *fleet) sentBytes() map[string]int64 {
 	synctest.Wait()
 	out := map[string]int64{}
 	for name := range f.hosts {
