--- a/internal/state/faker/commit.go
+++ b/internal/state/faker/commit.go
@@ -8,8 +8,8 @@
 
 var _ storer.Committer = (*Client)(nil)
 
-// Commit implements storer.Committer. The call's key and value are those of
-// the first write.
+// Commit implements storer.Committer. The fault and delay functions receive the
+// key and value of the first write.
 func (c *Client) Commit(ctx context.Context, tx storer.Transaction) (revision int64, err error) {
 	var first storer.Write
 	if len(tx.Put) > 0 {
@@ -18,18 +18,18 @@
 	err = c.do(ctx, "commit", first.Key, first.Value, func(s *Store, _ bool) error {
 		for _, condition := range tx.If {
 			if s.items[condition.Key].Revision != condition.Revision {
-				return refused(storer.ErrConflict)
+				return rejected(storer.ErrConflict)
 			}
 		}
 		for _, w := range tx.Put {
 			if w.Lease != 0 && s.leases[w.Lease] == nil {
-				return refused(storer.ErrNoLease)
+				return rejected(storer.ErrNoLease)
 			}
 		}
 		for _, w := range tx.Put {
 			revision = s.put(w.Key, w.Value, w.Lease)
 		}
-		for _, w := range tx.Put { // the whole change has one revision
+		for _, w := range tx.Put { // all writes of a transaction have the same revision
 			item := s.items[w.Key]
 			item.Revision = revision
 			s.items[w.Key] = item
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -1,16 +1,16 @@
-// Package faker is an in-memory store with faults for the tests of its
-// neighbours.
+// Package faker provides an in-memory store and network with injected faults,
+// for the tests of other packages.
 //
 // # Model
 //
-// One [Store] is shared by several [Client] values, one for each daemon of a
-// test. The function set by SetFault decides the fate of each of its calls: refused,
-// carried out with the answer lost, or answered from the past. Time is that of
-// the time package, so a testing/synctest bubble makes it virtual.
+// Several [Client] values share one [Store], one for each daemon of a test. The
+// function set by SetFault decides the [Outcome] of each call of a client. The
+// package takes the time from package time, so it is virtual in a
+// testing/synctest bubble.
 //
 //	store := faker.New()
 //	a, b := store.Client("a"), store.Client("b")
-//	a.SetFault(func(c faker.Call) faker.Fate { return faker.LoseAnswer })
+//	a.SetFault(func(c faker.Call) faker.Outcome { return faker.LoseResponse })
 package faker
 
 import (
@@ -25,64 +25,69 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Outcome is what becomes of a call.
+// Outcome is what happens to a call.
 type Outcome uint8
 
-// Fates of calls.
+// Outcomes of calls.
 const (
-	Succeed      Outcome = iota
-	Drop                 // no effect, and the client cannot tell
-	LoseResponse         // carried out, and the client cannot tell
-	StaleRead            // a read answers with the value before the latest change
+	// Succeed applies the call and returns its result.
+	Succeed Outcome = iota
+	// Drop has no effect. The client gets no response.
+	Drop
+	// LoseResponse applies the call, but the client gets no response.
+	LoseResponse
+	// StaleRead makes Get return the item as it was before its latest change. It
+	// equals Succeed for other calls.
+	StaleRead
 )
 
-func (f Outcome) String() string {
-	return [...]string{"answer", "drop", "lose-answer", "stale"}[f]
+func (o Outcome) String() string {
+	return [...]string{"answer", "drop", "lose-answer", "stale"}[o]
 }
 
-// Call is one call of a client.
+// Call describes a call for the functions that decide its outcome and delay.
 type Call struct {
-	Client    string
-	Operation string // get, list, swap, delete, grant, renew, revoke, watch
-	Key       string
+	Client    string // name of the client
+	Operation string // commit, get, list, swap, delete, grant, renew, revoke, watch
+	Key       string // key or prefix
 	Value     []byte
-	Number    int64 // of the client's calls, from 1
+	Number    int64 // number of the call among those of the client, from 1
 }
 
-// Store is the shared state.
+// Store is a key-value store in memory. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	revision int64
-	lease    int64
-	items    map[string]storer.Item
-	past     map[string]storer.Item // before the latest change, for stale reads
-	gone     map[string]int64       // revision of the delete
-	leases   map[int64]*lease
-	changed  chan struct{} // closed and replaced with each change
+	mu              sync.Mutex
+	revision        int64 // of the latest change
+	lastLease       int64 // id of the lease granted last
+	items           map[string]storer.Item
+	previousItems   map[string]storer.Item // by key: the item before its latest change, for stale reads
+	deleteRevisions map[string]int64       // by deleted key: revision of the deletion
+	leases          map[int64]*lease
+	changed         chan struct{} // closed and replaced with each change
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		items:   map[string]storer.Item{},
-		past:    map[string]storer.Item{},
-		gone:    map[string]int64{},
-		leases:  map[int64]*lease{},
-		changed: make(chan struct{}),
+		items:           map[string]storer.Item{},
+		previousItems:   map[string]storer.Item{},
+		deleteRevisions: map[string]int64{},
+		leases:          map[int64]*lease{},
+		changed:         make(chan struct{}),
 	}
 }
 
-// Client returns a client of the store.
+// Client returns a new client of the store.
 func (s *Store) Client(name string) *Client {
-	return &Client{Name: name, store: s, count: map[string]int64{}}
+	return &Client{Name: name, store: s, callCounts: map[string]int64{}}
 }
 
-// Items returns the items below prefix, sorted by key.
+// Items returns the items whose keys begin with prefix, sorted by key.
 func (s *Store) Items(prefix string) []storer.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,17 +102,18 @@
 	return out
 }
 
-// expire deletes what was bound to lapsed leases; s.mu is held.
+// expire deletes the expired leases and the items bound to them; s.mu is held.
 func (s *Store) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
-		if now.After(l.until) {
-			s.end(id)
+		if now.After(l.expires) {
+			s.deleteLease(id)
 		}
 	}
 }
 
-func (s *Store) end(id int64) {
+// deleteLease deletes a lease and the items bound to it; s.mu is held.
+func (s *Store) deleteLease(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
@@ -116,84 +122,92 @@
 	}
 }
 
+// remove deletes an item; s.mu is held.
 func (s *Store) remove(key string) {
 	s.revision++
-	s.past[key] = s.items[key]
+	s.previousItems[key] = s.items[key]
 	delete(s.items, key)
-	s.gone[key] = s.revision
-	s.tell()
+	s.deleteRevisions[key] = s.revision
+	s.notifyChange()
 }
 
+// put sets an item and returns its revision; s.mu is held.
 func (s *Store) put(key string, value []byte, lease int64) int64 {
 	s.revision++
 	if old, ok := s.items[key]; ok {
-		s.past[key] = old
+		s.previousItems[key] = old
 	}
 	s.items[key] = storer.Item{Key: key, Value: slices.Clone(value), Revision: s.revision, Lease: lease}
-	delete(s.gone, key)
-	s.tell()
+	delete(s.deleteRevisions, key)
+	s.notifyChange()
 	return s.revision
 }
 
-func (s *Store) tell() {
+// notifyChange wakes the watches; s.mu is held.
+func (s *Store) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Client is one daemon's access. It implements storer.Store.
+// Client is the access of one daemon to the store. It implements storer.Store
+// and is safe for concurrent use.
 type Client struct {
 	Name  string
 	store *Store
 
-	mu    sync.Mutex
-	fault func(Call) Outcome
-	delay func(Call) time.Duration
-	down  bool
-	count map[string]int64
-	calls int64
+	mu         sync.Mutex
+	fault      func(Call) Outcome
+	delay      func(Call) time.Duration
+	down       bool
+	callCounts map[string]int64 // by operation
+	calls      int64
 }
 
 var _ storer.Store = (*Client)(nil)
 
-// SetFault sets what decides the fate of each call; nil answers every call.
-// The function is called by one goroutine at a time.
+// SetFault sets the function that decides the outcome of each call; with nil all
+// calls succeed. It is called by one goroutine at a time.
 func (c *Client) SetFault(f func(Call) Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fault = f
 }
 
-// SetDelay sets the time before each call has its effect; nil is none. The
-// function is called by one goroutine at a time.
+// SetDelay sets the function that returns the time before each call takes
+// effect; nil means no delay. It is called by one goroutine at a time.
 func (c *Client) SetDelay(f func(Call) time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.delay = f
 }
 
-// SetDown begins or ends an outage for this client.
+// SetDown begins or ends an outage of the store for this client, during which all
+// calls are dropped.
 func (c *Client) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
 }
 
-// CallCount returns the calls made, by operation.
+// CallCount returns the number of calls of an operation so far.
 func (c *Client) CallCount(operation string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count[operation]
+	return c.callCounts[operation]
 }
 
-func lost() error {
-	return &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no answer"}
+// noResponse is the error of a call whose outcome the client does not know.
+func noResponse() error {
+	return &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no response from store"}
 }
 
-func refused(err error) error {
-	return &classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "refused", Err: err}
+// rejected is the error of a call that the store did not apply.
+func rejected(err error) error {
+	return &classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "rejected by store", Err: err}
 }
 
-func (c *Client) fate(call Call) Outcome {
+// outcome decides the outcome of a call.
+func (c *Client) outcome(call Call) Outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -205,32 +219,33 @@
 	return Succeed
 }
 
-// do runs f on the store according to the call's fate.
+// do runs f on the store according to the outcome of the call; stale says
+// whether it is StaleRead.
 func (c *Client) do(ctx context.Context, operation, key string, value []byte, f func(s *Store, stale bool) error) error {
 	c.mu.Lock()
 	c.calls++
-	c.count[operation]++
+	c.callCounts[operation]++
 	call := Call{Client: c.Name, Operation: operation, Key: key, Value: value, Number: c.calls}
 	var delay time.Duration
 	if c.delay != nil {
 		delay = c.delay(call)
 	}
 	c.mu.Unlock()
-	// The call has its effect late, whether or not anybody still waits.
+	// The call takes effect after the delay even if ctx has ended by then.
 	time.Sleep(delay)
-	fate := c.fate(call)
-	if fate == Drop {
-		return lost()
+	outcome := c.outcome(call)
+	if outcome == Drop {
+		return noResponse()
 	}
 	c.store.mu.Lock()
 	c.store.expire()
-	err := f(c.store, fate == StaleRead)
+	err := f(c.store, outcome == StaleRead)
 	c.store.mu.Unlock()
-	if fate == LoseResponse {
-		return lost()
+	if outcome == LoseResponse {
+		return noResponse()
 	}
 	if ctx.Err() != nil {
-		return lost()
+		return noResponse()
 	}
 	return err
 }
@@ -241,10 +256,10 @@
 		var ok bool
 		item, ok = s.items[key]
 		if stale {
-			item, ok = s.past[key]
+			item, ok = s.previousItems[key]
 		}
 		if !ok {
-			return refused(storer.ErrNotFound)
+			return rejected(storer.ErrNotFound)
 		}
 		return nil
 	})
@@ -269,14 +284,14 @@
 // Swap implements storer.Store.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, expected, lease int64) (revision int64, err error) {
 	if len(value) > storer.MaxValue {
-		return 0, refused(fmt.Errorf("faker: value of %d bytes", len(value)))
+		return 0, rejected(fmt.Errorf("faker: value of %d bytes exceeds limit", len(value)))
 	}
 	err = c.do(ctx, "swap", key, value, func(s *Store, _ bool) error {
 		if s.items[key].Revision != expected {
-			return refused(storer.ErrConflict)
+			return rejected(storer.ErrConflict)
 		}
 		if lease != 0 && s.leases[lease] == nil {
-			return refused(storer.ErrNoLease)
+			return rejected(storer.ErrNoLease)
 		}
 		revision = s.put(key, value, lease)
 		return nil
@@ -290,9 +305,9 @@
 		item, ok := s.items[key]
 		switch {
 		case !ok:
-			return refused(storer.ErrNotFound)
+			return rejected(storer.ErrNotFound)
 		case item.Revision != expected:
-			return refused(storer.ErrConflict)
+			return rejected(storer.ErrConflict)
 		}
 		s.remove(key)
 		return nil
@@ -302,9 +317,9 @@
 // Grant implements storer.Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (id int64, err error) {
 	err = c.do(ctx, "grant", "", nil, func(s *Store, _ bool) error {
-		s.lease++
-		id = s.lease
-		s.leases[id] = &lease{ttl: ttl, until: time.Now().Add(ttl)}
+		s.lastLease++
+		id = s.lastLease
+		s.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
 		return nil
 	})
 	return id, err
@@ -315,9 +330,9 @@
 	return c.do(ctx, "renew", "", nil, func(s *Store, _ bool) error {
 		l := s.leases[id]
 		if l == nil {
-			return refused(storer.ErrNoLease)
+			return rejected(storer.ErrNoLease)
 		}
-		l.until = time.Now().Add(l.ttl)
+		l.expires = time.Now().Add(l.ttl)
 		return nil
 	})
 }
@@ -326,23 +341,23 @@
 func (c *Client) Revoke(ctx context.Context, id int64) error {
 	return c.do(ctx, "revoke", "", nil, func(s *Store, _ bool) error {
 		if s.leases[id] == nil {
-			return refused(storer.ErrNoLease)
+			return rejected(storer.ErrNoLease)
 		}
-		s.end(id)
+		s.deleteLease(id)
 		return nil
 	})
 }
 
 // Watch implements storer.Store.
 func (c *Client) Watch(ctx context.Context, prefix string, revision int64, wait time.Duration) ([]storer.Item, int64, error) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
 		var items []storer.Item
 		var next int64
 		var changed chan struct{}
 		err := c.do(ctx, "watch", prefix, nil, func(s *Store, _ bool) error {
-			items, next, changed = s.since(prefix, revision), s.revision, s.changed
+			items, next, changed = s.changesSince(prefix, revision), s.revision, s.changed
 			return nil
 		})
 		if err != nil || len(items) > 0 {
@@ -350,22 +365,24 @@
 		}
 		select {
 		case <-changed:
-		case <-end.C:
+		case <-timeout.C:
 			return nil, next, nil
 		case <-ctx.Done():
-			return nil, 0, lost()
+			return nil, 0, noResponse()
 		}
 	}
 }
 
-func (s *Store) since(prefix string, revision int64) []storer.Item {
+// changesSince returns the items below prefix that changed after revision,
+// deleted ones included, in order of revision; s.mu is held.
+func (s *Store) changesSince(prefix string, revision int64) []storer.Item {
 	var out []storer.Item
 	for key, item := range s.items {
 		if strings.HasPrefix(key, prefix) && item.Revision > revision {
 			out = append(out, item)
 		}
 	}
-	for key, r := range s.gone {
+	for key, r := range s.deleteRevisions {
 		if strings.HasPrefix(key, prefix) && r > revision {
 			out = append(out, storer.Item{Key: key, Revision: r, Deleted: true})
 		}
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -9,19 +9,20 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Network joins nodes by address, in memory.
+// Network connects nodes by address, in memory. It is safe for concurrent use.
 type Network struct {
-	mu    sync.Mutex
-	nodes map[string]*Node
-	cut   map[[2]string]bool
+	mu          sync.Mutex
+	nodes       map[string]*Node
+	partitioned map[[2]string]bool // by the addresses of caller and receiver
 }
 
 // NewNetwork returns a network without nodes.
 func NewNetwork() *Network {
-	return &Network{nodes: map[string]*Node{}, cut: map[[2]string]bool{}}
+	return &Network{nodes: map[string]*Node{}, partitioned: map[[2]string]bool{}}
 }
 
-// AddNode returns the node at an address, a new one in place of an older.
+// AddNode adds a node at an address and returns it. It replaces a node that was
+// added there before.
 func (n *Network) AddNode(address string) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -30,53 +31,58 @@
 	return node
 }
 
-// RemoveNode ends the node at an address; calls to it fail at once with NotRun.
+// RemoveNode removes the node at an address. Calls to the address then fail at
+// once, with verdict NotRun.
 func (n *Network) RemoveNode(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, address)
 }
 
-// SetPartitioned separates two addresses or joins them again. Calls between separated
-// addresses end with their context.
-func (n *Network) SetPartitioned(a, b string, cut bool) {
+// SetPartitioned separates two addresses or connects them again. Calls between
+// separated addresses fail when their contexts end.
+func (n *Network) SetPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}] = cut
-	n.cut[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = partitioned
+	n.partitioned[[2]string{b, a}] = partitioned
 }
 
-func (n *Network) find(from, to string) (node *Node, cut bool) {
+// find returns the node at the address to, and whether the two addresses are
+// partitioned.
+func (n *Network) find(from, to string) (node *Node, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.nodes[to], n.cut[[2]string{from, to}]
+	return n.nodes[to], n.partitioned[[2]string{from, to}]
 }
 
-// Node calls and serves like a messenger.Node.
+// Node is an in-memory substitute for a messenger.Node.
 type Node struct {
 	Address string
 	network *Network
 
 	mu       sync.Mutex
 	handlers map[string]messenger.Handler
-	sent     int64
+	sent     int64 // bytes
 }
 
-// Handle registers a handler.
+// Handle registers the handler of a method.
 func (n *Node) Handle(method string, h messenger.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[method] = h
 }
 
-// SentBytes returns the bytes of params and answers sent.
+// SentBytes returns the number of bytes that the node has sent as parameters and
+// results.
 func (n *Node) SentBytes() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.sent
 }
 
-func (n *Node) count(b []byte) {
+// countSent adds the bytes to those sent.
+func (n *Node) countSent(b []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent += int64(len(b))
@@ -88,24 +94,25 @@
 	if err != nil {
 		return err
 	}
-	n.count(body)
-	peer, cut := n.network.find(n.Address, address)
-	if cut {
+	n.countSent(body)
+	peer, partitioned := n.network.find(n.Address, address)
+	if partitioned {
 		<-ctx.Done()
-		return &classifier.Error{Code: "timeout", Message: "cut", Err: ctx.Err()}
+		return &classifier.Error{Code: "timeout", Message: "network is partitioned", Err: ctx.Err()}
 	}
 	if peer == nil {
-		return &classifier.Error{Verdict: classifier.NotRun, Code: "unreachable", Message: "no node"}
+		return &classifier.Error{Verdict: classifier.NotRun, Code: "unreachable", Message: "no node at address"}
 	}
-	return peer.answer(ctx, method, body, result)
+	return peer.serve(ctx, method, body, result)
 }
 
-func (n *Node) answer(ctx context.Context, method string, body []byte, result any) error {
+// serve calls the handler of a method and decodes its result into result.
+func (n *Node) serve(ctx context.Context, method string, body []byte, result any) error {
 	n.mu.Lock()
 	h := n.handlers[method]
 	n.mu.Unlock()
 	if h == nil {
-		return &classifier.Error{Verdict: classifier.NotRun, Code: "unknown", Message: "no method"}
+		return &classifier.Error{Verdict: classifier.NotRun, Code: "unknown", Message: "no handler for method"}
 	}
 	out, err := h(ctx, body)
 	if err != nil {
@@ -115,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	n.count(b)
+	n.countSent(b)
 	if result == nil {
 		return nil
 	}
--- a/internal/state/faker/bubble.go
+++ b/internal/state/faker/virtual.go
@@ -5,8 +5,9 @@
 	"testing/synctest"
 )
 
-// WithVirtualTime wraps the body of a spec so that it runs in a bubble with virtual
-// time. A failed expectation panics, which is carried out of the bubble.
+// WithVirtualTime returns a function that runs f in a synctest bubble, in which
+// time is virtual, as part of the test *t. A failed Gomega expectation panics in
+// f; the panic is passed on to the caller.
 func WithVirtualTime(t **testing.T, f func()) func() {
 	return func() {
 		var failure any
--- a/internal/state/waiter/waiter.go
+++ b/internal/state/waiter/waiter.go
@@ -1,6 +1,6 @@
-// Package waiter waits for a time or the end of a context.
+// Package waiter provides a sleep that the end of a context interrupts.
 //
-//	for waiter.Pause(ctx, time.Second) {
+//	for waiter.Sleep(ctx, time.Second) {
 //		... // once a second, until ctx ends
 //	}
 package waiter
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Sleep waits for d. It reports false when ctx ended first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
