--- a/coord/example_test.go
+++ b/coord/example_test.go
@@ -12,7 +12,8 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// memory is a store in memory; a program passes a client of its own store.
+// memory returns an in-memory store. A program passes a client of its own store
+// instead.
 func memory() coord.Store { return faker.New().Client("example") }
 
 func ExampleNewLease() {
@@ -66,7 +67,8 @@
 	// Output: [a b] [a b]
 }
 
-// join starts a member and sends the names it sees once there are two.
+// join starts a member. It sends the names of the members that are alive, once
+// there are two.
 func join(name, seed string) (*coord.Node, chan []string) {
 	node, err := coord.NewNode(coord.NodeOptions{Listen: "127.0.0.1:0"})
 	if err != nil {
@@ -106,7 +108,7 @@
 	)
 	defer slots.Close()
 	for slots.Limit(server) == 0 {
-		time.Sleep(time.Millisecond) // until the seat is recorded
+		time.Sleep(time.Millisecond) // wait until the store holds the seat
 	}
 	_, ok := slots.Acquire(server, time.Now().Add(time.Second))
 	_, again := slots.Acquire(server, time.Now().Add(time.Second))
