--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -99,7 +99,7 @@
 	current       describer.Configuration // its lists are never changed in place
 	recentChanges []change                // the latest changes that led to current, oldest first
 	peers         []reducer.Peer
-	newerPeers    map[string]int64 // by address: revision of a peer, greater than that of current
+	newerPeers    map[string]int64 // revisions of peers by address, greater than that of current
 }
 
 // New starts a Distributor. The sink is called with every configuration that is
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -57,11 +57,11 @@
 // Store is a key-value store in memory. It is safe for concurrent use.
 type Store struct {
 	mu              sync.Mutex
-	revision        int64 // of the latest change
+	revision        int64 // revision of the latest change
 	lastLease       int64 // id of the lease granted last
 	items           map[string]storer.Item
-	previousItems   map[string]storer.Item // by key: the item before its latest change, for stale reads
-	deleteRevisions map[string]int64       // by deleted key: revision of the deletion
+	previousItems   map[string]storer.Item // items before their latest changes by key, for stale reads
+	deleteRevisions map[string]int64       // revisions of the deletions by key
 	leases          map[int64]*lease
 	changed         chan struct{} // closed and replaced with each change
 }
@@ -159,7 +159,7 @@
 	fault      func(Call) Outcome
 	delay      func(Call) time.Duration
 	down       bool
-	callCounts map[string]int64 // by operation
+	callCounts map[string]int64 // number of calls by operation
 	calls      int64
 }
 
--- a/internal/state/faker/network.go
+++ b/internal/state/faker/network.go
@@ -13,7 +13,7 @@
 type Network struct {
 	mu          sync.Mutex
 	nodes       map[string]*Node
-	partitioned map[[2]string]bool // by the addresses of caller and receiver
+	partitioned map[[2]string]bool // keys are the addresses of caller and receiver
 }
 
 // NewNetwork returns a network without nodes.
@@ -63,7 +63,7 @@
 
 	mu       sync.Mutex
 	handlers map[string]messenger.Handler
-	sent     int64 // bytes
+	sent     int64 // number of bytes sent
 }
 
 // Handle registers the handler of a method.
--- a/internal/state/holder/failure_test.go
+++ b/internal/state/holder/failure_test.go
@@ -86,7 +86,7 @@
 		a.claim()
 		a.append(1, 1, "one")
 		time.Sleep(time.Second)
-		a.client.SetDown(true) // stands for a crash
+		a.client.SetDown(true) // simulates a crash
 		died := time.Now()
 		var e reducer.Event
 		for {
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -86,7 +86,7 @@
 	reachableKnown bool // reachable has been reported
 	reachable      bool // the store responds
 	closed         bool
-	events         []reducer.Event // not delivered yet
+	events         []reducer.Event // events not delivered yet
 	wake           chan struct{}   // wakes deliver
 }
 
--- a/internal/state/holder/store.go
+++ b/internal/state/holder/store.go
@@ -20,7 +20,7 @@
 	onCall func(operation string, responded bool)
 
 	mu     sync.Mutex
-	counts map[string]int64 // by operation
+	counts map[string]int64 // number of calls by operation
 }
 
 // observe counts a call that ended with err, unless the caller canceled it.
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -261,7 +261,7 @@
 			}
 			return faker.Succeed
 		})
-		a.Save(1, []byte("never in force"))
+		a.Save(1, []byte("unfinished"))
 		time.Sleep(time.Second)
 		a.stop()
 		b := open(store.Client("b"))
@@ -279,11 +279,11 @@
 func appendUnderFaults(random *rand.Rand, share float64, outcomes []faker.Outcome) {
 	GinkgoHelper()
 	store := faker.New()
-	former := open(store.Client("z"))
-	former.write(1)
-	former.Save(1, []byte("former"))
-	former.Finish()
-	<-former.Done
+	previous := open(store.Client("z"))
+	previous.write(1)
+	previous.Save(1, []byte("former"))
+	previous.Finish()
+	<-previous.Done
 	client := store.Client("a")
 	client.SetFault(func(faker.Call) faker.Outcome {
 		if random.Float64() < share {
