--- a/internal/state/journaler/journaler.go
+++ b/internal/state/journaler/journaler.go
@@ -9,11 +9,11 @@
 // the next append is given by the stored ledger and not chosen by its writer:
 //
 //	head ──> slot 0        slot 1        slot 2
-//	         sequence 7    sequence 8    sequence 3, unused
+//	         sequence 7    sequence 8    sequence 3, obsolete
 //	         next: 1       next: 2
 //
 // Here the next append is sequence 9 in slot 2, by compare-and-swap against the
-// revision of the old segment there. [Open] claims the next epoch in the head
+// revision of the obsolete segment there. [Open] claims the next epoch in the head
 // and then writes an empty segment, the barrier, to the same slot. The next
 // append of the previous owner is also for sequence 9 in slot 2, so it fails,
 // however long that owner was paused. Slots are overwritten but never deleted:
