--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -11,8 +11,8 @@
 
 // Names of contenders that goals refer to.
 const (
-	DefaultName = "default"
-	NoColocationName   = "no-colocation"
+	DefaultName      = "default"
+	NoColocationName = "no-colocation"
 )
 
 // packing are the baselines that pack batch tasks beside services.
@@ -24,7 +24,7 @@
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
 	Declared bool // grants as declared, not as measured
 	Evict    bool // evicts the newest batch task for each report above the target
-	Adaptive     bool // learns, escalates, restores gradually and makes room for urgent tasks
+	Adaptive bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
 
 // Variants returns the default policy and the baselines.
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -15,14 +15,14 @@
 
 // Outcome is one morning.
 type Outcome struct {
-	P99       time.Duration
-	WithinTarget    float64
-	Work      float64
-	Evictions int
-	Drained   int
-	Restore   time.Duration
-	Urgent    float64
-	Refused   float64
+	P99          time.Duration
+	WithinTarget float64
+	Work         float64
+	Evictions    int
+	Drained      int
+	Restore      time.Duration
+	Urgent       float64
+	Refused      float64
 }
 
 // control is the decision loop around one contender's policies.
@@ -374,9 +374,9 @@
 // outcome sums up the morning.
 func (k *control) outcome(all []*run) Outcome {
 	o := Outcome{
-		P99:       time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
-		WithinTarget:    float64(k.within) / float64(max(k.intervals, 1)),
-		Evictions: k.evictions, Drained: k.drained, Restore: k.restored,
+		P99:          time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
+		WithinTarget: float64(k.within) / float64(max(k.intervals, 1)),
+		Evictions:    k.evictions, Drained: k.drained, Restore: k.restored,
 	}
 	if len(k.restores) > 0 {
 		o.Restore = morning // never
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -42,7 +42,7 @@
 	First       uint64
 	Parallel    int          // simulations at once; default 2
 	Deployments []Deployment // default both
-	Variants  []Variant  // default all
+	Variants    []Variant    // default all
 }
 
 // Report holds one result for each deployment and contender.
@@ -53,18 +53,18 @@
 
 // Result is a contender's mean over all seeds in one deployment.
 type Result struct {
-	Deployment string
-	Variant  string
-	P99        time.Duration // of all requests of a morning
-	P99Worst   time.Duration // of the worst seed
-	WithinTarget     float64       // share of worker intervals whose 99th percentile is within the target
-	Work       float64       // share of batch work, by true core seconds, done by its deadline
-	Evictions  float64       // for the sake of services or urgent tasks, each morning
-	Drained    float64       // evictions by the drain, each morning
-	Restore    time.Duration // from the end of the drain until all workers are restored
-	Urgent     float64       // share of urgent tasks that started in bound
-	Refused    float64       // share of urgent tasks that did not, with a reason
-	Seeds      []Outcome     // by seed, in order
+	Deployment   string
+	Variant      string
+	P99          time.Duration // of all requests of a morning
+	P99Worst     time.Duration // of the worst seed
+	WithinTarget float64       // share of worker intervals whose 99th percentile is within the target
+	Work         float64       // share of batch work, by true core seconds, done by its deadline
+	Evictions    float64       // for the sake of services or urgent tasks, each morning
+	Drained      float64       // evictions by the drain, each morning
+	Restore      time.Duration // from the end of the drain until all workers are restored
+	Urgent       float64       // share of urgent tasks that started in bound
+	Refused      float64       // share of urgent tasks that did not, with a reason
+	Seeds        []Outcome     // by seed, in order
 }
 
 // Run plays all mornings.
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -21,10 +21,10 @@
 
 // Limits bound what Default accepts. Zero fields take defaults.
 type Limits struct {
-	MaxSlowdown float64       // cautious relative slow-down of a service that batch may cause at most
-	TargetShare   float64       // share of the service's target that the expected latency may take
-	ComfortShare  float64       // share of the service's target below which slow-down does not matter
-	TrialShare    float64       // share of an idle worker's processors that a task may take while nothing is known
+	MaxSlowdown    float64       // cautious relative slow-down of a service that batch may cause at most
+	TargetShare    float64       // share of the service's target that the expected latency may take
+	ComfortShare   float64       // share of the service's target below which slow-down does not matter
+	TrialShare     float64       // share of an idle worker's processors that a task may take while nothing is known
 	DeadlineWindow time.Duration // before its deadline, in which a task may take twice the slow-down
 }
 
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -15,10 +15,10 @@
 
 // Costs are the times that making room takes. Zero fields take defaults.
 type Costs struct {
-	Throttle   time.Duration // until a lower processor grant is in force
-	Checkpoint time.Duration // until a run has saved its progress and ended
-	Start      time.Duration // from decision to running, with the durable record
-	ThrottleShare      float64       // share of its grant that a throttled task keeps
+	Throttle      time.Duration // until a lower processor grant is in force
+	Checkpoint    time.Duration // until a run has saved its progress and ended
+	Start         time.Duration // from decision to running, with the durable record
+	ThrottleShare float64       // share of its grant that a throttled task keeps
 }
 
 func (c Costs) orDefault() Costs {
@@ -41,7 +41,7 @@
 // within the bound, and Why says the reason.
 type Preemption struct {
 	Worker   string
-	Throttle []GrantReduction            // lower these processor grants
+	Throttle []GrantReduction    // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -48,9 +48,9 @@
 	MinStep        time.Duration // shortest time of a step, longer than the lag of reports
 	MaxStep        time.Duration // longest time of a step
 	SilenceTimeout time.Duration // without inventory the worker counts as silent
-	PauseAbove            float64       // share of a service's target above which a step is held back
-	ResumeBelow           float64       // share below which it is no longer
-	Smoothing         float64       // of the newest report in the smoothed latency
+	PauseAbove     float64       // share of a service's target above which a step is held back
+	ResumeBelow    float64       // share below which it is no longer
+	Smoothing      float64       // of the newest report in the smoothed latency
 }
 
 func (o Options) orDefault() Options {
@@ -79,11 +79,11 @@
 // State is what is remembered of one restore. Its zero value begins one; a
 // successor that lost it begins again at the first step, which is safe.
 type State struct {
-	Step     int
-	StepSince    time.Time // of the step
-	Paused      bool
-	Smoothed map[string]float64 // logarithm of latency as a share of the target, by service
-	LastReport     map[string]time.Time
+	Step       int
+	StepSince  time.Time // of the step
+	Paused     bool
+	Smoothed   map[string]float64 // logarithm of latency as a share of the target, by service
+	LastReport map[string]time.Time
 }
 
 // Decide returns what the worker may take now.
