--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -17,7 +17,7 @@
 			Shard:  Duration(6 * time.Second),
 			Task:   Duration(20 * time.Second),
 			Margin: Duration(2 * time.Second),
-			Sync:   Duration(2 * time.Second),
+			SyncInterval:   Duration(2 * time.Second),
 		},
 		Restore: Restore{
 			Settle:   Duration(time.Minute),
@@ -110,9 +110,9 @@
 	d.between("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
 	d.between("lease.task", l.Task, 100*time.Millisecond, time.Hour)
 	d.between("lease.margin", l.Margin, 0, time.Minute)
-	d.between("lease.sync", l.Sync, 10*time.Millisecond, time.Minute)
-	if l.Sync*3 > l.Task {
-		d.Fault("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.Sync)
+	d.between("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
+	if l.SyncInterval*3 > l.Task {
+		d.Fault("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
 	}
 }
 
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -37,7 +37,7 @@
 	Shard  Duration `json:"shard"`  // ownership of a shard in the store
 	Task   Duration `json:"task"`   // of a task at its worker
 	Margin Duration `json:"margin"` // for clock drift
-	Sync   Duration `json:"sync"`   // between inventories of one worker
+	SyncInterval   Duration `json:"sync"`   // between inventories of one worker
 }
 
 // Restore holds the pace at which drained workers get their work back.
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -102,7 +102,7 @@
 		Region:       s.Settings.Region,
 		TaskLease:    time.Duration(s.Settings.Lease.Task),
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
-		SyncInterval: time.Duration(s.Settings.Lease.Sync),
+		SyncInterval: time.Duration(s.Settings.Lease.SyncInterval),
 	}, reducer.Policies{Restoration: restorer.Options{
 		MinStep: time.Duration(s.Settings.Restore.Settle),
 		MaxStep: time.Duration(s.Settings.Restore.Patience),
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -41,7 +41,7 @@
 		Shard:  parser.Duration(2 * time.Second),
 		Task:   parser.Duration(4 * time.Second),
 		Margin: parser.Duration(500 * time.Millisecond),
-		Sync:   parser.Duration(500 * time.Millisecond),
+		SyncInterval:   parser.Duration(500 * time.Millisecond),
 	}
 	s.Restore = parser.Restore{Settle: parser.Duration(1200 * time.Millisecond), Patience: parser.Duration(2 * time.Second)}
 	s.Traffic.Deadline = parser.Duration(2 * time.Second)
