--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -16,7 +16,7 @@
 		Lease: Lease{
 			Shard:  Duration(6 * time.Second),
 			Task:   Duration(20 * time.Second),
-			Margin: Duration(2 * time.Second),
+			ClockMargin: Duration(2 * time.Second),
 			SyncInterval:   Duration(2 * time.Second),
 		},
 		Restore: Restore{
@@ -109,7 +109,7 @@
 func (d *Document) checkLease(l Lease) {
 	d.between("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
 	d.between("lease.task", l.Task, 100*time.Millisecond, time.Hour)
-	d.between("lease.margin", l.Margin, 0, time.Minute)
+	d.between("lease.margin", l.ClockMargin, 0, time.Minute)
 	d.between("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
 	if l.SyncInterval*3 > l.Task {
 		d.Fault("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -36,7 +36,7 @@
 type Lease struct {
 	Shard  Duration `json:"shard"`  // ownership of a shard in the store
 	Task   Duration `json:"task"`   // of a task at its worker
-	Margin Duration `json:"margin"` // for clock drift
+	ClockMargin Duration `json:"margin"` // for clock drift
 	SyncInterval   Duration `json:"sync"`   // between inventories of one worker
 }
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -68,7 +68,7 @@
 		Daemon:  s.Settings.Name,
 		Address: s.Settings.Listen.Peers,
 		TTL:     time.Duration(s.Settings.Lease.Shard),
-		Margin:  time.Duration(s.Settings.Lease.Margin),
+		Margin:  time.Duration(s.Settings.Lease.ClockMargin),
 		Timeout: s.timeout(),
 		Log:     s.log,
 	}, store, post)
@@ -101,7 +101,7 @@
 		Domain:       s.Settings.Domain,
 		Region:       s.Settings.Region,
 		TaskLease:    time.Duration(s.Settings.Lease.Task),
-		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
+		LeaseMargin:  time.Duration(s.Settings.Lease.ClockMargin),
 		SyncInterval: time.Duration(s.Settings.Lease.SyncInterval),
 	}, reducer.Policies{Restoration: restorer.Options{
 		MinStep: time.Duration(s.Settings.Restore.Settle),
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -40,7 +40,7 @@
 	s.Lease = parser.Lease{
 		Shard:  parser.Duration(2 * time.Second),
 		Task:   parser.Duration(4 * time.Second),
-		Margin: parser.Duration(500 * time.Millisecond),
+		ClockMargin: parser.Duration(500 * time.Millisecond),
 		SyncInterval:   parser.Duration(500 * time.Millisecond),
 	}
 	s.Restore = parser.Restore{Settle: parser.Duration(1200 * time.Millisecond), Patience: parser.Duration(2 * time.Second)}
