--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -20,7 +20,7 @@
 			SyncInterval:   Duration(2 * time.Second),
 		},
 		Restore: Restore{
-			Settle:   Duration(time.Minute),
+			MinStep:   Duration(time.Minute),
 			Patience: Duration(5 * time.Minute),
 		},
 		Traffic: Traffic{
@@ -117,8 +117,8 @@
 }
 
 func (d *Document) checkRestore(r Restore) {
-	d.between("restore.settle", r.Settle, 10*time.Millisecond, time.Hour)
-	d.between("restore.patience", r.Patience, time.Duration(r.Settle), 24*time.Hour)
+	d.between("restore.settle", r.MinStep, 10*time.Millisecond, time.Hour)
+	d.between("restore.patience", r.Patience, time.Duration(r.MinStep), 24*time.Hour)
 }
 
 func (d *Document) checkTraffic(t Traffic) {
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -42,7 +42,7 @@
 
 // Restore holds the pace at which drained workers get their work back.
 type Restore struct {
-	Settle   Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
+	MinStep   Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
 	Patience Duration `json:"patience"` // longest time of a step that latency holds back
 }
 
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -104,7 +104,7 @@
 		LeaseMargin:  time.Duration(s.Settings.Lease.ClockMargin),
 		SyncInterval: time.Duration(s.Settings.Lease.SyncInterval),
 	}, reducer.Policies{Restoration: restorer.Options{
-		MinStep: time.Duration(s.Settings.Restore.Settle),
+		MinStep: time.Duration(s.Settings.Restore.MinStep),
 		MaxStep: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
