--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -21,7 +21,7 @@
 		},
 		Restore: Restore{
 			MinStep:   Duration(time.Minute),
-			Patience: Duration(5 * time.Minute),
+			MaxStep: Duration(5 * time.Minute),
 		},
 		Traffic: Traffic{
 			Queue:      256,
@@ -118,7 +118,7 @@
 
 func (d *Document) checkRestore(r Restore) {
 	d.between("restore.settle", r.MinStep, 10*time.Millisecond, time.Hour)
-	d.between("restore.patience", r.Patience, time.Duration(r.MinStep), 24*time.Hour)
+	d.between("restore.patience", r.MaxStep, time.Duration(r.MinStep), 24*time.Hour)
 }
 
 func (d *Document) checkTraffic(t Traffic) {
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -43,7 +43,7 @@
 // Restore holds the pace at which drained workers get their work back.
 type Restore struct {
 	MinStep   Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
-	Patience Duration `json:"patience"` // longest time of a step that latency holds back
+	MaxStep Duration `json:"patience"` // longest time of a step that latency holds back
 }
 
 // Traffic holds the limits of the interactive side.
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -105,7 +105,7 @@
 		SyncInterval: time.Duration(s.Settings.Lease.SyncInterval),
 	}, reducer.Policies{Restoration: restorer.Options{
 		MinStep: time.Duration(s.Settings.Restore.MinStep),
-		MaxStep: time.Duration(s.Settings.Restore.Patience),
+		MaxStep: time.Duration(s.Settings.Restore.MaxStep),
 	}})
 	s.control = executor.New(executor.Options{
 		State:    state,
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -43,7 +43,7 @@
 		ClockMargin: parser.Duration(500 * time.Millisecond),
 		SyncInterval:   parser.Duration(500 * time.Millisecond),
 	}
-	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), Patience: parser.Duration(2 * time.Second)}
+	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), MaxStep: parser.Duration(2 * time.Second)}
 	s.Traffic.Deadline = parser.Duration(2 * time.Second)
 	s.Traffic.Silence = parser.Duration(time.Second)
 	s.Traffic.DrainLimit = parser.Duration(10 * time.Second)
