--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -24,7 +24,7 @@
 			MaxStep: Duration(5 * time.Minute),
 		},
 		Traffic: Traffic{
-			Queue:      256,
+			MaxQueue:      256,
 			Body:       16 << 20,
 			Deadline:   Duration(10 * time.Second),
 			Silence:    Duration(3 * time.Second),
@@ -122,8 +122,8 @@
 }
 
 func (d *Document) checkTraffic(t Traffic) {
-	if t.Queue < 1 || t.Queue > 100_000 {
-		d.Fault("traffic.queue", "must be 1 to 100000 requests, is %d", t.Queue)
+	if t.MaxQueue < 1 || t.MaxQueue > 100_000 {
+		d.Fault("traffic.queue", "must be 1 to 100000 requests, is %d", t.MaxQueue)
 	}
 	if t.Body < 1 || t.Body > 1<<40 {
 		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.Body)
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -48,7 +48,7 @@
 
 // Traffic holds the limits of the interactive side.
 type Traffic struct {
-	Queue      int      `json:"queue"`      // waiting requests for each tenant and class
+	MaxQueue      int      `json:"queue"`      // waiting requests for each tenant and class
 	Body       int64    `json:"body"`       // largest request body, bytes
 	Deadline   Duration `json:"deadline"`   // for callers that state none
 	Silence    Duration `json:"silence"`    // without progress, a connection counts as dead
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -126,7 +126,7 @@
 		StallTimeout: time.Duration(o.Traffic.Silence),
 		Connections:  o.Connections,
 	})
-	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
+	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.MaxQueue})
 	if s, ok := o.Slots.(attacher); ok {
 		s.Attach(f.Dialer.OpenConnections, f.Limiter.Dispatch)
 	}
@@ -163,8 +163,8 @@
 
 func withDefaults(o Options) Options {
 	t := &o.Traffic
-	if t.Queue <= 0 {
-		t.Queue = defaultQueue
+	if t.MaxQueue <= 0 {
+		t.MaxQueue = defaultQueue
 	}
 	if t.Body <= 0 {
 		t.Body = defaultBody
--- a/internal/traffic/forwarder/hedge_test.go
+++ b/internal/traffic/forwarder/hedge_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("Forwarder under load", func() {
 	It("answers each caller with its own answer when answers are late and out of order", func() {
 		b := new(bench)
-		b.options.Traffic.Queue = 200
+		b.options.Traffic.MaxQueue = 200
 		for range 4 {
 			b.add(func(w http.ResponseWriter, r *http.Request) {
 				var n int
