--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -25,7 +25,7 @@
 		},
 		Traffic: Traffic{
 			MaxQueue:      256,
-			Body:       16 << 20,
+			MaxBody:       16 << 20,
 			Deadline:   Duration(10 * time.Second),
 			Silence:    Duration(3 * time.Second),
 			Budget:     0.1,
@@ -125,8 +125,8 @@
 	if t.MaxQueue < 1 || t.MaxQueue > 100_000 {
 		d.Fault("traffic.queue", "must be 1 to 100000 requests, is %d", t.MaxQueue)
 	}
-	if t.Body < 1 || t.Body > 1<<40 {
-		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.Body)
+	if t.MaxBody < 1 || t.MaxBody > 1<<40 {
+		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.MaxBody)
 	}
 	if t.Budget < 0 || t.Budget > 1 {
 		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.Budget)
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -49,7 +49,7 @@
 // Traffic holds the limits of the interactive side.
 type Traffic struct {
 	MaxQueue      int      `json:"queue"`      // waiting requests for each tenant and class
-	Body       int64    `json:"body"`       // largest request body, bytes
+	MaxBody       int64    `json:"body"`       // largest request body, bytes
 	Deadline   Duration `json:"deadline"`   // for callers that state none
 	Silence    Duration `json:"silence"`    // without progress, a connection counts as dead
 	Budget     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -166,8 +166,8 @@
 	if t.MaxQueue <= 0 {
 		t.MaxQueue = defaultQueue
 	}
-	if t.Body <= 0 {
-		t.Body = defaultBody
+	if t.MaxBody <= 0 {
+		t.MaxBody = defaultBody
 	}
 	if t.Deadline <= 0 {
 		t.Deadline = parser.Duration(defaultDeadline)
@@ -218,7 +218,7 @@
 
 // handle answers a request that was read without a fault.
 func (f *Forwarder) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
-	body, err := newPayload(w, r, f.Options.Traffic.Body, c.ends)
+	body, err := newPayload(w, r, f.Options.Traffic.MaxBody, c.ends)
 	if err != nil {
 		f.metrics.refused(c)
 		classifier.WriteError(w, err)
--- a/internal/traffic/forwarder/forwarder_test.go
+++ b/internal/traffic/forwarder/forwarder_test.go
@@ -88,7 +88,7 @@
 
 	It("refuses a body that is too large before it is sent", func() {
 		b := new(bench)
-		b.options.Traffic.Body = 10
+		b.options.Traffic.MaxBody = 10
 		b.add(func(http.ResponseWriter, *http.Request) { Fail("must not be reached") })
 		b.start()
 		status, f := b.failure("POST", "/svc/desk/", "more than ten bytes")
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -81,7 +81,7 @@
 	if c.deadline == 0 {
 		c.deadline = time.Duration(f.Options.Traffic.Deadline)
 	}
-	if c.request.ContentLength > f.Options.Traffic.Body {
+	if c.request.ContentLength > f.Options.Traffic.MaxBody {
 		return invalid(http.StatusRequestEntityTooLarge, "body", "Content-Length", "the body is too large")
 	}
 	c.class = f.metrics.class(c.tenant, c.class)
