--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -26,7 +26,7 @@
 		Traffic: Traffic{
 			MaxQueue:      256,
 			MaxBody:       16 << 20,
-			Deadline:   Duration(10 * time.Second),
+			DefaultDeadline:   Duration(10 * time.Second),
 			Silence:    Duration(3 * time.Second),
 			Budget:     0.1,
 			Link:       2_500_000,
@@ -134,7 +134,7 @@
 	if t.Link < 0 {
 		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.Link)
 	}
-	d.between("traffic.deadline", t.Deadline, time.Millisecond, time.Hour)
+	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
 	d.between("traffic.silence", t.Silence, 10*time.Millisecond, time.Hour)
 	d.between("traffic.drainlimit", t.DrainLimit, 0, time.Hour)
 }
--- a/internal/operator/parser/parser_test.go
+++ b/internal/operator/parser/parser_test.go
@@ -24,7 +24,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Name).To(Equal("bne-1"))
 		Expect(s.Lease.Shard).To(Equal(Defaults().Lease.Shard))
-		Expect(s.Traffic.Deadline.String()).To(Equal("1.5s"))
+		Expect(s.Traffic.DefaultDeadline.String()).To(Equal("1.5s"))
 	})
 
 	It("reports the place of a syntax error", func() {
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -169,8 +169,8 @@
 	if t.MaxBody <= 0 {
 		t.MaxBody = defaultBody
 	}
-	if t.Deadline <= 0 {
-		t.Deadline = parser.Duration(defaultDeadline)
+	if t.DefaultDeadline <= 0 {
+		t.DefaultDeadline = parser.Duration(defaultDeadline)
 	}
 	if t.Budget <= 0 {
 		t.Budget = defaultBudget
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -79,7 +79,7 @@
 		return invalid(http.StatusNotFound, "service", "path", "unknown service")
 	}
 	if c.deadline == 0 {
-		c.deadline = time.Duration(f.Options.Traffic.Deadline)
+		c.deadline = time.Duration(f.Options.Traffic.DefaultDeadline)
 	}
 	if c.request.ContentLength > f.Options.Traffic.MaxBody {
 		return invalid(http.StatusRequestEntityTooLarge, "body", "Content-Length", "the body is too large")
