--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -27,7 +27,7 @@
 			MaxQueue:      256,
 			MaxBody:       16 << 20,
 			DefaultDeadline:   Duration(10 * time.Second),
-			Silence:    Duration(3 * time.Second),
+			StallTimeout:    Duration(3 * time.Second),
 			Budget:     0.1,
 			Link:       2_500_000,
 			DrainLimit: Duration(30 * time.Second),
@@ -135,7 +135,7 @@
 		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.Link)
 	}
 	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
-	d.between("traffic.silence", t.Silence, 10*time.Millisecond, time.Hour)
+	d.between("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
 	d.between("traffic.drainlimit", t.DrainLimit, 0, time.Hour)
 }
 
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -51,7 +51,7 @@
 	MaxQueue      int      `json:"queue"`      // waiting requests for each tenant and class
 	MaxBody       int64    `json:"body"`       // largest request body, bytes
 	DefaultDeadline   Duration `json:"deadline"`   // for callers that state none
-	Silence    Duration `json:"silence"`    // without progress, a connection counts as dead
+	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
 	Budget     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
 	Link       int64    `json:"link"`       // bytes a second to other regions
 	DrainLimit Duration `json:"drainlimit"` // longest planned stop
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -45,7 +45,7 @@
 	}
 	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), MaxStep: parser.Duration(2 * time.Second)}
 	s.Traffic.DefaultDeadline = parser.Duration(2 * time.Second)
-	s.Traffic.Silence = parser.Duration(time.Second)
+	s.Traffic.StallTimeout = parser.Duration(time.Second)
 	s.Traffic.DrainLimit = parser.Duration(10 * time.Second)
 	return &Entry{Settings: s, launch: launch}, nil
 }
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -176,7 +176,7 @@
 	harm(all)
 	options := forwarder.Options{
 		Domain: "d", Region: "r", Policy: v.policy, HedgeRatio: v.hedge, Slots: &router.FixedShare{Hosts: 1},
-		Traffic: parser.Traffic{Silence: parser.Duration(300 * time.Millisecond)},
+		Traffic: parser.Traffic{StallTimeout: parser.Duration(300 * time.Millisecond)},
 	}
 	if v.plain {
 		options.Health = router.Health{MaxFailures: 1 << 30, SlowFactor: 1 << 30}
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -123,7 +123,7 @@
 		Seed:       o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
-		StallTimeout: time.Duration(o.Traffic.Silence),
+		StallTimeout: time.Duration(o.Traffic.StallTimeout),
 		Connections:  o.Connections,
 	})
 	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.MaxQueue})
--- a/internal/traffic/forwarder/forwarder_suite_test.go
+++ b/internal/traffic/forwarder/forwarder_suite_test.go
@@ -96,4 +96,4 @@
 	return string(data)
 }
 
-func silence(d time.Duration) parser.Traffic { return parser.Traffic{Silence: parser.Duration(d)} }
+func silence(d time.Duration) parser.Traffic { return parser.Traffic{StallTimeout: parser.Duration(d)} }
