--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -28,7 +28,7 @@
 			MaxBody:       16 << 20,
 			DefaultDeadline:   Duration(10 * time.Second),
 			StallTimeout:    Duration(3 * time.Second),
-			Budget:     0.1,
+			RetryRatio:     0.1,
 			Link:       2_500_000,
 			DrainLimit: Duration(30 * time.Second),
 		},
@@ -128,8 +128,8 @@
 	if t.MaxBody < 1 || t.MaxBody > 1<<40 {
 		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.MaxBody)
 	}
-	if t.Budget < 0 || t.Budget > 1 {
-		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.Budget)
+	if t.RetryRatio < 0 || t.RetryRatio > 1 {
+		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.RetryRatio)
 	}
 	if t.Link < 0 {
 		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.Link)
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -52,7 +52,7 @@
 	MaxBody       int64    `json:"body"`       // largest request body, bytes
 	DefaultDeadline   Duration `json:"deadline"`   // for callers that state none
 	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
-	Budget     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
+	RetryRatio     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
 	Link       int64    `json:"link"`       // bytes a second to other regions
 	DrainLimit Duration `json:"drainlimit"` // longest planned stop
 }
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -111,7 +111,7 @@
 		claimer:    claimer,
 		log:        log.With().Str("part", "forwarder").Logger(),
 		metrics:    newMetrics(scope),
-		retries:    retrier.NewBudget(o.Traffic.Budget, retryReserve),
+		retries:    retrier.NewBudget(o.Traffic.RetryRatio, retryReserve),
 		hedges:     retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
@@ -172,8 +172,8 @@
 	if t.DefaultDeadline <= 0 {
 		t.DefaultDeadline = parser.Duration(defaultDeadline)
 	}
-	if t.Budget <= 0 {
-		t.Budget = defaultBudget
+	if t.RetryRatio <= 0 {
+		t.RetryRatio = defaultBudget
 	}
 	if o.HedgeRatio == 0 {
 		o.HedgeRatio = defaultHedge
