--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -29,7 +29,7 @@
 			DefaultDeadline:   Duration(10 * time.Second),
 			StallTimeout:    Duration(3 * time.Second),
 			RetryRatio:     0.1,
-			Link:       2_500_000,
+			LinkBandwidth:       2_500_000,
 			DrainLimit: Duration(30 * time.Second),
 		},
 		Log: Log{Level: "info"},
@@ -131,8 +131,8 @@
 	if t.RetryRatio < 0 || t.RetryRatio > 1 {
 		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.RetryRatio)
 	}
-	if t.Link < 0 {
-		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.Link)
+	if t.LinkBandwidth < 0 {
+		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.LinkBandwidth)
 	}
 	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
 	d.between("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -53,7 +53,7 @@
 	DefaultDeadline   Duration `json:"deadline"`   // for callers that state none
 	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
 	RetryRatio     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
-	Link       int64    `json:"link"`       // bytes a second to other regions
+	LinkBandwidth       int64    `json:"link"`       // bytes a second to other regions
 	DrainLimit Duration `json:"drainlimit"` // longest planned stop
 }
 
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -100,7 +100,7 @@
 	log zerolog.Logger,
 ) *Forwarder {
 	o = withDefaults(o)
-	link := router.NewLinkBudget(o.Traffic.Link)
+	link := router.NewLinkBudget(o.Traffic.LinkBandwidth)
 	f := &Forwarder{
 		Options:    o,
 		born:       time.Now().UnixNano(),
--- a/internal/traffic/forwarder/hedge_test.go
+++ b/internal/traffic/forwarder/hedge_test.go
@@ -65,7 +65,7 @@
 
 	It("uses another region only when its own has no open backend server, within the byte budget", func() {
 		b := new(bench)
-		b.options.Traffic.Link = 40 << 10
+		b.options.Traffic.LinkBandwidth = 40 << 10
 		name := func(s string) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) { w.Write(append([]byte(s), make([]byte, 30<<10)...)) }
 		}
