--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -87,7 +87,7 @@
 	case <-signals:
 	case <-ctx.Done():
 	}
-	limited, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Traffic.DrainLimit))
+	limited, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Traffic.DrainTimeout))
 	defer cancel()
 	go func() {
 		<-signals
--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -30,7 +30,7 @@
 			StallTimeout:    Duration(3 * time.Second),
 			RetryRatio:     0.1,
 			LinkBandwidth:       2_500_000,
-			DrainLimit: Duration(30 * time.Second),
+			DrainTimeout: Duration(30 * time.Second),
 		},
 		Log: Log{Level: "info"},
 	}
@@ -136,7 +136,7 @@
 	}
 	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
 	d.between("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
-	d.between("traffic.drainlimit", t.DrainLimit, 0, time.Hour)
+	d.between("traffic.drainlimit", t.DrainTimeout, 0, time.Hour)
 }
 
 // between checks a range unless the value could not be read at all.
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -54,7 +54,7 @@
 	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
 	RetryRatio     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
 	LinkBandwidth       int64    `json:"link"`       // bytes a second to other regions
-	DrainLimit Duration `json:"drainlimit"` // longest planned stop
+	DrainTimeout Duration `json:"drainlimit"` // longest planned stop
 }
 
 // Log holds the log settings.
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -46,7 +46,7 @@
 	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), MaxStep: parser.Duration(2 * time.Second)}
 	s.Traffic.DefaultDeadline = parser.Duration(2 * time.Second)
 	s.Traffic.StallTimeout = parser.Duration(time.Second)
-	s.Traffic.DrainLimit = parser.Duration(10 * time.Second)
+	s.Traffic.DrainTimeout = parser.Duration(10 * time.Second)
 	return &Entry{Settings: s, launch: launch}, nil
 }
 
@@ -95,7 +95,7 @@
 
 // Stop ends the daemon as planned, in the time that its settings allow.
 func (e *Entry) Stop(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainLimit))
+	limited, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainTimeout))
 	defer cancel()
 	if daemon := e.take(true); daemon != nil {
 		daemon.Stop(limited)
