--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -55,7 +55,7 @@
 	before := string(d.source[:min(offset, len(d.source))])
 	line := strings.Count(before, "\n") + 1
 	column := offset - strings.LastIndex(before, "\n")
-	d.Faults = append(d.Faults, Fault{line, column, path, fmt.Sprintf(format, args...)})
+	d.Faults = append(d.Faults, Error{line, column, path, fmt.Sprintf(format, args...)})
 }
 
 var (
@@ -166,9 +166,9 @@
 	return c.Pack()
 }
 
-func syntaxFault(err error) Fault {
+func syntaxFault(err error) Error {
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
-	f := Fault{Line: 1, Column: 1, Message: text}
+	f := Error{Line: 1, Column: 1, Message: text}
 	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &f.Line, &f.Column); n == 2 {
 		_, f.Message, _ = strings.Cut(text, ": ")
 	}
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -3,7 +3,7 @@
 // # Faults
 //
 // A file is checked in full: [Decode] walks the whole document against the Go
-// type and collects every [Fault] with its line and column, instead of
+// type and collects every [Error] with its line and column, instead of
 // stopping at the first. [Read] adds the checks of a daemon's [Settings].
 //
 //	settings, err := parser.Read(source)
@@ -19,15 +19,15 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong in a document.
-type Fault struct {
+// Error is one thing that is wrong in a document.
+type Error struct {
 	Line    int    // from 1
 	Column  int    // from 1, in bytes
 	Path    string // such as listen.callers
 	Message string
 }
 
-func (f Fault) String() string {
+func (f Error) String() string {
 	if f.Path == "" {
 		return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Message)
 	}
@@ -35,7 +35,7 @@
 }
 
 // FaultErrors is everything that is wrong, in the order of the document.
-type FaultErrors []Fault
+type FaultErrors []Error
 
 func (f FaultErrors) Error() string {
 	lines := make([]string, len(f))
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -44,7 +44,7 @@
 func Run(ctx context.Context, o Options) (Report, error) {
 	var faults parser.FaultErrors
 	o.Settings.check(func(path, format string, args ...any) {
-		faults = append(faults, parser.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
+		faults = append(faults, parser.Error{Path: path, Message: fmt.Sprintf(format, args...)})
 	})
 	if len(faults) > 0 {
 		return Report{}, faults
