--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -64,7 +64,7 @@
 
 // faultsOf puts each fault of a file on a line of its own.
 func faultsOf(name string, err error) error {
-	var faults parser.FaultErrors
+	var faults parser.ErrorList
 	if !errors.As(err, &faults) {
 		return err
 	}
--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -13,7 +13,7 @@
 
 // Document is a decoded source with the places of its values.
 type Document struct {
-	Faults FaultErrors
+	Faults ErrorList
 
 	source []byte
 	places map[string]int // path to byte offset
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("%d:%d: %s: %s", f.Line, f.Column, f.Path, f.Message)
 }
 
-// FaultErrors is everything that is wrong, in the order of the document.
-type FaultErrors []Error
+// ErrorList is everything that is wrong, in the order of the document.
+type ErrorList []Error
 
-func (f FaultErrors) Error() string {
+func (f ErrorList) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
 		lines[i] = fault.String()
@@ -46,7 +46,7 @@
 }
 
 // sorted returns the faults in document order, or nil if there are none.
-func (f FaultErrors) sorted() error {
+func (f ErrorList) sorted() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/internal/operator/parser/parser_test.go
+++ b/internal/operator/parser/parser_test.go
@@ -29,7 +29,7 @@
 
 	It("reports the place of a syntax error", func() {
 		_, err := Read([]byte("{\n  \"name\": \"a\" \"b\"\n}"))
-		var faults FaultErrors
+		var faults ErrorList
 		Expect(errors.As(err, &faults)).To(BeTrue())
 		Expect(faults).To(HaveLen(1))
 		Expect(faults[0].Line).To(Equal(2))
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	_, err = Read(source)
-	var faults FaultErrors
+	var faults ErrorList
 	if !errors.As(err, &faults) {
 		t.Fatalf("want FaultErrors, have %v", err)
 	}
