--- a/internal/operator/commander/files.go
+++ b/internal/operator/commander/files.go
@@ -45,8 +45,8 @@
 	}
 	var file fleetFile
 	d := parser.Decode(source, &file)
-	if len(d.Faults) > 0 {
-		return describer.Configuration{}, faultsOf(name, d.Faults)
+	if len(d.Errors) > 0 {
+		return describer.Configuration{}, faultsOf(name, d.Errors)
 	}
 	c := describer.Configuration{
 		Revision: file.Revision, Teams: file.Teams, Shards: file.Shards, Weights: file.Weights,
@@ -65,11 +65,11 @@
 	}
 	file := jobFile{Tasks: 1}
 	d := parser.Decode(source, &file)
-	if file.ID == "" && len(d.Faults) == 0 {
+	if file.ID == "" && len(d.Errors) == 0 {
 		d.Fault("id", "is missing")
 	}
-	if len(d.Faults) > 0 {
-		return describer.Job{}, faultsOf(name, d.Faults)
+	if len(d.Errors) > 0 {
+		return describer.Job{}, faultsOf(name, d.Errors)
 	}
 	job := describer.Job{
 		ID: file.ID, Team: file.Team, Class: file.Class, Tasks: file.Tasks, Declared: file.Declared,
--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -41,8 +41,8 @@
 func Read(source []byte) (Settings, error) {
 	s := Defaults()
 	d := Decode(source, &s)
-	if len(d.Faults) == 1 && len(d.places) == 0 {
-		return s, d.Faults // not even JSON; checks of missing keys would be noise
+	if len(d.Errors) == 1 && len(d.places) == 0 {
+		return s, d.Errors // not even JSON; checks of missing keys would be noise
 	}
 	d.checkIdentity(s)
 	d.checkAddresses(s)
@@ -53,7 +53,7 @@
 	if _, err := zerolog.ParseLevel(s.Log.Level); err != nil || s.Log.Level == "" {
 		d.Fault("log.level", "must be debug, info, warn or error, is %q", s.Log.Level)
 	}
-	return s, d.Faults.sorted()
+	return s, d.Errors.sorted()
 }
 
 func (d *Document) checkIdentity(s Settings) {
@@ -150,7 +150,7 @@
 }
 
 func (d *Document) hasFault(path string) bool {
-	for _, f := range d.Faults {
+	for _, f := range d.Errors {
 		if f.Path == path {
 			return true
 		}
--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -13,7 +13,7 @@
 
 // Document is a decoded source with the places of its values.
 type Document struct {
-	Faults ErrorList
+	Errors ErrorList
 
 	source []byte
 	places map[string]int // path to byte offset
@@ -26,7 +26,7 @@
 	d := &Document{source: source, places: make(map[string]int)}
 	root, err := hujson.Parse(source)
 	if err != nil {
-		d.Faults = append(d.Faults, syntaxFault(err))
+		d.Errors = append(d.Errors, syntaxFault(err))
 		return d
 	}
 	d.value(&root, "", reflect.ValueOf(into).Elem())
@@ -55,7 +55,7 @@
 	before := string(d.source[:min(offset, len(d.source))])
 	line := strings.Count(before, "\n") + 1
 	column := offset - strings.LastIndex(before, "\n")
-	d.Faults = append(d.Faults, Error{line, column, path, fmt.Sprintf(format, args...)})
+	d.Errors = append(d.Errors, Error{line, column, path, fmt.Sprintf(format, args...)})
 }
 
 var (
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -41,8 +41,8 @@
 	var s Settings
 	d := parser.Decode(data, &s)
 	s.check(d.Fault)
-	if len(d.Faults) > 0 {
-		return s, d.Faults
+	if len(d.Errors) > 0 {
+		return s, d.Errors
 	}
 	return s, nil
 }
