--- a/internal/operator/commander/files.go
+++ b/internal/operator/commander/files.go
@@ -66,7 +66,7 @@
 	file := jobFile{Tasks: 1}
 	d := parser.Decode(source, &file)
 	if file.ID == "" && len(d.Errors) == 0 {
-		d.Fault("id", "is missing")
+		d.AddError("id", "is missing")
 	}
 	if len(d.Errors) > 0 {
 		return describer.Job{}, faultsOf(name, d.Errors)
--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -51,7 +51,7 @@
 	d.checkRestore(s.Restore)
 	d.checkTraffic(s.Traffic)
 	if _, err := zerolog.ParseLevel(s.Log.Level); err != nil || s.Log.Level == "" {
-		d.Fault("log.level", "must be debug, info, warn or error, is %q", s.Log.Level)
+		d.AddError("log.level", "must be debug, info, warn or error, is %q", s.Log.Level)
 	}
 	return s, d.Errors.sorted()
 }
@@ -61,7 +61,7 @@
 		{"name", s.Name}, {"domain", s.Domain}, {"region", s.Region},
 	} {
 		if f.value == "" && !d.hasFault(f.path) {
-			d.Fault(f.path, "is missing")
+			d.AddError(f.path, "is missing")
 		}
 	}
 }
@@ -73,15 +73,15 @@
 			return
 		}
 		if address == "" {
-			d.Fault(path, "is missing")
+			d.AddError(path, "is missing")
 			return
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			d.Fault(path, "must be an IP number and port such as 10.0.0.1:7000, is %q", address)
+			d.AddError(path, "must be an IP number and port such as 10.0.0.1:7000, is %q", address)
 			return
 		}
 		if first, ok := seen[address]; ok {
-			d.Fault(path, "%s stands at %s already", address, first)
+			d.AddError(path, "%s stands at %s already", address, first)
 			return
 		}
 		seen[address] = path
@@ -100,7 +100,7 @@
 	} {
 		u, err := url.Parse(f.value)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			d.Fault(f.path, "must be a URL such as http://10.0.0.1:7000, is %q", f.value)
+			d.AddError(f.path, "must be a URL such as http://10.0.0.1:7000, is %q", f.value)
 		}
 	}
 	d.between("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
@@ -112,7 +112,7 @@
 	d.between("lease.margin", l.ClockMargin, 0, time.Minute)
 	d.between("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
 	if l.SyncInterval*3 > l.Task {
-		d.Fault("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
+		d.AddError("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
 	}
 }
 
@@ -123,16 +123,16 @@
 
 func (d *Document) checkTraffic(t Traffic) {
 	if t.MaxQueue < 1 || t.MaxQueue > 100_000 {
-		d.Fault("traffic.queue", "must be 1 to 100000 requests, is %d", t.MaxQueue)
+		d.AddError("traffic.queue", "must be 1 to 100000 requests, is %d", t.MaxQueue)
 	}
 	if t.MaxBody < 1 || t.MaxBody > 1<<40 {
-		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.MaxBody)
+		d.AddError("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.MaxBody)
 	}
 	if t.RetryRatio < 0 || t.RetryRatio > 1 {
-		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.RetryRatio)
+		d.AddError("traffic.budget", "must be a share from 0 to 1, is %g", t.RetryRatio)
 	}
 	if t.LinkBandwidth < 0 {
-		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.LinkBandwidth)
+		d.AddError("traffic.link", "must not be negative, is %d bytes a second", t.LinkBandwidth)
 	}
 	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
 	d.between("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
@@ -145,7 +145,7 @@
 		return
 	}
 	if time.Duration(value) < low || time.Duration(value) > high {
-		d.Fault(path, "must be %s to %s, is %s", low, high, value)
+		d.AddError(path, "must be %s to %s, is %s", low, high, value)
 	}
 }
 
--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -33,9 +33,9 @@
 	return d
 }
 
-// Fault adds a fault at the value with the given path, or at the nearest
+// AddError adds a fault at the value with the given path, or at the nearest
 // enclosing value that the document has.
-func (d *Document) Fault(path, format string, args ...any) {
+func (d *Document) AddError(path, format string, args ...any) {
 	offset := 0
 	for at := path; at != ""; {
 		if o, ok := d.places[at]; ok {
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -40,7 +40,7 @@
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	d := parser.Decode(data, &s)
-	s.check(d.Fault)
+	s.check(d.AddError)
 	if len(d.Errors) > 0 {
 		return s, d.Errors
 	}
