--- a/internal/operator/rehearser/rehearser.go
+++ b/internal/operator/rehearser/rehearser.go
@@ -50,8 +50,8 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
 )
 
-// Limit is how long a condition is waited for.
-const Limit = 60 * time.Second
+// ConditionTimeout is how long a condition is waited for.
+const ConditionTimeout = 60 * time.Second
 
 // Command is the name of the binary in a scenario's PATH.
 const Command = "dotterelcart"
@@ -143,7 +143,7 @@
 
 // limited returns a context that ends with the limit for one condition.
 func (w *world) limited() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(w.ctx, Limit)
+	return context.WithTimeout(w.ctx, ConditionTimeout)
 }
 
 // positive adapts a command that can't be negated and that reports an error.
