--- a/internal/operator/rehearser/rehearser.go
+++ b/internal/operator/rehearser/rehearser.go
@@ -53,8 +53,8 @@
 // ConditionTimeout is how long a condition is waited for.
 const ConditionTimeout = 60 * time.Second
 
-// Command is the name of the binary in a scenario's PATH.
-const Command = "dotterelcart"
+// BinaryName is the name of the binary in a scenario's PATH.
+const BinaryName = "dotterelcart"
 
 // worldKey finds the world of a scenario.
 type worldKey struct{}
@@ -123,12 +123,12 @@
 // lookup finds the binary in the scenario's own PATH.
 func lookup(e *testscript.Env) (string, error) {
 	for _, dir := range filepath.SplitList(e.Getenv("PATH")) {
-		name := filepath.Join(dir, Command)
+		name := filepath.Join(dir, BinaryName)
 		if _, err := os.Stat(name); err == nil {
 			return name, nil
 		}
 	}
-	return "", eris.New("rehearser: " + Command + " is not in the scenario's PATH")
+	return "", eris.New("rehearser: " + BinaryName + " is not in the scenario's PATH")
 }
 
 func (w *world) close() {
--- a/internal/operator/rehearser/rehearser_test.go
+++ b/internal/operator/rehearser/rehearser_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
-		rehearser.Command: func() {
+		rehearser.BinaryName: func() {
 			os.Exit(commander.Run(context.Background(), os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 		},
 	})
