--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -70,7 +70,7 @@
 	Requests   int64          `json:"requests"`
 	Failed     int64          `json:"failed"`     // requests without an answer of their own, refusals included
 	WrongAnswers      int64          `json:"wrong"`      // answers that were not the request's own
-	Cut        int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
+	CutRequests        int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
 	Duplicated int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
 	FalseNotRun     int64          `json:"untrue"`     // requests said not to have run that had
 	Jobs       int            `json:"jobs"`       // accepted
@@ -88,7 +88,7 @@
 
 // OK reports whether all invariants held.
 func (r Report) OK() bool {
-	return r.WrongAnswers == 0 && r.Cut == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
+	return r.WrongAnswers == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
 		r.Lost == 0 && r.Overfilled == 0 && r.Late == 0 && r.Restored
 }
 
@@ -184,7 +184,7 @@
 	}
 	seen := calls.Report()
 	out.Requests, out.Failed, out.WrongAnswers = seen.Requests, seen.Failed, seen.Wrong
-	out.Cut, out.FalseNotRun = seen.Cut, seen.Untrue
+	out.CutRequests, out.FalseNotRun = seen.Cut, seen.Untrue
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
 	out.Violations = append(out.Violations, seen.Words...)
