--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -75,7 +75,7 @@
 	FalseNotRun     int64          `json:"untrue"`     // requests said not to have run that had
 	Jobs       int            `json:"jobs"`       // accepted
 	Done       int            `json:"done"`
-	Lost       int            `json:"lost"` // accepted, and not done
+	LostJobs       int            `json:"lost"` // accepted, and not done
 	Overfilled int            `json:"overfilled"`
 	Late       int            `json:"late"`    // requests to a worker long after it began to leave
 	Evicted    int            `json:"evicted"` // runs that ended before their task had
@@ -89,7 +89,7 @@
 // OK reports whether all invariants held.
 func (r Report) OK() bool {
 	return r.WrongAnswers == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
-		r.Lost == 0 && r.Overfilled == 0 && r.Late == 0 && r.Restored
+		r.LostJobs == 0 && r.Overfilled == 0 && r.Late == 0 && r.Restored
 }
 
 // Run runs the deployment. Progress goes to stderr.
--- a/internal/operator/demonstrator/wave.go
+++ b/internal/operator/demonstrator/wave.go
@@ -137,7 +137,7 @@
 			out.Done++
 			continue
 		}
-		out.Lost++
+		out.LostJobs++
 		out.Violations = append(out.Violations, fmt.Sprintf("job %s was accepted and is not done: %s", id, describe(w.latest[id])))
 	}
 }
