--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -74,7 +74,7 @@
 	Duplicated int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
 	FalseNotRun     int64          `json:"untrue"`     // requests said not to have run that had
 	Jobs       int            `json:"jobs"`       // accepted
-	Done       int            `json:"done"`
+	DoneJobs       int            `json:"done"`
 	LostJobs       int            `json:"lost"` // accepted, and not done
 	Overfilled int            `json:"overfilled"`
 	Late       int            `json:"late"`    // requests to a worker long after it began to leave
--- a/internal/operator/demonstrator/demonstrator_test.go
+++ b/internal/operator/demonstrator/demonstrator_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(report.Violations) > 0 || !report.OK() || report.Done == 0 {
-		t.Fatalf("%d jobs done, restored %t, violations %q", report.Done, report.Restored, report.Violations)
+	if len(report.Violations) > 0 || !report.OK() || report.DoneJobs == 0 {
+		t.Fatalf("%d jobs done, restored %t, violations %q", report.DoneJobs, report.Restored, report.Violations)
 	}
 }
--- a/internal/operator/demonstrator/wave.go
+++ b/internal/operator/demonstrator/wave.go
@@ -134,7 +134,7 @@
 	out.Jobs = len(w.accepted)
 	for id, tasks := range w.accepted {
 		if w.done[id] && w.completed(id, tasks) {
-			out.Done++
+			out.DoneJobs++
 			continue
 		}
 		out.LostJobs++
