--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -76,7 +76,7 @@
 	Jobs       int            `json:"jobs"`       // accepted
 	DoneJobs       int            `json:"done"`
 	LostJobs       int            `json:"lost"` // accepted, and not done
-	Overfilled int            `json:"overfilled"`
+	Overcommitted int            `json:"overfilled"`
 	Late       int            `json:"late"`    // requests to a worker long after it began to leave
 	Evicted    int            `json:"evicted"` // runs that ended before their task had
 	Restored   bool           `json:"restored"`
@@ -89,7 +89,7 @@
 // OK reports whether all invariants held.
 func (r Report) OK() bool {
 	return r.WrongAnswers == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
-		r.LostJobs == 0 && r.Overfilled == 0 && r.Late == 0 && r.Restored
+		r.LostJobs == 0 && r.Overcommitted == 0 && r.Late == 0 && r.Restored
 }
 
 // Run runs the deployment. Progress goes to stderr.
@@ -176,7 +176,7 @@
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
 		Duplicated: int64(audit.Duplicated + audit.Repeated),
-		Overfilled: audit.Overfilled,
+		Overcommitted: audit.Overfilled,
 		Late:       audit.Late,
 		Evicted:    audit.Stopped + audit.Lapsed,
 		Restored:   drained.restored(),
