--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -77,7 +77,7 @@
 	DoneJobs       int            `json:"done"`
 	LostJobs       int            `json:"lost"` // accepted, and not done
 	Overcommitted int            `json:"overfilled"`
-	Late       int            `json:"late"`    // requests to a worker long after it began to leave
+	LateRequests       int            `json:"late"`    // requests to a worker long after it began to leave
 	Evicted    int            `json:"evicted"` // runs that ended before their task had
 	Restored   bool           `json:"restored"`
 	P50        float64        `json:"p50"`
@@ -89,7 +89,7 @@
 // OK reports whether all invariants held.
 func (r Report) OK() bool {
 	return r.WrongAnswers == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
-		r.LostJobs == 0 && r.Overcommitted == 0 && r.Late == 0 && r.Restored
+		r.LostJobs == 0 && r.Overcommitted == 0 && r.LateRequests == 0 && r.Restored
 }
 
 // Run runs the deployment. Progress goes to stderr.
@@ -177,7 +177,7 @@
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
 		Duplicated: int64(audit.Duplicated + audit.Repeated),
 		Overcommitted: audit.Overfilled,
-		Late:       audit.Late,
+		LateRequests:       audit.Late,
 		Evicted:    audit.Stopped + audit.Lapsed,
 		Restored:   drained.restored(),
 		Violations: audit.Faults,
