--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -68,7 +68,7 @@
 	Fault      string         `json:"fault"`
 	Seconds    int            `json:"seconds"`
 	Requests   int64          `json:"requests"`
-	Failed     int64          `json:"failed"`     // requests without an answer of their own, refusals included
+	FailedRequests     int64          `json:"failed"`     // requests without an answer of their own, refusals included
 	WrongAnswers      int64          `json:"wrong"`      // answers that were not the request's own
 	CutRequests        int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
 	Duplicated int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
@@ -183,7 +183,7 @@
 		Violations: audit.Faults,
 	}
 	seen := calls.Report()
-	out.Requests, out.Failed, out.WrongAnswers = seen.Requests, seen.Failed, seen.Wrong
+	out.Requests, out.FailedRequests, out.WrongAnswers = seen.Requests, seen.Failed, seen.Wrong
 	out.CutRequests, out.FalseNotRun = seen.Cut, seen.Untrue
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
