--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -64,26 +64,26 @@
 
 // Report is the outcome. Times are in milliseconds.
 type Report struct {
-	Seed       uint64         `json:"seed"`
-	Fault      string         `json:"fault"`
-	Seconds    int            `json:"seconds"`
-	Requests   int64          `json:"requests"`
-	FailedRequests     int64          `json:"failed"`     // requests without an answer of their own, refusals included
-	WrongAnswers      int64          `json:"wrong"`      // answers that were not the request's own
-	CutRequests        int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
-	Duplicated int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
-	FalseNotRun     int64          `json:"untrue"`     // requests said not to have run that had
-	Jobs       int            `json:"jobs"`       // accepted
+	Seed           uint64         `json:"seed"`
+	Fault          string         `json:"fault"`
+	Seconds        int            `json:"seconds"`
+	Requests       int64          `json:"requests"`
+	FailedRequests int64          `json:"failed"`     // requests without an answer of their own, refusals included
+	WrongAnswers   int64          `json:"wrong"`      // answers that were not the request's own
+	CutRequests    int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
+	Duplicated     int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
+	FalseNotRun    int64          `json:"untrue"`     // requests said not to have run that had
+	Jobs           int            `json:"jobs"`       // accepted
 	DoneJobs       int            `json:"done"`
 	LostJobs       int            `json:"lost"` // accepted, and not done
-	Overcommitted int            `json:"overfilled"`
-	LateRequests       int            `json:"late"`    // requests to a worker long after it began to leave
-	Evicted    int            `json:"evicted"` // runs that ended before their task had
-	Restored   bool           `json:"restored"`
-	P50        float64        `json:"p50"`
-	P99        float64        `json:"p99"`
-	Failures   map[string]int `json:"failures,omitempty"`   // failed attempts by code and verdict
-	Violations []string       `json:"violations,omitempty"` // the first in words
+	Overcommitted  int            `json:"overfilled"`
+	LateRequests   int            `json:"late"`    // requests to a worker long after it began to leave
+	Evicted        int            `json:"evicted"` // runs that ended before their task had
+	Restored       bool           `json:"restored"`
+	P50            float64        `json:"p50"`
+	P99            float64        `json:"p99"`
+	Failures       map[string]int `json:"failures,omitempty"`   // failed attempts by code and verdict
+	Violations     []string       `json:"violations,omitempty"` // the first in words
 }
 
 // OK reports whether all invariants held.
@@ -175,12 +175,12 @@
 	audit := d.Audit.Report()
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
-		Duplicated: int64(audit.Duplicated + audit.Repeated),
+		Duplicated:    int64(audit.Duplicated + audit.Repeated),
 		Overcommitted: audit.Overfilled,
-		LateRequests:       audit.Late,
-		Evicted:    audit.Stopped + audit.Lapsed,
-		Restored:   drained.restored(),
-		Violations: audit.Faults,
+		LateRequests:  audit.Late,
+		Evicted:       audit.Stopped + audit.Lapsed,
+		Restored:      drained.restored(),
+		Violations:    audit.Faults,
 	}
 	seen := calls.Report()
 	out.Requests, out.FailedRequests, out.WrongAnswers = seen.Requests, seen.Failed, seen.Wrong
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -34,27 +34,27 @@
 
 // Lease holds the lease times.
 type Lease struct {
-	Shard  Duration `json:"shard"`  // ownership of a shard in the store
-	Task   Duration `json:"task"`   // of a task at its worker
-	ClockMargin Duration `json:"margin"` // for clock drift
-	SyncInterval   Duration `json:"sync"`   // between inventories of one worker
+	Shard        Duration `json:"shard"`  // ownership of a shard in the store
+	Task         Duration `json:"task"`   // of a task at its worker
+	ClockMargin  Duration `json:"margin"` // for clock drift
+	SyncInterval Duration `json:"sync"`   // between inventories of one worker
 }
 
 // Restore holds the pace at which drained workers get their work back.
 type Restore struct {
-	MinStep   Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
+	MinStep Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
 	MaxStep Duration `json:"patience"` // longest time of a step that latency holds back
 }
 
 // Traffic holds the limits of the interactive side.
 type Traffic struct {
-	MaxQueue      int      `json:"queue"`      // waiting requests for each tenant and class
-	MaxBody       int64    `json:"body"`       // largest request body, bytes
-	DefaultDeadline   Duration `json:"deadline"`   // for callers that state none
+	MaxQueue        int      `json:"queue"`      // waiting requests for each tenant and class
+	MaxBody         int64    `json:"body"`       // largest request body, bytes
+	DefaultDeadline Duration `json:"deadline"`   // for callers that state none
 	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
-	RetryRatio     float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
-	LinkBandwidth       int64    `json:"link"`       // bytes a second to other regions
-	DrainTimeout Duration `json:"drainlimit"` // longest planned stop
+	RetryRatio      float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
+	LinkBandwidth   int64    `json:"link"`       // bytes a second to other regions
+	DrainTimeout    Duration `json:"drainlimit"` // longest planned stop
 }
 
 // Log holds the log settings.
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -38,10 +38,10 @@
 	}
 	s.Platform.Timeout = parser.Duration(time.Second)
 	s.Lease = parser.Lease{
-		Shard:  parser.Duration(2 * time.Second),
-		Task:   parser.Duration(4 * time.Second),
-		ClockMargin: parser.Duration(500 * time.Millisecond),
-		SyncInterval:   parser.Duration(500 * time.Millisecond),
+		Shard:        parser.Duration(2 * time.Second),
+		Task:         parser.Duration(4 * time.Second),
+		ClockMargin:  parser.Duration(500 * time.Millisecond),
+		SyncInterval: parser.Duration(500 * time.Millisecond),
 	}
 	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), MaxStep: parser.Duration(2 * time.Second)}
 	s.Traffic.DefaultDeadline = parser.Duration(2 * time.Second)
