--- a/internal/operator/commander/client.go
+++ b/internal/operator/commander/client.go
@@ -12,20 +12,21 @@
 	"github.com/spf13/cobra"
 )
 
-// requestTime bounds one request to a daemon.
-const requestTime = 15 * time.Second
+// requestTimeout bounds one request to a daemon.
+const requestTimeout = 15 * time.Second
 
-// refusal is the part of a daemon's failure answer that is shown.
-type refusal struct {
+// daemonError holds the fields of a daemon's error response that are shown.
+type daemonError struct {
 	Code    string   `json:"code"`
 	Message string   `json:"message"`
 	Field   string   `json:"field"`
 	Verdict string   `json:"verdict"`
-	Retry   string   `json:"retry"`
+	Retry   string   `json:"retry"` // time to wait before a retry
 	Details []string `json:"details"`
 }
 
-func (r *refusal) Error() string {
+// Error lists the details and the retry time on lines of their own.
+func (r *daemonError) Error() string {
 	out := r.Code + ": "
 	if r.Field != "" {
 		out += r.Field + ": "
@@ -35,55 +36,58 @@
 		out += "\n  " + line
 	}
 	if r.Retry != "" {
-		out += "\n  come back in " + r.Retry
+		out += "\n  retry after " + r.Retry
 	}
 	return out
 }
 
-// ask sends body, if any, as JSON and decodes the answer into answer.
-func ask(ctx context.Context, method, url string, body, answer any) error {
+// send makes a request with body, if not nil, as JSON and decodes the response
+// into response. Its errors carry the exit code of the command.
+func send(ctx context.Context, method, url string, body, response any) error {
 	var content io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
 		if err != nil {
-			return failed(err)
+			return exitFailed(err)
 		}
 		content = bytes.NewReader(encoded)
 	}
-	ctx, cancel := context.WithTimeout(ctx, requestTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, content)
 	if err != nil {
-		return misused(err)
+		return exitUsage(err)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	response, err := http.DefaultClient.Do(request)
+	httpResponse, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return &exitError{code: ExitUnreachable, err: err}
 	}
-	defer response.Body.Close()
-	if response.StatusCode >= 300 {
-		return readRefusal(response)
+	defer httpResponse.Body.Close()
+	if httpResponse.StatusCode >= 300 {
+		return readError(httpResponse)
 	}
-	if err := json.NewDecoder(response.Body).Decode(answer); err != nil {
-		return &exitError{code: ExitUnreachable, err: fmt.Errorf("answer cut short: %w", err)}
+	if err := json.NewDecoder(httpResponse.Body).Decode(response); err != nil {
+		return &exitError{code: ExitUnreachable, err: fmt.Errorf("response truncated: %w", err)}
 	}
 	return nil
 }
 
-func readRefusal(response *http.Response) error {
-	var r refusal
+// readError returns the error for a response with an error status.
+func readError(response *http.Response) error {
+	var r daemonError
 	if err := json.NewDecoder(response.Body).Decode(&r); err != nil || r.Code == "" {
-		return failed(fmt.Errorf("daemon answered %s", response.Status))
+		return exitFailed(fmt.Errorf("daemon answered %s", response.Status))
 	}
-	return failed(&r)
+	return exitFailed(&r)
 }
 
-// output prints value as JSON, or through text when the format is text.
-func output[T any](cmd *cobra.Command, value T, text func(io.Writer, T)) error {
+// output prints value in the format that the format flag chooses: as JSON, or
+// as text by means of printText.
+func output[T any](cmd *cobra.Command, value T, printText func(io.Writer, T)) error {
 	format, err := cmd.Flags().GetString("format")
 	if err != nil {
-		return misused(err)
+		return exitUsage(err)
 	}
 	switch format {
 	case "json":
@@ -91,17 +95,18 @@
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	case "text":
-		text(cmd.OutOrStdout(), value)
+		printText(cmd.OutOrStdout(), value)
 		return nil
 	}
-	return misused(fmt.Errorf("--format must be text or json, is %q", format))
+	return exitUsage(fmt.Errorf("--format must be text or json, is %q", format))
 }
 
-func addFormat(cmd *cobra.Command) {
+// addFormatFlag adds the flag that output reads.
+func addFormatFlag(cmd *cobra.Command) {
 	cmd.Flags().String("format", "text", "text or json")
 }
 
-// addDaemon adds the flag for the address of the operators' port.
-func addDaemon(cmd *cobra.Command, address *string) {
-	cmd.Flags().StringVar(address, "daemon", presetOperators, operatorsUsage)
+// addDaemonFlag adds the flag for the address of a daemon's operator port.
+func addDaemonFlag(cmd *cobra.Command, address *string) {
+	cmd.Flags().StringVar(address, "daemon", defaultOperators, operatorsUsage)
 }
--- a/internal/operator/commander/commander.go
+++ b/internal/operator/commander/commander.go
@@ -1,9 +1,11 @@
-// Package commander is the command line.
+// Package commander implements the command line: it runs the entry daemon,
+// sends operators' and callers' requests to a daemon, and starts the demo, the
+// load generator, the benchmarks and the stand-ins for the platform.
 //
 // # Exit codes
 //
-// A command ends with 0 on success, 1 when the request was refused or a run
-// broke an invariant, 2 for wrong usage or settings, and 3 when no daemon
+// A command exits with 0 on success, 1 if a daemon refused the request or a run
+// violated an invariant, 2 for wrong usage or settings, and 3 if no daemon
 // answered. Results go to stdout, everything else to stderr.
 package commander
 
@@ -16,10 +18,10 @@
 	"github.com/spf13/cobra"
 )
 
-// Version is the release that the binary was built from.
+// Version is the release of the binary.
 var Version = "0.1.0"
 
-// Exit codes.
+// Exit codes of the command line; see the package comment.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -27,8 +29,8 @@
 	ExitUnreachable = 3
 )
 
-// Run executes the command line and returns its exit code. More are commands
-// of other packages, such as those that run on one platform.
+// Run executes the command line and returns its exit code. More holds commands
+// of other packages, such as those for one platform.
 func Run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer, more ...*cobra.Command) int {
 	root := newRoot()
 	root.AddCommand(more...)
@@ -42,7 +44,7 @@
 	}
 	var exit *exitError
 	if !errors.As(err, &exit) {
-		exit = &exitError{code: ExitUsage, err: err} // cobra's own errors are about usage
+		exit = &exitError{code: ExitUsage, err: err} // cobra returns plain errors only for wrong usage
 	}
 	if exit.err != nil {
 		fmt.Fprintln(stderr, "dotterelcart:", exit.err)
@@ -50,7 +52,8 @@
 	return exit.code
 }
 
-// exitError ends the command with a code; a nil err prints nothing.
+// exitError is an error with the command's exit code. If err is nil, nothing is
+// printed.
 type exitError struct {
 	code int
 	err  error
@@ -65,9 +68,11 @@
 
 func (e *exitError) Unwrap() error { return e.err }
 
-func failed(err error) error { return &exitError{code: ExitFailed, err: err} }
+// exitFailed wraps an error for ExitFailed.
+func exitFailed(err error) error { return &exitError{code: ExitFailed, err: err} }
 
-func misused(err error) error { return &exitError{code: ExitUsage, err: err} }
+// exitUsage wraps an error for ExitUsage.
+func exitUsage(err error) error { return &exitError{code: ExitUsage, err: err} }
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
--- a/internal/operator/commander/commander_test.go
+++ b/internal/operator/commander/commander_test.go
@@ -24,15 +24,16 @@
 	RunSpecs(t, "commander")
 }
 
-// run executes a command line without standard input.
+// run executes a command line with empty standard input.
 func run(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = Run(context.Background(), args, strings.NewReader(""), &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// daemon answers every request in the same way and notes the paths.
-func daemon(handler http.HandlerFunc) (address string, paths *[]string) {
+// startDaemon starts a server that handles every request with handler, and
+// records their methods and paths.
+func startDaemon(handler http.HandlerFunc) (address string, paths *[]string) {
 	paths = new([]string)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		*paths = append(*paths, r.Method+" "+r.URL.Path)
@@ -43,7 +44,7 @@
 }
 
 var _ = Describe("the command line", func() {
-	It("ends with 2 on wrong usage and says why on stderr", func() {
+	It("exits with 2 on wrong usage and says why on stderr", func() {
 		for _, args := range [][]string{
 			{"nonsense"},
 			{"plan"},
@@ -59,7 +60,7 @@
 		}
 	})
 
-	It("lists every fault of a settings file, and starts nothing", func() {
+	It("lists every error of a settings file and starts nothing", func() {
 		file := filepath.Join(GinkgoT().TempDir(), "entry.hujson")
 		Expect(os.WriteFile(file, []byte(`{"name": "a", "domian": "b", "traffic": {"budget": 7}}`), 0o600)).To(Succeed())
 		for _, verb := range []string{"check", "serve"} {
@@ -70,7 +71,7 @@
 		}
 	})
 
-	It("ends with 3 when no daemon answers", func() {
+	It("exits with 3 if no daemon answers", func() {
 		server := httptest.NewServer(nil)
 		address := server.Listener.Addr().String()
 		server.Close()
@@ -78,15 +79,15 @@
 		Expect(code).To(Equal(ExitUnreachable))
 	})
 
-	It("ends with 3 when an answer is cut short", func() {
-		address, _ := daemon(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"id":`) })
+	It("exits with 3 if a response is truncated", func() {
+		address, _ := startDaemon(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"id":`) })
 		code, _, stderr := run("plan", "p1", "--daemon", address)
 		Expect(code).To(Equal(ExitUnreachable))
-		Expect(stderr).To(ContainSubstring("cut short"))
+		Expect(stderr).To(ContainSubstring("response truncated"))
 	})
 
-	It("ends with 1 on a refusal, with its verdict and what has changed", func() {
-		address, paths := daemon(func(w http.ResponseWriter, _ *http.Request) {
+	It("exits with 1 if a daemon refuses, and prints the verdict and the details", func() {
+		address, paths := startDaemon(func(w http.ResponseWriter, _ *http.Request) {
 			classifier.WriteError(w, &classifier.Error{
 				Verdict: classifier.NotRun, Status: http.StatusConflict, Code: "stale",
 				Message: "the plan no longer holds", Details: []string{"drain other of w1 is draining"},
@@ -99,8 +100,8 @@
 		Expect(*paths).To(Equal([]string{"POST /v1/plans/p1/confirm"}))
 	})
 
-	It("prints the daemon's answer as JSON on demand", func() {
-		address, _ := daemon(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"revision":4}`) })
+	It("prints the daemon's response as JSON if asked to", func() {
+		address, _ := startDaemon(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"revision":4}`) })
 		code, stdout, _ := run("configuration", "--daemon", address, "--format", "json")
 		Expect(code).To(Equal(ExitOK))
 		Expect(stdout).To(ContainSubstring(`"revision": 4`))
@@ -109,7 +110,7 @@
 		Expect(stderr).To(ContainSubstring("--format must be text or json"))
 	})
 
-	It("has an example for every command that does something", func() {
+	It("has an example for every command that can be run", func() {
 		for _, cmd := range newRoot().Commands() {
 			if cmd.HasSubCommands() {
 				for _, sub := range cmd.Commands() {
@@ -122,14 +123,14 @@
 	})
 })
 
-var _ = Describe("files", func() {
+var _ = Describe("configuration and job files", func() {
 	write := func(text string) string {
 		file := filepath.Join(GinkgoT().TempDir(), "file.hujson")
 		Expect(os.WriteFile(file, []byte(text), 0o600)).To(Succeed())
 		return file
 	}
 
-	It("of the examples are read", func() {
+	It("in the examples directory are valid", func() {
 		c, err := readFleet("../../../examples/fleet.hujson")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Services[0].Target).To(Equal(250 * time.Millisecond))
@@ -140,7 +141,7 @@
 		Expect(string(job.Payload)).To(Equal(`{"work":"500ms"}`))
 	})
 
-	It("list every fault with its place", func() {
+	It("are checked in full, with the line and column of each error", func() {
 		file := write("{\n\"id\": 7,\n\"deadline\": \"noon\",\n\"runtime\": 1,\n\"taks\": 2}")
 		_, err := readJob(nil, file)
 		Expect(err).To(MatchError(SatisfyAll(
@@ -151,7 +152,7 @@
 		)))
 	})
 
-	It("may come on standard input, and need an id", func() {
+	It("can be read from standard input, and need an id", func() {
 		job, err := readJob(strings.NewReader(`{"id": "a", "urgent": true, "deadline": "2030-01-31T11:30:00Z"}`), "-")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(job.Priority).To(Equal(describer.Urgent))
--- a/internal/operator/commander/configuration.go
+++ b/internal/operator/commander/configuration.go
@@ -22,26 +22,26 @@
   dotterelcart configuration --set fleet.hujson`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var shown describer.Configuration
+			var current describer.Configuration
 			address := "http://" + daemon + "/v1/configuration"
 			if file == "" {
-				if err := ask(cmd.Context(), http.MethodGet, address, nil, &shown); err != nil {
+				if err := send(cmd.Context(), http.MethodGet, address, nil, &current); err != nil {
 					return err
 				}
-				return output(cmd, shown, printConfiguration)
+				return output(cmd, current, printConfiguration)
 			}
 			wanted, err := readFleet(file)
 			if err != nil {
 				return err
 			}
-			if err := ask(cmd.Context(), http.MethodPut, address, wanted, &shown); err != nil {
+			if err := send(cmd.Context(), http.MethodPut, address, wanted, &current); err != nil {
 				return err
 			}
-			return output(cmd, shown, printConfiguration)
+			return output(cmd, current, printConfiguration)
 		},
 	}
-	addDaemon(cmd, &daemon)
-	addFormat(cmd)
+	addDaemonFlag(cmd, &daemon)
+	addFormatFlag(cmd)
 	cmd.Flags().StringVar(&file, "set", "", "file with the configuration to put in force")
 	return cmd
 }
--- a/internal/operator/commander/files.go
+++ b/internal/operator/commander/files.go
@@ -10,21 +10,22 @@
 	"dotterelcart.dev/dotterelcart/internal/operator/parser"
 )
 
-// fleetFile is a configuration as operators write it.
+// fleetFile is the layout of a configuration file.
 type fleetFile struct {
-	Revision int64             `json:"revision"` // in force now, 0 for the first
+	Revision int64             `json:"revision"` // of the configuration in force; 0: there is none
 	Services []serviceEntry    `json:"services"`
 	Teams    []describer.Team  `json:"teams"`
 	Shards   []describer.Shard `json:"shards"`
 	Weights  describer.Weights `json:"weights"`
 }
 
+// serviceEntry is a service in a configuration file.
 type serviceEntry struct {
 	Name   string          `json:"name"`
-	Target parser.Duration `json:"target"`
+	Target parser.Duration `json:"target"` // of the 99th percentile of its latency
 }
 
-// jobFile is a job as callers write it.
+// jobFile is the layout of a job file.
 type jobFile struct {
 	ID       string              `json:"id"`
 	Team     string              `json:"team"`
@@ -37,16 +38,17 @@
 	Payload  json.RawMessage     `json:"payload"`
 }
 
-// readFleet reads a configuration and lists everything that is wrong in it.
+// readFleet reads a configuration file. The error lists everything that is
+// wrong in it.
 func readFleet(name string) (describer.Configuration, error) {
 	source, err := os.ReadFile(name)
 	if err != nil {
-		return describer.Configuration{}, misused(err)
+		return describer.Configuration{}, exitUsage(err)
 	}
 	var file fleetFile
 	d := parser.Decode(source, &file)
 	if len(d.Errors) > 0 {
-		return describer.Configuration{}, faultsOf(name, d.Errors)
+		return describer.Configuration{}, invalidFile(name, d.Errors)
 	}
 	c := describer.Configuration{
 		Revision: file.Revision, Teams: file.Teams, Shards: file.Shards, Weights: file.Weights,
@@ -57,11 +59,12 @@
 	return c, nil
 }
 
-// readJob reads a job from a file, or from in when the name is "-".
+// readJob reads a job file, or in if the name is "-". The error lists everything
+// that is wrong in it.
 func readJob(in io.Reader, name string) (describer.Job, error) {
 	source, err := readSource(in, name)
 	if err != nil {
-		return describer.Job{}, misused(err)
+		return describer.Job{}, exitUsage(err)
 	}
 	file := jobFile{Tasks: 1}
 	d := parser.Decode(source, &file)
@@ -69,7 +72,7 @@
 		d.AddError("id", "is missing")
 	}
 	if len(d.Errors) > 0 {
-		return describer.Job{}, faultsOf(name, d.Errors)
+		return describer.Job{}, invalidFile(name, d.Errors)
 	}
 	job := describer.Job{
 		ID: file.ID, Team: file.Team, Class: file.Class, Tasks: file.Tasks, Declared: file.Declared,
--- a/internal/operator/commander/intent.go
+++ b/internal/operator/commander/intent.go
@@ -11,32 +11,32 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-const operatorsUsage = "address of a daemon's operators' port, ip:port"
+const operatorsUsage = "address of a daemon's operator port, ip:port"
 
-// presetOperators is where `serve` listens for operators in the examples.
-const presetOperators = "127.0.0.1:7002"
+// defaultOperators is the address for operators in the examples' settings.
+const defaultOperators = "127.0.0.1:7002"
 
-// plan is a daemon's answer about a plan.
+// plan is a daemon's response about a plan.
 type plan struct {
 	describer.Plan
 	Confirmed bool  `json:"confirmed"`
-	InForce   int64 `json:"inforce,omitempty"`
+	InForce   int64 `json:"inforce,omitempty"` // revision of the configuration that the confirmation led to
 }
 
 func newIntent() *cobra.Command {
 	var daemon string
 	cmd := &cobra.Command{
 		Use:   "intent",
-		Short: "State an intent and get its plan; nothing happens before it is confirmed",
+		Short: "State an intent and get its plan; nothing changes until the plan is confirmed",
 	}
-	cmd.PersistentFlags().StringVar(&daemon, "daemon", presetOperators, operatorsUsage)
+	cmd.PersistentFlags().StringVar(&daemon, "daemon", defaultOperators, operatorsUsage)
 	cmd.PersistentFlags().String("format", "text", "text or json")
-	cmd.PersistentFlags().String("id", "", "id of the intent, made up if empty")
-	cmd.AddCommand(newTarget(&daemon), newRunIntent(&daemon), newDrain(&daemon), newRestore(&daemon), newCancelIntent(&daemon))
+	cmd.PersistentFlags().String("id", "", "id of the intent; generated if empty")
+	cmd.AddCommand(newLatencyTarget(&daemon), newRunIntent(&daemon), newDrain(&daemon), newRestore(&daemon), newCancelIntent(&daemon))
 	return cmd
 }
 
-func newTarget(daemon *string) *cobra.Command {
+func newLatencyTarget(daemon *string) *cobra.Command {
 	return &cobra.Command{
 		Use:     "latency-target SERVICE TIME",
 		Short:   "Keep the 99th percentile of a service's latency within a time",
@@ -45,9 +45,9 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			target, err := time.ParseDuration(args[1])
 			if err != nil {
-				return misused(err)
+				return exitUsage(err)
 			}
-			return state(cmd, *daemon, describer.Intent{Action: describer.SetTarget, Service: args[0], Target: target})
+			return sendIntent(cmd, *daemon, describer.Intent{Action: describer.SetTarget, Service: args[0], Target: target})
 		},
 	}
 }
@@ -63,24 +63,24 @@
 			if err != nil {
 				return err
 			}
-			return state(cmd, *daemon, describer.Intent{Action: describer.Run, Job: &job})
+			return sendIntent(cmd, *daemon, describer.Intent{Action: describer.Run, Job: &job})
 		},
 	}
 }
 
 func newDrain(daemon *string) *cobra.Command {
-	var lasting time.Duration
+	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "drain WORKER...",
-		Short: "Move work off workers; they are owed it back until a restore is complete",
+		Short: "Move work off workers until a restore brings it back",
 		Example: `  dotterelcart intent drain bne-w1 bne-w2
   dotterelcart intent drain bne-w1 --for 2h`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return state(cmd, *daemon, describer.Intent{Action: describer.DrainWorkers, Workers: args, For: lasting})
+			return sendIntent(cmd, *daemon, describer.Intent{Action: describer.DrainWorkers, Workers: args, For: duration})
 		},
 	}
-	cmd.Flags().DurationVar(&lasting, "for", 0, "restore by itself after this time; 0 waits for a restore intent")
+	cmd.Flags().DurationVar(&duration, "for", 0, "restore automatically after this time; 0 waits for a restore intent")
 	return cmd
 }
 
@@ -91,7 +91,7 @@
 		Example: "  dotterelcart intent restore kernel-upgrade",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return state(cmd, *daemon, describer.Intent{Action: describer.Restore, Drain: args[0]})
+			return sendIntent(cmd, *daemon, describer.Intent{Action: describer.Restore, Drain: args[0]})
 		},
 	}
 }
@@ -108,7 +108,7 @@
 			if job != "" {
 				intent.Job = &describer.Job{ID: job}
 			}
-			return state(cmd, *daemon, intent)
+			return sendIntent(cmd, *daemon, intent)
 		},
 	}
 	cmd.Flags().StringVar(&drain, "drain", "", "id of the drain")
@@ -118,31 +118,31 @@
 	return cmd
 }
 
-// state sends the intent and prints its plan.
-func state(cmd *cobra.Command, daemon string, intent describer.Intent) error {
+// sendIntent sends the intent and prints its plan.
+func sendIntent(cmd *cobra.Command, daemon string, intent describer.Intent) error {
 	id, err := cmd.Flags().GetString("id")
 	if err != nil {
-		return misused(err)
+		return exitUsage(err)
 	}
 	intent.ID = id
-	var made plan
-	if err := ask(cmd.Context(), http.MethodPost, "http://"+daemon+"/v1/intents", intent, &made); err != nil {
+	var response plan
+	if err := send(cmd.Context(), http.MethodPost, "http://"+daemon+"/v1/intents", intent, &response); err != nil {
 		return err
 	}
-	return output(cmd, made, printPlan)
+	return output(cmd, response, printPlan)
 }
 
 func newPlan() *cobra.Command {
-	return newOnPlan("plan", "Show a plan", http.MethodGet, "")
+	return newPlanRequest("plan", "Show a plan", http.MethodGet, "")
 }
 
 func newConfirm() *cobra.Command {
-	return newOnPlan("confirm", "Confirm a plan; refused with the difference if it no longer holds", http.MethodPost, "/confirm")
+	return newPlanRequest("confirm", "Confirm a plan; refused with the difference if it no longer holds", http.MethodPost, "/confirm")
 }
 
-// newOnPlan returns a command that sends a request about one plan; action
-// follows the plan's id in the path.
-func newOnPlan(verb, short, method, action string) *cobra.Command {
+// newPlanRequest returns a command that sends a request about one plan. action
+// is the part of the path after the plan's id.
+func newPlanRequest(verb, short, method, action string) *cobra.Command {
 	var daemon string
 	cmd := &cobra.Command{
 		Use:     verb + " ID",
@@ -150,16 +150,16 @@
 		Example: "  dotterelcart " + verb + " 6f0c0e6e-8d8c-4f6d-9a55-0d6a3a1f1b2c --format json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var answer plan
+			var response plan
 			url := "http://" + daemon + "/v1/plans/" + args[0] + action
-			if err := ask(cmd.Context(), method, url, nil, &answer); err != nil {
+			if err := send(cmd.Context(), method, url, nil, &response); err != nil {
 				return err
 			}
-			return output(cmd, answer, printPlan)
+			return output(cmd, response, printPlan)
 		},
 	}
-	addDaemon(cmd, &daemon)
-	addFormat(cmd)
+	addDaemonFlag(cmd, &daemon)
+	addFormatFlag(cmd)
 	return cmd
 }
 
--- a/internal/operator/commander/job.go
+++ b/internal/operator/commander/job.go
@@ -10,29 +10,29 @@
 	"dotterelcart.dev/dotterelcart/internal/control/reducer"
 )
 
-const callersUsage = "address of a daemon's callers' port, ip:port"
+const callersUsage = "address of a daemon's caller port, ip:port"
 
-// presetCallers is where `serve` listens for callers in the examples.
-const presetCallers = "127.0.0.1:7000"
+// defaultCallers is the address for callers in the examples' settings.
+const defaultCallers = "127.0.0.1:7000"
 
 func newJob() *cobra.Command {
 	var daemon string
 	cmd := &cobra.Command{
 		Use:   "job",
-		Short: "Submit a batch job, ask for its state, cancel it",
+		Short: "Submit a batch job, show its state, cancel it",
 	}
-	cmd.PersistentFlags().StringVar(&daemon, "daemon", presetCallers, callersUsage)
+	cmd.PersistentFlags().StringVar(&daemon, "daemon", defaultCallers, callersUsage)
 	cmd.PersistentFlags().String("format", "text", "text or json")
 	cmd.AddCommand(newSubmit(&daemon))
-	cmd.AddCommand(newOnJob(&daemon, "status", "Show a job's state and, once done, its results", http.MethodGet))
-	cmd.AddCommand(newOnJob(&daemon, "cancel", "Cancel a job; the answer says whether it may have run", http.MethodDelete))
+	cmd.AddCommand(newJobRequest(&daemon, "status", "Show a job's state and, once done, its results", http.MethodGet))
+	cmd.AddCommand(newJobRequest(&daemon, "cancel", "Cancel a job; the answer says whether it may have run", http.MethodDelete))
 	return cmd
 }
 
 func newSubmit(daemon *string) *cobra.Command {
 	return &cobra.Command{
 		Use:   "submit JOBFILE",
-		Short: "Submit the job in a file (JSON with comments), or on standard input with -; repeating it is harmless",
+		Short: "Submit the job in a file (JSON with comments), or on standard input with -; safe to repeat",
 		Example: `  echo '{"id":"wave-1","team":"councils","class":"render","tasks":4,
     "declared":{"cpu":500,"memory":256,"accelerators":0},"runtime":"1s",
     "payload":{"work":"500ms"}}' | dotterelcart job submit -`,
@@ -43,7 +43,7 @@
 				return err
 			}
 			var status reducer.JobStatus
-			if err := ask(cmd.Context(), http.MethodPost, "http://"+*daemon+"/v1/jobs", job, &status); err != nil {
+			if err := send(cmd.Context(), http.MethodPost, "http://"+*daemon+"/v1/jobs", job, &status); err != nil {
 				return err
 			}
 			return output(cmd, status, printJob)
@@ -51,7 +51,8 @@
 	}
 }
 
-func newOnJob(daemon *string, verb, short, method string) *cobra.Command {
+// newJobRequest returns a command that sends a request about one job.
+func newJobRequest(daemon *string, verb, short, method string) *cobra.Command {
 	return &cobra.Command{
 		Use:     verb + " JOB",
 		Short:   short,
@@ -59,7 +60,7 @@
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var status reducer.JobStatus
-			if err := ask(cmd.Context(), method, "http://"+*daemon+"/v1/jobs/"+args[0], nil, &status); err != nil {
+			if err := send(cmd.Context(), method, "http://"+*daemon+"/v1/jobs/"+args[0], nil, &status); err != nil {
 				return err
 			}
 			return output(cmd, status, printJob)
--- a/internal/operator/commander/load.go
+++ b/internal/operator/commander/load.go
@@ -14,22 +14,23 @@
 	cmd := &cobra.Command{
 		Use:   "load FILE",
 		Short: "Send an open-loop load to entry hosts and report latencies",
-		Long: `Send an open-loop load to entry hosts. Latencies count from the time a request
-was due, so that a slow answer does not hide the requests behind it.`,
+		Long: `Send an open-loop load to entry hosts. Latencies are measured from the time that
+a request was due, so that a slow response does not hide the delay of the
+requests behind it.`,
 		Example: "  dotterelcart load morning.hujson --plot morning.svg",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			source, err := os.ReadFile(args[0])
 			if err != nil {
-				return misused(err)
+				return exitUsage(err)
 			}
 			settings, err := loader.Parse(source)
 			if err != nil {
-				return faultsOf(args[0], err)
+				return invalidFile(args[0], err)
 			}
 			report, err := loader.Run(cmd.Context(), loader.Options{Settings: settings})
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
 			fmt.Fprint(cmd.OutOrStdout(), report.Table())
 			return savePlot(plot, &report)
@@ -39,17 +40,18 @@
 	return cmd
 }
 
+// savePlot writes the plot to the file with this name, if it isn't empty.
 func savePlot(name string, report *loader.Report) error {
 	if name == "" {
 		return nil
 	}
 	file, err := os.Create(name)
 	if err != nil {
-		return failed(err)
+		return exitFailed(err)
 	}
 	defer file.Close()
 	if err := report.Plot(file); err != nil {
-		return failed(err)
+		return exitFailed(err)
 	}
 	return nil
 }
--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -23,8 +23,8 @@
 		Use:   "serve FILE",
 		Short: "Run the entry daemon with the settings in FILE",
 		Long: `Run the entry daemon. The settings are checked in full before anything
-starts. SIGTERM or SIGINT begins a planned stop: readiness fails, requests in
-flight end, shards are released. A second signal ends it at once.`,
+starts. SIGTERM or SIGINT begins a planned shutdown: readiness fails, requests
+in flight end, shards are released. A second signal stops the daemon at once.`,
 		Example: "  dotterelcart serve entry.hujson",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -40,7 +40,7 @@
 func newCheck() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a settings file and list every fault with its place",
+		Short:   "Check a settings file and list every error with its line and column",
 		Example: "  dotterelcart check entry.hujson",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -56,32 +56,34 @@
 func readSettings(name string) (parser.Settings, error) {
 	source, err := os.ReadFile(name)
 	if err != nil {
-		return parser.Settings{}, misused(err)
+		return parser.Settings{}, exitUsage(err)
 	}
 	settings, err := parser.Read(source)
-	return settings, faultsOf(name, err)
+	return settings, invalidFile(name, err)
 }
 
-// faultsOf puts each fault of a file on a line of its own.
-func faultsOf(name string, err error) error {
-	var faults parser.ErrorList
-	if !errors.As(err, &faults) {
+// invalidFile formats a parser.ErrorList with each error of the file on a line of
+// its own. It returns other errors, and nil, as they are.
+func invalidFile(name string, err error) error {
+	var list parser.ErrorList
+	if !errors.As(err, &list) {
 		return err
 	}
-	text := fmt.Sprintf("%d faults in %s", len(faults), name)
-	for _, fault := range faults {
-		text += "\n" + name + ":" + fault.String()
+	text := fmt.Sprintf("%d faults in %s", len(list), name)
+	for _, e := range list {
+		text += "\n" + name + ":" + e.String()
 	}
-	return misused(errors.New(text))
+	return exitUsage(errors.New(text))
 }
 
+// serve runs a daemon until a signal or the end of ctx, and shuts it down.
 func serve(ctx context.Context, settings parser.Settings, log zerolog.Logger) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	daemon, err := server.New(ctx, settings, log)
 	if err != nil {
-		return failed(err)
+		return exitFailed(err)
 	}
 	select {
 	case <-signals:
@@ -91,17 +93,18 @@
 	defer cancel()
 	go func() {
 		<-signals
-		log.Warn().Str("part", "serve").Msg("second signal, stopping at once")
+		log.Warn().Str("part", "serve").Msg("second signal received, stopping at once")
 		cancel()
 	}()
 	cut := daemon.Shutdown(limited)
 	if cut > 0 {
-		return failed(fmt.Errorf("planned stop cut %d requests in flight", cut))
+		return exitFailed(fmt.Errorf("planned shutdown cut off %d requests in flight", cut))
 	}
 	return nil
 }
 
-// newLogger writes JSON lines, or coloured text on a terminal.
+// newLogger returns a logger that writes JSON lines, or coloured text on a
+// terminal. An unknown level counts as info.
 func newLogger(w io.Writer, level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/internal/operator/commander/standin.go
+++ b/internal/operator/commander/standin.go
@@ -33,15 +33,15 @@
 	var listen string
 	cmd := &cobra.Command{
 		Use:     "store",
-		Short:   "The key-value store, in memory",
+		Short:   "Run the key-value store, in memory",
 		Example: "  dotterelcart standin store --listen 127.0.0.1:7100",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			store, err := keeper.New(listen)
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
-			return standBy(cmd, store.Address, store.Close)
+			return serveUntilSignal(cmd, store.Address, store.Close)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address, ip:port")
@@ -55,19 +55,19 @@
 	)
 	cmd := &cobra.Command{
 		Use:     "hosts",
-		Short:   "The lagging host list; PUT /v1/hosts sets it",
+		Short:   "Run the host list, which lags behind changes; PUT /v1/hosts sets it",
 		Example: "  dotterelcart standin hosts --listen 127.0.0.1:7200 --lag 2s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			hosts, err := registrar.New(listen, lag)
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
-			return standBy(cmd, hosts.Address, hosts.Close)
+			return serveUntilSignal(cmd, hosts.Address, hosts.Close)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address, ip:port")
-	cmd.Flags().DurationVar(&lag, "lag", 2*time.Second, "time until a change shows")
+	cmd.Flags().DurationVar(&lag, "lag", 2*time.Second, "time until a change is visible")
 	return cmd
 }
 
@@ -78,24 +78,24 @@
 	)
 	cmd := &cobra.Command{
 		Use:     "workers",
-		Short:   "Workers of one failure domain, 8 to a rack, added to the host list",
+		Short:   "Run workers of one failure domain, 8 to a rack, and add them to the host list",
 		Example: "  dotterelcart standin workers --domain seq-bne --region seq --count 6 --service menu-desk --hosts 127.0.0.1:7200",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			fleet, err := hoster.NewFleet(listen, workerOptions(region, domain, service, count))
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
 			if hosts != "" {
 				if err := addHosts(cmd.Context(), hosts, fleet.Hosts()); err != nil {
 					return err
 				}
 			}
-			return standBy(cmd, fleet.Address, fleet.Close)
+			return serveUntilSignal(cmd, fleet.Address, fleet.Close)
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&listen, "listen", "127.0.0.1:0", "address of the switches, ip:port")
+	flags.StringVar(&listen, "listen", "127.0.0.1:0", "address of the HTTP interface that controls the workers, ip:port")
 	flags.StringVar(&hosts, "hosts", "", "host list to add the workers to, ip:port")
 	flags.StringVar(&region, "region", "seq", "region")
 	flags.StringVar(&domain, "domain", "seq-bne", "failure domain")
@@ -112,7 +112,7 @@
 	)
 	cmd := &cobra.Command{
 		Use:     "balancer",
-		Short:   "The platform's balancer over entry hosts that are ready",
+		Short:   "Run the platform's load balancer, which forwards to ready entry hosts",
 		Example: "  dotterelcart standin balancer --listen 127.0.0.1:7400 --entry 127.0.0.1:7000 --entry 127.0.0.1:7010",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -122,14 +122,14 @@
 			}
 			b, err := balancer.New(listen, targets, check)
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
-			return standBy(cmd, b.Address, b.Close)
+			return serveUntilSignal(cmd, b.Address, b.Close)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address, ip:port")
-	cmd.Flags().StringSliceVar(&entries, "entry", nil, "callers' address of an entry host, ip:port; may be repeated")
-	cmd.Flags().DurationVar(&check, "check", 200*time.Millisecond, "time between checks of readiness")
+	cmd.Flags().StringSliceVar(&entries, "entry", nil, "caller address of an entry host, ip:port; may be repeated")
+	cmd.Flags().DurationVar(&check, "check", 200*time.Millisecond, "interval between readiness checks")
 	return cmd
 }
 
@@ -137,24 +137,25 @@
 	var listen string
 	cmd := &cobra.Command{
 		Use:     "links",
-		Short:   "Delayed and limited links between failure domains, set up over HTTP",
+		Short:   "Run links between failure domains with delay and bandwidth limits, configured over HTTP",
 		Example: "  dotterelcart standin links --listen 127.0.0.1:7500",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			hub, err := delayer.NewHub(listen)
 			if err != nil {
-				return failed(err)
+				return exitFailed(err)
 			}
-			return standBy(cmd, hub.Address, hub.Close)
+			return serveUntilSignal(cmd, hub.Address, hub.Close)
 		},
 	}
 	cmd.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "address of the hub, ip:port")
 	return cmd
 }
 
-// workersPerRack is the number of workers that share a rack.
+// workersPerRack is the number of workers in a rack, but for the last one.
 const workersPerRack = 8
 
+// workerOptions describes count workers of a failure domain.
 func workerOptions(region, domain, service string, count int) []hoster.Options {
 	options := make([]hoster.Options, count)
 	for i := range options {
@@ -176,19 +177,20 @@
 	return options
 }
 
-// addHosts appends to the list that the stand-in holds now.
+// addHosts adds hosts to the host list that is served at address. Changes made
+// between its read and its write are lost.
 func addHosts(ctx context.Context, address string, added []describer.Host) error {
-	var present []describer.Host
+	var hosts []describer.Host
 	url := "http://" + address + "/v1/hosts"
-	if err := ask(ctx, "GET", url, nil, &present); err != nil {
+	if err := send(ctx, "GET", url, nil, &hosts); err != nil {
 		return err
 	}
 	var ignored json.RawMessage
-	return ask(ctx, "PUT", url, append(present, added...), &ignored)
+	return send(ctx, "PUT", url, append(hosts, added...), &ignored)
 }
 
-// standBy prints the address and waits for a signal.
-func standBy(cmd *cobra.Command, address string, end func() error) error {
+// serveUntilSignal prints the address, waits for a signal and calls end.
+func serveUntilSignal(cmd *cobra.Command, address string, end func() error) error {
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	fmt.Fprintln(cmd.OutOrStdout(), address)
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -17,21 +17,21 @@
 	var daemon, worker string
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show shards and workers, and what holds a restore back",
+		Short: "Show shards and workers, and what blocks a restore",
 		Example: `  dotterelcart status
   dotterelcart status --why bne-w1`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var reports []reducer.Status
 			address := "http://" + daemon + "/v1/status?worker=" + url.QueryEscape(worker)
-			if err := ask(cmd.Context(), http.MethodGet, address, nil, &reports); err != nil {
+			if err := send(cmd.Context(), http.MethodGet, address, nil, &reports); err != nil {
 				return err
 			}
 			return output(cmd, reports, printStatus)
 		},
 	}
-	addDaemon(cmd, &daemon)
-	addFormat(cmd)
+	addDaemonFlag(cmd, &daemon)
+	addFormatFlag(cmd)
 	cmd.Flags().StringVar(&worker, "why", "", "explain the decisions about this worker")
 	return cmd
 }
