--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -28,7 +28,8 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/lender"
 )
 
-// build makes the parts, those that others need first.
+// build creates the components in the order of their dependencies, and starts
+// them.
 func (s *Server) build(ctx context.Context) error {
 	name, listen := s.Settings.Name, s.Settings.Listen
 	node, err := messenger.New(messenger.Options{Listen: listen.Peers, Timeout: s.timeout(), Log: s.log})
@@ -39,7 +40,8 @@
 	s.metrics = reporter.New(name, s.Settings.Domain)
 	store := storer.New(s.Settings.Platform.Store, platformClient())
 
-	// Parts report to the control plane, which is built after them.
+	// Components post events to the executor, which is built after them. An event
+	// that comes earlier waits.
 	built := make(chan struct{})
 	defer close(built)
 	post := func(event reducer.Event) {
@@ -59,10 +61,11 @@
 		Log:           s.log.With().Str("part", "responder").Logger(),
 	})
 	s.buildTraffic(store)
-	s.tasks.Go(func() { s.watchReadiness(ctx) })
+	s.wg.Go(func() { s.watchReadiness(ctx) })
 	return nil
 }
 
+// buildState creates the holder and the distributor.
 func (s *Server) buildState(store *storer.Client, post func(reducer.Event)) {
 	s.holder = holder.New(holder.Options{
 		Daemon:  s.Settings.Name,
@@ -83,6 +86,7 @@
 	})
 }
 
+// buildMembers creates the gossiper. It reports the peers that are alive.
 func (s *Server) buildMembers(post func(reducer.Event)) {
 	self := reducer.Peer{
 		Name: s.Settings.Name, Domain: s.Settings.Domain, Region: s.Settings.Region, Address: s.Settings.Listen.Peers,
@@ -95,6 +99,7 @@
 	})
 }
 
+// buildControl creates the reducer's state and the executor that runs it.
 func (s *Server) buildControl() {
 	state := reducer.New(reducer.Options{
 		Daemon:       s.Settings.Name,
@@ -115,16 +120,18 @@
 		Publish:  s.publish,
 		Interval: tickInterval,
 		Timeout:  s.timeout(),
-		MaxCalls: workerCalls,
+		MaxCalls: maxWorkerCalls,
 		Scope:    s.metrics.Scope,
 		Log:      s.log.With().Str("part", "control").Logger(),
 	})
 }
 
+// buildTraffic creates the forwarder and the lender that provides it with slots
+// on workers.
 func (s *Server) buildTraffic(store lender.Store) {
 	name, domain := s.Settings.Name, s.Settings.Domain
-	s.seat = lender.NewShareLease(store, domain, name, lender.DefaultTerm, s.log)
-	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsLeaseValid, s.seat, s.log)
+	s.shareLease = lender.NewShareLease(store, domain, name, lender.DefaultTerm, s.log)
+	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsLeaseValid, s.shareLease, s.log)
 	s.node.Handle(messenger.Lend, s.lender.Serve)
 	s.forwarder = forwarder.New(forwarder.Options{
 		Name:    name,
@@ -135,18 +142,21 @@
 	}, s.table.Load, s.teams, s.responder, s.metrics.Scope, s.log)
 }
 
+// timeout is the bound on one call to the platform or to a peer.
 func (s *Server) timeout() time.Duration { return time.Duration(s.Settings.Platform.Timeout) }
 
 func (s *Server) teams() []describer.Team { return s.config.Current().Teams }
 
-// publish replaces the routing table and tells the members what is owned here.
+// publish replaces the routing table and announces the shards that the daemon
+// owns, and its revision, to the other entry hosts.
 func (s *Server) publish(table *describer.RoutingTable) {
 	s.table.Store(table)
 	s.members.SetShards(slices.Sorted(maps.Keys(table.Owned)))
 	s.members.SetRevision(table.Revision)
 }
 
-// propose carries out the reducer's change of a drain.
+// propose changes a drain in the configuration as the reducer asks: it starts the
+// restore of the drain, or marks one of its workers as restored.
 func (s *Server) propose(ctx context.Context, p reducer.ProposeDrainUpdate) error {
 	_, err := s.config.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
 		if p.Worker == "" {
@@ -157,8 +167,8 @@
 	return err
 }
 
-// watchReadiness keeps the daemon's readiness that of its routing table until
-// a planned stop begins.
+// watchReadiness updates the daemon's readiness until ctx ends: it is ready while
+// the routing table is, and not once a planned shutdown has begun.
 func (s *Server) watchReadiness(ctx context.Context) {
 	for ctx.Err() == nil {
 		ready := s.table.Load().Ready && !s.stopping.Load()
@@ -169,16 +179,16 @@
 	}
 }
 
-// readHosts reads the host list until ctx ends. An unreadable list changes
-// nothing.
-func (s *Server) readHosts(ctx context.Context) {
+// watchHosts reads the host list at intervals until ctx ends. If a read fails, the
+// last list stays in use.
+func (s *Server) watchHosts(ctx context.Context) {
 	hosts := lister.New(s.Settings.Platform.Hosts, platformClient())
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, s.timeout())
 		list, err := hosts.Hosts(limited)
 		cancel()
 		if err != nil {
-			s.log.Info().Str("part", "server").Err(err).Msg("host list unreadable")
+			s.log.Info().Str("part", "server").Err(err).Msg("host list read failed")
 		} else {
 			s.members.UpdateHosts(list)
 			s.control.Post(reducer.HostsReceived{Hosts: list})
@@ -187,13 +197,14 @@
 	}
 }
 
-// platformConnections is how many connections to one address of the platform
-// are kept open.
-const platformConnections = 32
+// maxIdlePerHost is the number of idle connections to one address of the platform
+// that are kept open.
+const maxIdlePerHost = 32
 
+// platformClient returns an HTTP client with a connection pool of its own.
 func platformClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: platformConnections,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConnsPerHost: maxIdlePerHost,
+		IdleConnTimeout:     idleTimeout,
 	}}
 }
--- a/internal/operator/server/server.go
+++ b/internal/operator/server/server.go
@@ -1,17 +1,19 @@
-// Package server is the entry daemon: it builds all parts from settings and
-// stops them in order.
+// Package server is the entry daemon: it builds all components from the settings,
+// starts them, and stops them in order.
 //
-// # Parts
+// # Components
 //
-// The messenger and the gossiper connect entry hosts. The distributor keeps
-// the configuration, the holder owns shards, the executor runs the reducer,
-// and the forwarder serves callers from the routing table that the reducer
-// publishes. Nothing that a part needs is global, so that several daemons can
-// run in one process:
+// The messenger carries requests between entry hosts, and the gossiper tracks
+// which of them are alive. The distributor replicates the configuration, the
+// holder claims shards and keeps their leases, and the executor runs the
+// reducer, which decides placement. The forwarder serves callers' requests from
+// the routing table that the reducer publishes, and the responder serves jobs and
+// operators' requests. No component uses global state, so that several daemons
+// can run in one process:
 //
 //	daemon, err := server.New(ctx, settings, log)
 //	...
-//	cut := daemon.Shutdown(ctx)
+//	aborted := daemon.Shutdown(ctx)
 package server
 
 import (
@@ -39,45 +41,45 @@
 )
 
 const (
-	tickInterval   = 100 * time.Millisecond
-	hostsInterval  = time.Second // between reads of the host list
+	tickInterval   = 100 * time.Millisecond // between runs of the reducer, and between readiness checks
+	hostsInterval  = time.Second            // between reads of the host list
 	gossipInterval = 500 * time.Millisecond
-	workerCalls    = 128 // at a time
-	headerTime     = 5 * time.Second
-	idleTime       = 2 * time.Minute
-	maxHeader      = 64 << 10 // bytes
-	maxJobBody     = 1 << 19  // bytes; a job and its results fit a ledger segment
-	releaseTime    = 5 * time.Second
+	maxWorkerCalls = 128 // concurrent calls to workers
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeader      = 64 << 10        // bytes
+	maxJobBody     = 1 << 19         // bytes; a job and its results must fit into one ledger segment
+	releaseTimeout = 5 * time.Second // for the release of shards during a shutdown
 )
 
 // Server is a running entry daemon.
 type Server struct {
 	Settings parser.Settings
-	Done     chan struct{} // closed when every part has ended
+	Done     chan struct{} // closed when the daemon has stopped
 
-	log       zerolog.Logger
-	table     atomic.Pointer[describer.RoutingTable]
-	metrics   *reporter.Reporter
-	node      *messenger.Node
-	members   *gossiper.Gossiper
-	holder    *holder.Holder
-	config    *distributor.Distributor
-	control   *executor.Executor
-	responder *responder.Responder
-	forwarder *forwarder.Forwarder
-	lender    *lender.Lender
-	seat      *lender.ShareLease
+	log        zerolog.Logger
+	table      atomic.Pointer[describer.RoutingTable]
+	metrics    *reporter.Reporter
+	node       *messenger.Node
+	members    *gossiper.Gossiper
+	holder     *holder.Holder
+	config     *distributor.Distributor
+	control    *executor.Executor
+	responder  *responder.Responder
+	forwarder  *forwarder.Forwarder
+	lender     *lender.Lender
+	shareLease *lender.ShareLease
 
-	callers   *http.Server
-	operators *http.Server
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	ending    sync.Once
-	stopping  atomic.Bool
+	callerServer   *http.Server
+	operatorServer *http.Server
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
+	stopOnce       sync.Once
+	stopping       atomic.Bool
 }
 
-// New starts a daemon. It is ready once it has a configuration and a routing
-// table; until then it refuses requests.
+// New starts a daemon. It refuses requests until it has a configuration and a
+// routing table. The daemon outlives ctx; end it with Shutdown or Close.
 func New(ctx context.Context, settings parser.Settings, log zerolog.Logger) (*Server, error) {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	s := &Server{
@@ -99,11 +101,12 @@
 		return nil, err
 	}
 	s.serve(callers, operators)
-	s.tasks.Go(func() { s.readHosts(ctx) })
-	s.log.Info().Str("part", "server").Str("callers", settings.Listen.Callers).Msg("started")
+	s.wg.Go(func() { s.watchHosts(ctx) })
+	s.log.Info().Str("part", "server").Str("callers", settings.Listen.Callers).Msg("daemon started")
 	return s, nil
 }
 
+// listen opens the ports for callers and for operators.
 func (s *Server) listen() (callers, operators net.Listener, err error) {
 	callers, err = net.Listen("tcp", s.Settings.Listen.Callers)
 	if err != nil {
@@ -117,28 +120,28 @@
 	return callers, operators, nil
 }
 
-// serve answers callers and operators in goroutines of their own.
+// serve starts the servers for callers and for operators.
 func (s *Server) serve(callers, operators net.Listener) {
-	front := http.NewServeMux()
-	s.responder.RegisterJobs(front)
-	front.HandleFunc("GET /ready", s.metrics.ServeReady)
-	front.Handle("/svc/", s.forwarder)
-	s.callers = newHTTP(front)
+	callerMux := http.NewServeMux()
+	s.responder.RegisterJobs(callerMux)
+	callerMux.HandleFunc("GET /ready", s.metrics.ServeReady)
+	callerMux.Handle("/svc/", s.forwarder)
+	s.callerServer = newHTTPServer(callerMux)
 
-	back := http.NewServeMux()
-	s.metrics.Register(back)
-	s.responder.RegisterOperators(back)
-	s.operators = newHTTP(back)
+	operatorMux := http.NewServeMux()
+	s.metrics.Register(operatorMux)
+	s.responder.RegisterOperators(operatorMux)
+	s.operatorServer = newHTTPServer(operatorMux)
 
-	s.tasks.Go(func() { _ = s.callers.Serve(callers) })
-	s.tasks.Go(func() { _ = s.operators.Serve(operators) })
+	s.wg.Go(func() { _ = s.callerServer.Serve(callers) })
+	s.wg.Go(func() { _ = s.operatorServer.Serve(operators) })
 }
 
-func newHTTP(handler http.Handler) *http.Server {
+func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeader,
 	}
 }
--- a/internal/operator/server/stop.go
+++ b/internal/operator/server/stop.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	balancerTime = time.Second // for the balancer to see that readiness fails
-	releasePoll  = 20 * time.Millisecond
+	balancerDelay   = time.Second // until the balancer has seen that the daemon isn't ready
+	releaseInterval = 20 * time.Millisecond
 )
 
-// Shutdown is a planned stop. Readiness fails first, then requests in flight
-// end, shards are released and the parts close. It returns the number of
-// requests that were cut because ctx ended before them.
-func (s *Server) Shutdown(ctx context.Context) (cut int) {
-	s.ending.Do(func() {
-		s.log.Info().Str("part", "server").Msg("planned stop")
+// Shutdown performs a planned shutdown: it fails readiness checks, waits for
+// requests in flight, releases the shards, and closes. It returns the number of
+// requests that were aborted because ctx ended first. The first call of Shutdown
+// or Close decides; a later one only waits.
+func (s *Server) Shutdown(ctx context.Context) (aborted int) {
+	s.stopOnce.Do(func() {
+		s.log.Info().Str("part", "server").Msg("planned shutdown started")
 		s.stopping.Store(true)
 		s.metrics.Ready.Store(false)
 		s.members.Leave()
 		s.control.Post(reducer.StopRequested{})
-		waiter.Sleep(ctx, balancerTime)
-		cut = s.forwarder.Drain(ctx)
-		if err := s.callers.Shutdown(ctx); err != nil {
-			s.log.Warn().Str("part", "server").Err(err).Msg("callers cut off")
+		waiter.Sleep(ctx, balancerDelay)
+		aborted = s.forwarder.Drain(ctx)
+		if err := s.callerServer.Shutdown(ctx); err != nil {
+			s.log.Warn().Str("part", "server").Err(err).Msg("requests in flight cut off")
 		}
 		s.lender.HandBack(ctx)
 		s.awaitRelease(ctx)
 		s.close(ctx)
-		s.log.Info().Str("part", "server").Int("cut", cut).Msg("stopped")
+		s.log.Info().Str("part", "server").Int("cut", aborted).Msg("daemon stopped")
 	})
 	<-s.Done
-	return cut
+	return aborted
 }
 
-// Close ends the daemon at once, as a crash would: nothing is released and
-// requests in flight are cut off.
+// Close stops the daemon at once, as a crash would: shards aren't released and
+// requests in flight are aborted.
 func (s *Server) Close() {
-	s.ending.Do(func() {
+	s.stopOnce.Do(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		s.close(ctx)
@@ -51,28 +52,28 @@
 func (s *Server) close(ctx context.Context) {
 	s.metrics.Ready.Store(false)
 	s.cancel()
-	_ = s.callers.Close()
-	_ = s.operators.Close()
+	_ = s.callerServer.Close()
+	_ = s.operatorServer.Close()
 	_ = s.lender.Close()
-	s.seat.Close()
+	s.shareLease.Close()
 	s.control.Close()
 	if err := s.holder.Close(ctx); err != nil {
-		s.log.Info().Str("part", "server").Err(err).Msg("store lease not revoked, it will lapse")
+		s.log.Info().Str("part", "server").Err(err).Msg("store lease not revoked, expires by itself")
 	}
 	s.config.Close()
 	s.members.Close()
 	_ = s.node.Close()
 	_ = s.forwarder.Close()
-	s.tasks.Wait()
+	s.wg.Wait()
 	_ = s.metrics.Close()
 	close(s.Done)
 }
 
-// awaitRelease waits until no shard is owned any more.
+// awaitRelease waits until the daemon owns no shard, at most for releaseTimeout.
 func (s *Server) awaitRelease(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, releaseTime)
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	for len(s.table.Load().Owned) > 0 && limited.Err() == nil {
-		waiter.Sleep(limited, releasePoll)
+		waiter.Sleep(limited, releaseInterval)
 	}
 }
