--- a/internal/operator/reporter/reporter.go
+++ b/internal/operator/reporter/reporter.go
@@ -1,7 +1,8 @@
-// Package reporter keeps a daemon's metrics and health.
+// Package reporter records a daemon's metrics and serves them together with its
+// health. It also writes log lines without blocking.
 //
-// Metrics are recorded through a tally scope and shown in the Prometheus text
-// format; histograms carry the tags tenant and class.
+// Metrics are recorded in a tally scope and served in the Prometheus text format.
+// Histograms have the labels tenant and class.
 package reporter
 
 import (
@@ -15,19 +16,21 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// flushInterval is the time between flushes of the scope to the text format.
+// flushInterval is how often recorded metrics are copied to the Prometheus
+// registry.
 const flushInterval = time.Second
 
 // Reporter holds the metrics of one daemon.
 type Reporter struct {
-	Scope   tally.Scope  // records metrics
-	Metrics http.Handler // shows them
-	Ready   atomic.Bool  // whether the daemon may be sent requests
+	Scope   tally.Scope  // records metrics; has the labels daemon and domain
+	Metrics http.Handler // serves the metrics in the Prometheus text format
+	Ready   atomic.Bool  // whether the daemon can take requests
 
 	closer io.Closer
 }
 
-// New starts a reporter; Close flushes and stops it.
+// New starts a reporter for the daemon with this name in this failure domain.
+// Close flushes and stops it.
 func New(daemon, domain string) *Reporter {
 	registry := prometheus.NewRegistry()
 	backend := promreporter.NewReporter(promreporter.Options{
@@ -44,7 +47,8 @@
 	return &Reporter{Scope: scope, Metrics: backend.HTTPHandler(), closer: closer}
 }
 
-// Register adds /live, /ready and /metrics to mux.
+// Register adds the routes /live, /ready and /metrics to mux. /live responds with
+// status 200 as long as the process serves requests at all.
 func (r *Reporter) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusOK)
@@ -53,7 +57,8 @@
 	mux.Handle("GET /metrics", r.Metrics)
 }
 
-// ServeReady answers 200 while the daemon may be sent requests, otherwise 503.
+// ServeReady responds with status 200 while the daemon can take requests, and with
+// 503 otherwise.
 func (r *Reporter) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.Ready.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -62,5 +67,5 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Close stops the flushing.
+// Close flushes the metrics a last time and stops the reporter.
 func (r *Reporter) Close() error { return r.closer.Close() }
--- a/internal/operator/reporter/writer.go
+++ b/internal/operator/reporter/writer.go
@@ -6,18 +6,19 @@
 	"sync/atomic"
 )
 
-// Writer hands log lines to another writer without ever blocking. Lines that
-// find the queue full are dropped; the next line that is written says how many.
+// Writer is an io.WriteCloser that passes log lines on to another writer without
+// blocking its caller. When the queue is full, lines are dropped, and a line about
+// their number is written with the next batch.
 type Writer struct {
 	Dropped atomic.Int64  // lines dropped so far
-	Done    chan struct{} // closed when all lines are written
+	Done    chan struct{} // closed when Close has written all lines
 
 	lines  chan []byte
 	closed chan struct{}
 }
 
-// NewWriter returns a writer with room for queue waiting lines. Close writes
-// what waits and ends it.
+// NewWriter returns a writer to out whose queue holds the given number of lines.
+// Close it to write the queued lines and end its goroutine.
 func NewWriter(out io.Writer, queue int) *Writer {
 	w := &Writer{
 		Done:   make(chan struct{}),
@@ -40,7 +41,8 @@
 	return w
 }
 
-// flush writes a line with those that wait behind it, in one call.
+// flush writes the line and all queued ones in one call, and the number of lines
+// dropped since the last report, if any. It returns the total of reported drops.
 func (w *Writer) flush(out io.Writer, batch []byte, reported int64) int64 {
 	for {
 		select {
@@ -56,12 +58,12 @@
 		reported = dropped
 	}
 	if len(batch) > 0 {
-		_, _ = out.Write(batch) // there is nowhere to report it
+		_, _ = out.Write(batch) // an error of the log itself has nowhere to go
 	}
 	return reported
 }
 
-// Write takes one line. It never fails.
+// Write queues one line, or drops it if the queue is full. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -71,7 +73,8 @@
 	return len(line), nil
 }
 
-// Close writes the lines that wait and ends the writer.
+// Close writes the queued lines and ends the writer. Call it once; lines written
+// during or after Close may be lost.
 func (w *Writer) Close() error {
 	close(w.closed)
 	<-w.Done
