--- a/internal/operator/responder/configuration.go
+++ b/internal/operator/responder/configuration.go
@@ -7,19 +7,19 @@
 	"slices"
 	"time"
 
-	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
-
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 	"dotterelcart.dev/dotterelcart/internal/state/distributor"
+	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// statusTime bounds how long a status waits for owners that do not answer.
-const statusTime = 2 * time.Second
+// statusTimeout bounds how long a status request waits for owners that don't
+// answer.
+const statusTimeout = 2 * time.Second
 
 func (r *Responder) showStatus(w http.ResponseWriter, request *http.Request) {
-	ctx, cancel := context.WithTimeout(request.Context(), statusTime)
+	ctx, cancel := context.WithTimeout(request.Context(), statusTimeout)
 	defer cancel()
-	writeJSON(w, http.StatusOK, r.reports(ctx, request.URL.Query().Get("worker")))
+	writeJSON(w, http.StatusOK, r.collectStatus(ctx, request.URL.Query().Get("worker")))
 }
 
 func (r *Responder) showConfiguration(w http.ResponseWriter, _ *http.Request) {
@@ -32,8 +32,8 @@
 }
 
 // setConfiguration replaces services, teams, shards and weights. The body's
-// revision must be the one in force, 0 for the first. Drains are changed by
-// intents only.
+// revision must be the one in force, or 0 if there is none. Drains are kept; only
+// intents change them.
 func (r *Responder) setConfiguration(w http.ResponseWriter, request *http.Request) {
 	var wanted describer.Configuration
 	if err := readJSON(w, request, r.options.MaxBody, &wanted); err != nil {
@@ -55,8 +55,9 @@
 	writeJSON(w, http.StatusOK, accepted)
 }
 
-// propose changes the configuration if it is at the given revision. An error
-// of edit is returned as it is.
+// propose changes the configuration by edit if it is still at the revision, and
+// returns the result. Errors of edit are returned unwrapped. The error for another
+// revision lists what differs.
 func (r *Responder) propose(ctx context.Context, revision int64, edit distributor.Edit) (describer.Configuration, error) {
 	var refused error
 	accepted, err := r.options.Configuration.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
@@ -73,6 +74,7 @@
 	return accepted, err
 }
 
+// checkConfiguration reports the first thing that is wrong in a configuration.
 func checkConfiguration(c describer.Configuration) error {
 	if len(c.Shards) == 0 {
 		return invalid("shards", "at least one shard is needed")
@@ -94,9 +96,10 @@
 	return checkRacks(c.Shards)
 }
 
-// checkShardsKept refuses to move a rack to another shard, whose owner would
-// not know what runs there, and to change the set of shards, which decides the
-// home of job IDs and idempotency keys. Racks may be added.
+// checkShardsKept refuses changes of shards that would lose state. A rack must not
+// move to another shard, whose owner wouldn't know what runs there. The set of
+// shards must stay, since it determines the home shards of job IDs and idempotency
+// keys. Racks may be added.
 func checkShardsKept(old, wanted []describer.Shard) error {
 	if len(old) == 0 {
 		return nil
@@ -117,25 +120,27 @@
 	return nil
 }
 
-// checkRacks refuses a rack in two shards: its workers would have two owners.
+// checkRacks refuses a rack that is in two shards, since its workers would have two
+// owners.
 func checkRacks(shards []describer.Shard) error {
-	type place struct{ domain, rack string }
-	first := make(map[place]string)
+	type rackKey struct{ domain, rack string }
+	shardOf := make(map[rackKey]string)
 	for i, shard := range shards {
 		if shard.Domain == "" || len(shard.Racks) == 0 {
 			return invalid(fmt.Sprintf("shards[%d]", i), "needs a domain and at least one rack")
 		}
 		for _, rack := range shard.Racks {
-			at := place{shard.Domain, rack}
-			if other, ok := first[at]; ok {
+			key := rackKey{shard.Domain, rack}
+			if other, ok := shardOf[key]; ok {
 				return invalid(fmt.Sprintf("shards[%d].racks", i), "rack "+rack+" belongs to shard "+other+" already")
 			}
-			first[at] = shard.ID
+			shardOf[key] = shard.ID
 		}
 	}
 	return nil
 }
 
+// checkNames refuses values without a name and values with the same name.
 func checkNames[T any](field string, values []T, name func(T) string) error {
 	seen := make(map[string]bool)
 	for i, v := range values {
--- a/internal/operator/responder/encoding.go
+++ b/internal/operator/responder/encoding.go
@@ -12,14 +12,16 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
+// writeJSON responds with the status and with body as JSON.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller has gone away if this fails
+	_ = json.NewEncoder(w).Encode(body) // fails only if the caller has disconnected
 }
 
-// readJSON decodes a body of at most limit bytes; unknown fields and trailing
-// data are errors with verdict NotRun.
+// readJSON decodes a request body of at most limit bytes. Unknown fields and
+// trailing data are errors. Errors are *classifier.Error values with the verdict
+// NotRun.
 func readJSON(w http.ResponseWriter, request *http.Request, limit int64, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, request.Body, limit))
 	decoder.DisallowUnknownFields()
@@ -32,6 +34,7 @@
 	return nil
 }
 
+// bodyError turns a decoding error into one that names the offending field.
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -41,7 +44,7 @@
 	}
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return invalid(fieldOr(wrongType.Field), "has the wrong type, is "+wrongType.Value)
+		return invalid(fieldOrBody(wrongType.Field), "has the wrong type, is "+wrongType.Value)
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		return invalid(strings.Trim(name, `"`), "unknown field")
@@ -52,16 +55,17 @@
 	return invalid("body", err.Error())
 }
 
-func fieldOr(name string) string {
+// fieldOrBody returns name, or "body" if the error concerns the whole body.
+func fieldOrBody(name string) string {
 	if name == "" {
 		return "body"
 	}
 	return name
 }
 
-// refuseOthers answers wrong methods on the given paths and requests for
-// unknown paths, which would otherwise get a text without a verdict.
-func refuseOthers(mux *http.ServeMux, paths ...string) {
+// registerFallbacks adds routes for wrong methods on the given paths, and for all
+// other paths. Without them the mux would respond without a verdict.
+func registerFallbacks(mux *http.ServeMux, paths ...string) {
 	for _, path := range paths {
 		mux.HandleFunc(path, func(w http.ResponseWriter, request *http.Request) {
 			e := invalid("method", "method "+request.Method+" is not allowed here")
@@ -76,12 +80,15 @@
 	})
 }
 
+// invalid returns an error for a request whose field is wrong.
 func invalid(field, message string) *classifier.Error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusBadRequest, Code: "invalid", Message: message, Field: field,
 	}
 }
 
+// unavailable returns an error for a request that was not run and may be retried
+// after a second.
 func unavailable(code, message string) *classifier.Error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusServiceUnavailable, Code: code, Message: message, RetryAfter: time.Second,
--- a/internal/operator/responder/input_test.go
+++ b/internal/operator/responder/input_test.go
@@ -13,12 +13,13 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// noPeers registers nothing and reaches nobody.
+// noPeers ignores registrations. A call to a peer panics, which shows that bad
+// input would be forwarded.
 type noPeers struct{ messenger.Caller }
 
 func (noPeers) Handle(string, messenger.Handler) {}
 
-var _ = Describe("bad input", func() {
+var _ = Describe("invalid input", func() {
 	const limit = 512
 	var mux *http.ServeMux
 
@@ -27,7 +28,7 @@
 		New(Options{Peers: noPeers{}, MaxBody: limit, Log: zerolog.Nop()}).RegisterJobs(mux)
 	})
 
-	DescribeTable("is answered with the field and not-run, and reaches nobody",
+	DescribeTable("gets a response with the field and the verdict not-run, and isn't forwarded",
 		func(method, path, body string, status int, field string) {
 			w := httptest.NewRecorder()
 			mux.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -5,15 +5,14 @@
 	"encoding/json"
 	"net/http"
 
-	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
-
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 	"dotterelcart.dev/dotterelcart/internal/control/reducer"
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
+	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// jobName is the peer message that names a job.
-type jobName struct {
+// jobRequest is the peer message about the job with this ID.
+type jobRequest struct {
 	Job string `json:"job"`
 }
 
@@ -35,19 +34,23 @@
 	writeJSON(w, http.StatusAccepted, status)
 }
 
-func (r *Responder) inquireJob(w http.ResponseWriter, request *http.Request) {
-	r.answerJob(w, request, messenger.Inquire, r.inquireHere)
+func (r *Responder) showJob(w http.ResponseWriter, request *http.Request) {
+	r.serveJob(w, request, messenger.Inquire, r.jobStatusLocal)
 }
 
 func (r *Responder) cancelJob(w http.ResponseWriter, request *http.Request) {
-	r.answerJob(w, request, messenger.Cancel, r.cancelHere)
+	r.serveJob(w, request, messenger.Cancel, r.cancelLocal)
 }
 
-type localJob func(ctx context.Context, job string) (*reducer.JobStatus, error)
+// localHandler carries out a request about a job whose home shard this daemon
+// owns.
+type localHandler func(ctx context.Context, job string) (*reducer.JobStatus, error)
 
-func (r *Responder) answerJob(w http.ResponseWriter, request *http.Request, method string, here localJob) {
-	name := jobName{Job: request.PathValue("id")}
-	status, err := r.onJob(request.Context(), method, name, here)
+// serveJob carries out a request about the job in the path, by local here or by
+// the peer method at the owner of its home shard.
+func (r *Responder) serveJob(w http.ResponseWriter, request *http.Request, method string, local localHandler) {
+	message := jobRequest{Job: request.PathValue("id")}
+	status, err := r.forwardJob(request.Context(), method, message, local)
 	if err != nil {
 		classifier.WriteError(w, err)
 		return
@@ -55,74 +58,81 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-func (r *Responder) onJob(ctx context.Context, method string, name jobName, here localJob) (*reducer.JobStatus, error) {
-	return atHome(ctx, r, name.Job, method, name, func(ctx context.Context) (*reducer.JobStatus, error) {
-		return here(ctx, name.Job)
+// forwardJob sends a request about a job to the owner of its home shard.
+func (r *Responder) forwardJob(ctx context.Context, method string, message jobRequest, local localHandler) (*reducer.JobStatus, error) {
+	return forward(ctx, r, message.Job, method, message, func(ctx context.Context) (*reducer.JobStatus, error) {
+		return local(ctx, message.Job)
 	})
 }
 
+// submit sends a submission to the owner of the job's home shard.
 func (r *Responder) submit(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
-	return atHome(ctx, r, job.ID, messenger.Submit, job, func(ctx context.Context) (*reducer.JobStatus, error) {
-		return r.submitHere(ctx, job)
+	return forward(ctx, r, job.ID, messenger.Submit, job, func(ctx context.Context) (*reducer.JobStatus, error) {
+		return r.submitLocal(ctx, job)
 	})
 }
 
-// atHome asks the owner of the home shard of id: this daemon by here, another
-// one by method and params.
-func atHome[T any](
-	ctx context.Context, r *Responder, id, method string, params any, here func(context.Context) (*T, error),
+// forward carries out a request at the owner of the home shard of id, which is a
+// job ID or an idempotency key. If this daemon is the owner, it calls local;
+// otherwise it calls the method of the owner with params. It retries while the
+// shard changes its owner.
+func forward[T any](
+	ctx context.Context, r *Responder, id, method string, params any, local func(context.Context) (*T, error),
 ) (*T, error) {
-	return acrossHandover(ctx, func() (*T, error) {
-		owner, local, err := r.homeOf(id)
+	return retryHandover(ctx, func() (*T, error) {
+		owner, isLocal, err := r.homeOwner(id)
 		if err != nil {
 			return nil, err
 		}
-		if local {
-			return here(ctx)
+		if isLocal {
+			return local(ctx)
 		}
-		answer := new(T)
-		if err := r.options.Peers.Call(ctx, owner, method, params, answer); err != nil {
+		result := new(T)
+		if err := r.options.Peers.Call(ctx, owner, method, params, result); err != nil {
 			return nil, err
 		}
-		return answer, nil
+		return result, nil
 	})
 }
 
+// cancel sends a cancellation to the owner of the job's home shard.
 func (r *Responder) cancel(ctx context.Context, job string) (*reducer.JobStatus, error) {
-	return r.onJob(ctx, messenger.Cancel, jobName{Job: job}, r.cancelHere)
+	return r.forwardJob(ctx, messenger.Cancel, jobRequest{Job: job}, r.cancelLocal)
 }
 
-func (r *Responder) submitHere(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
+func (r *Responder) submitLocal(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.SubmitRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
 
-func (r *Responder) inquireHere(ctx context.Context, job string) (*reducer.JobStatus, error) {
+func (r *Responder) jobStatusLocal(ctx context.Context, job string) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.JobStatusRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
 
-func (r *Responder) cancelHere(ctx context.Context, job string) (*reducer.JobStatus, error) {
+func (r *Responder) cancelLocal(ctx context.Context, job string) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.CancelRequested{Request: id, Job: job}
 	})
 	return reply.Job, err
 }
 
-// homeOf returns the address of the owner of the job's or key's home shard.
-func (r *Responder) homeOf(id string) (owner string, local bool, err error) {
+// homeOwner returns the owner of the home shard of id, see shardOwner.
+func (r *Responder) homeOwner(id string) (owner string, local bool, err error) {
 	configuration := r.options.Configuration.Current()
 	if len(configuration.Shards) == 0 {
 		return "", false, unavailable("not-ready", "no configuration with shards is known yet")
 	}
-	return r.ownerOf(reducer.HomeShard(&configuration, id))
+	return r.shardOwner(reducer.HomeShard(&configuration, id))
 }
 
-func (r *Responder) ownerOf(shard string) (owner string, local bool, err error) {
+// shardOwner returns the peer address of the owner of the shard, or local and no
+// address if that is this daemon.
+func (r *Responder) shardOwner(shard string) (owner string, local bool, err error) {
 	table := r.options.Table()
 	if _, ok := table.Owned[shard]; ok {
 		return "", true, nil
@@ -139,21 +149,22 @@
 	if err := json.Unmarshal(params, &job); err != nil {
 		return nil, bodyError(err)
 	}
-	return r.submitHere(ctx, job)
+	return r.submitLocal(ctx, job)
 }
 
-func (r *Responder) handleInquire(ctx context.Context, params json.RawMessage) (any, error) {
-	return handleJob(ctx, params, r.inquireHere)
+func (r *Responder) handleJobStatus(ctx context.Context, params json.RawMessage) (any, error) {
+	return handleJob(ctx, params, r.jobStatusLocal)
 }
 
 func (r *Responder) handleCancel(ctx context.Context, params json.RawMessage) (any, error) {
-	return handleJob(ctx, params, r.cancelHere)
+	return handleJob(ctx, params, r.cancelLocal)
 }
 
-func handleJob(ctx context.Context, params json.RawMessage, here localJob) (any, error) {
-	var name jobName
-	if err := json.Unmarshal(params, &name); err != nil {
+// handleJob decodes a peer's request about a job and carries it out.
+func handleJob(ctx context.Context, params json.RawMessage, local localHandler) (any, error) {
+	var message jobRequest
+	if err := json.Unmarshal(params, &message); err != nil {
 		return nil, bodyError(err)
 	}
-	return here(ctx, name.Job)
+	return local(ctx, message.Job)
 }
--- a/internal/operator/responder/keys.go
+++ b/internal/operator/responder/keys.go
@@ -8,19 +8,19 @@
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
 )
 
-// keyRequest is the peer message that claims an idempotency key.
+// keyRequest is the peer message that claims an idempotency key for owner.
 type keyRequest struct {
 	Key   string `json:"key"`
 	Owner string `json:"owner"`
 }
 
-// Claim records, durably and before the request is sent, that owner is about
-// to send the non-idempotent request with the given key. fresh is false when
-// the key was claimed before, by firstOwner.
+// Claim durably records that owner is about to send the non-idempotent request
+// with the key; call it before the request is sent. If the key was claimed before,
+// fresh is false and firstOwner is the owner that claimed it.
 func (r *Responder) Claim(ctx context.Context, key, owner string) (fresh bool, firstOwner string, err error) {
 	request := keyRequest{Key: key, Owner: owner}
-	claim, err := atHome(ctx, r, key, messenger.ClaimKey, request, func(ctx context.Context) (*reducer.KeyClaim, error) {
-		return r.claimHere(ctx, request)
+	claim, err := forward(ctx, r, key, messenger.ClaimKey, request, func(ctx context.Context) (*reducer.KeyClaim, error) {
+		return r.claimLocal(ctx, request)
 	})
 	if err != nil {
 		return false, "", err
@@ -28,7 +28,8 @@
 	return claim.First, claim.Owner, nil
 }
 
-func (r *Responder) claimHere(ctx context.Context, request keyRequest) (*reducer.KeyClaim, error) {
+// claimLocal claims the key in its home shard, which this daemon must own.
+func (r *Responder) claimLocal(ctx context.Context, request keyRequest) (*reducer.KeyClaim, error) {
 	configuration := r.options.Configuration.Current()
 	if len(configuration.Shards) == 0 {
 		return nil, unavailable("not-ready", "no configuration with shards is known yet")
@@ -46,5 +47,5 @@
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, bodyError(err)
 	}
-	return r.claimHere(ctx, request)
+	return r.claimLocal(ctx, request)
 }
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -18,22 +18,24 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// planPrefix is the store's prefix for plans; the plan's ID follows.
+// planPrefix is the store prefix of plans; the plan's ID follows.
 const planPrefix = "plans/"
 
-// storedPlan is a plan as the store keeps it.
+// storedPlan is the value of a plan in the store.
 type storedPlan struct {
 	Plan      describer.Plan `json:"plan"`
 	Confirmed bool           `json:"confirmed"`
 }
 
-// planView is the answer to an operator.
+// planView is the response to an operator's request about a plan.
 type planView struct {
 	describer.Plan
 	Confirmed bool  `json:"confirmed"`
-	InForce   int64 `json:"inforce,omitempty"` // revision that the confirmation made
+	InForce   int64 `json:"inforce,omitempty"` // revision of the configuration that the confirmation led to
 }
 
+// planIntent makes and stores the plan of an intent. Nothing else changes until
+// the plan is confirmed.
 func (r *Responder) planIntent(w http.ResponseWriter, request *http.Request) {
 	var intent describer.Intent
 	if err := readJSON(w, request, r.options.MaxBody, &intent); err != nil {
@@ -74,8 +76,8 @@
 	writeJSON(w, http.StatusOK, view)
 }
 
-// confirm makes a plan's intent take effect. Confirming twice has the effect
-// of once.
+// confirm carries out a plan's intent if its plan would still be the same.
+// Confirming again has no further effect.
 func (r *Responder) confirm(ctx context.Context, id string) (planView, error) {
 	stored, revision, err := r.loadPlan(ctx, id)
 	if err != nil {
@@ -90,20 +92,22 @@
 	}
 	stored.Confirmed = true
 	if err := r.savePlan(ctx, stored, revision); err != nil {
-		r.options.Log.Warn().Err(err).Str("plan", id).Msg("plan in force, mark not saved")
+		r.options.Log.Warn().Err(err).Str("plan", id).Msg("plan carried out, confirmation not saved")
 	}
 	return planView{Plan: stored.Plan, Confirmed: true, InForce: inForce}, nil
 }
 
-// carryOut returns the revision of the configuration that holds the intent.
+// carryOut carries out the plan's intent and returns the revision of the
+// configuration that includes it. It fails if a new plan for the intent would do
+// more than this one says.
 func (r *Responder) carryOut(ctx context.Context, plan describer.Plan) (int64, error) {
 	intent := plan.Intent
 	current := r.options.Configuration.Current()
 	if current.Revision == 0 {
 		return 0, unavailable("not-ready", "no configuration is known yet")
 	}
-	if holdsIntent(current, intent) {
-		return current.Revision, nil // an earlier confirmation whose answer was lost
+	if includesIntent(current, intent) {
+		return current.Revision, nil // carried out by an earlier confirmation that failed to save or to respond
 	}
 	renewed, err := r.makePlan(ctx, intent)
 	if err != nil {
@@ -126,9 +130,10 @@
 	return changed.Revision, err
 }
 
-// makePlan asks the owners of all shards that the intent may touch.
+// makePlan makes the plan of an intent from the parts of the shards that it
+// concerns.
 func (r *Responder) makePlan(ctx context.Context, intent describer.Intent) (describer.Plan, error) {
-	parts, err := r.partsOf(ctx, intent)
+	parts, err := r.collectParts(ctx, intent)
 	if err != nil {
 		return describer.Plan{}, err
 	}
@@ -141,6 +146,8 @@
 	return plan, nil
 }
 
+// savePlan stores a plan if the stored one is at the expected revision; 0 means that
+// there is none.
 func (r *Responder) savePlan(ctx context.Context, stored storedPlan, expected int64) error {
 	value, err := json.Marshal(stored)
 	if err != nil {
@@ -150,6 +157,7 @@
 	return err
 }
 
+// loadPlan returns a stored plan and its revision in the store.
 func (r *Responder) loadPlan(ctx context.Context, id string) (storedPlan, int64, error) {
 	item, err := r.options.Store.Get(ctx, planPrefix+id)
 	if errors.Is(err, storer.ErrNotFound) {
@@ -165,6 +173,8 @@
 	return stored, item.Revision, err
 }
 
+// stale returns the error for a plan or a configuration that was made from an
+// earlier state; changes says what has changed since.
 func stale(changes []string) error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusConflict, Code: "stale",
@@ -172,8 +182,8 @@
 	}
 }
 
-// configurationChanges says what stands against a confirmation that was made
-// for revision planned.
+// configurationChanges describes the configuration to an operator whose change was
+// made for the revision planned.
 func configurationChanges(planned int64, now describer.Configuration) []string {
 	changes := []string{fmt.Sprintf("configuration is at revision %d, the plan was made for %d", now.Revision, planned)}
 	for _, drain := range now.Drains {
@@ -182,8 +192,8 @@
 	return changes
 }
 
-// holdsIntent reports whether the configuration already shows the intent.
-func holdsIntent(c describer.Configuration, intent describer.Intent) bool {
+// includesIntent reports whether the configuration already includes the intent.
+func includesIntent(c describer.Configuration, intent describer.Intent) bool {
 	switch intent.Action {
 	case describer.DrainWorkers:
 		return slices.ContainsFunc(c.Drains, func(d describer.Drain) bool { return d.ID == intent.ID })
--- a/internal/operator/responder/retry.go
+++ b/internal/operator/responder/retry.go
@@ -10,25 +10,27 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// A shard that changes its owner has none for a moment. A request that was not
-// run for that reason is tried again for handoverTime at most.
+// While a shard changes its owner, it has none for a short time. A request that
+// wasn't run for that reason is retried, with growing delays, for handoverTimeout
+// at most.
 const (
-	handoverTime = 1500 * time.Millisecond
-	retryFirst   = 20 * time.Millisecond
-	retryLongest = 200 * time.Millisecond
+	handoverTimeout = 1500 * time.Millisecond
+	minRetryDelay   = 20 * time.Millisecond
+	maxRetryDelay   = 200 * time.Millisecond
 )
 
-// Codes of failures that a change of owner explains.
+// Error codes that a change of owner can cause.
 const (
 	codeNoOwner  = "no-owner"
 	codeNotOwner = "not-owner"
 )
 
-// acrossHandover repeats do while it fails for want of an owner.
-func acrossHandover[T any](ctx context.Context, do func() (T, error)) (T, error) {
+// retryHandover calls do until it succeeds, fails for another reason than a
+// missing owner, or handoverTimeout has passed.
+func retryHandover[T any](ctx context.Context, do func() (T, error)) (T, error) {
 	delay := backoff.NewExponentialBackOff()
-	delay.InitialInterval = retryFirst
-	delay.MaxInterval = retryLongest
+	delay.InitialInterval = minRetryDelay
+	delay.MaxInterval = maxRetryDelay
 	attempt := func() (T, error) {
 		result, err := do()
 		if err != nil && !lacksOwner(err) {
@@ -36,7 +38,7 @@
 		}
 		return result, err
 	}
-	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(delay), backoff.WithMaxElapsedTime(handoverTime))
+	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(delay), backoff.WithMaxElapsedTime(handoverTimeout))
 	var permanent *backoff.PermanentError
 	if errors.As(err, &permanent) {
 		return result, permanent.Unwrap()
@@ -44,6 +46,8 @@
 	return result, err
 }
 
+// lacksOwner reports whether a request was not run because the shard had no
+// owner, or another one than the asked.
 func lacksOwner(err error) bool {
 	var e *classifier.Error
 	if !errors.As(err, &e) || e.Verdict != classifier.NotRun {
--- a/internal/operator/responder/retry_test.go
+++ b/internal/operator/responder/retry_test.go
@@ -21,7 +21,7 @@
 func TestAcrossHandoverWaitsForAnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
-		got, err := acrossHandover(t.Context(), func() (int, error) {
+		got, err := retryHandover(t.Context(), func() (int, error) {
 			calls++
 			if calls < 4 {
 				return 0, unavailable(codeNotOwner, "shard a is owned elsewhere")
@@ -36,7 +36,7 @@
 
 func TestAcrossHandoverGivesUpWithTheLastError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, err := acrossHandover(t.Context(), func() (int, error) {
+		_, err := retryHandover(t.Context(), func() (int, error) {
 			return 0, unavailable(codeNoOwner, "shard a has no reachable owner")
 		})
 		if classifier.VerdictOf(err) != classifier.NotRun {
@@ -45,11 +45,11 @@
 	})
 }
 
-var _ = Describe("acrossHandover", func() {
-	DescribeTable("does not repeat what may have run or was refused",
+var _ = Describe("retryHandover", func() {
+	DescribeTable("doesn't retry a request that may have run or was refused",
 		func(failure *classifier.Error) {
 			calls := 0
-			_, err := acrossHandover(context.Background(), func() (int, error) {
+			_, err := retryHandover(context.Background(), func() (int, error) {
 				calls++
 				return 0, failure
 			})
@@ -77,7 +77,7 @@
 		}, "teams[0].weight"),
 	)
 
-	It("refuses to move a rack to another owner", func() {
+	It("refuse to move a rack to another shard", func() {
 		old := []describer.Shard{{ID: "a", Domain: "d", Racks: []string{"r1", "r2"}}}
 		moved := []describer.Shard{{ID: "a", Domain: "d", Racks: []string{"r1"}}}
 		Expect(checkShardsKept(old, moved)).NotTo(Succeed())
--- a/internal/operator/responder/shards.go
+++ b/internal/operator/responder/shards.go
@@ -13,21 +13,22 @@
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
 )
 
-// statusRequest is the peer message that asks for a report.
+// statusRequest is the peer message that asks for a daemon's status. Decisions
+// about the worker, if any is named, are explained in it.
 type statusRequest struct {
 	Worker string `json:"worker,omitempty"`
 }
 
-// partsOf asks every owner concerned for its part of the plan. An intent that
-// runs a job concerns the job's home shard alone.
-func (r *Responder) partsOf(ctx context.Context, intent describer.Intent) ([]describer.Plan, error) {
+// collectParts asks the owner of every shard that the intent concerns for its part
+// of the plan. An intent that runs a job concerns the job's home shard only.
+func (r *Responder) collectParts(ctx context.Context, intent describer.Intent) ([]describer.Plan, error) {
 	owners, err := r.ownersFor(intent)
 	if err != nil {
 		return nil, err
 	}
 	return gather(ctx, owners, func(ctx context.Context, owner string) (describer.Plan, error) {
 		if owner == "" {
-			return r.stepsHere(ctx, intent)
+			return r.planLocal(ctx, intent)
 		}
 		var part describer.Plan
 		err := r.options.Peers.Call(ctx, owner, messenger.Steps, intent, &part)
@@ -35,10 +36,11 @@
 	})
 }
 
-// ownersFor returns the addresses of owners; the empty one is this daemon.
+// ownersFor returns the peer addresses of the owners of the shards that the intent
+// concerns; the empty address is this daemon.
 func (r *Responder) ownersFor(intent describer.Intent) ([]string, error) {
 	if intent.Action == describer.Run && intent.Job != nil {
-		owner, _, err := r.homeOf(intent.Job.ID)
+		owner, _, err := r.homeOwner(intent.Job.ID)
 		return []string{owner}, err
 	}
 	configuration := r.options.Configuration.Current()
@@ -47,7 +49,7 @@
 	}
 	owners := make(map[string]bool)
 	for _, shard := range r.shardsFor(configuration, intent) {
-		owner, _, err := r.ownerOf(shard)
+		owner, _, err := r.shardOwner(shard)
 		if err != nil {
 			return nil, err
 		}
@@ -56,10 +58,11 @@
 	return slices.Sorted(maps.Keys(owners)), nil
 }
 
-// shardsFor returns the shards that the intent may touch: those of the workers
-// for a drain, whose owners a partition may leave in reach, and otherwise all.
+// shardsFor returns the shards that the intent may affect. For a drain these are
+// only the shards of its workers, so that it can be planned while a partition
+// separates this daemon from the other shards.
 func (r *Responder) shardsFor(c describer.Configuration, intent describer.Intent) []string {
-	var all, some []string
+	var all, concerned []string
 	for _, shard := range c.Shards {
 		all = append(all, shard.ID)
 	}
@@ -70,13 +73,14 @@
 	for _, worker := range intent.Workers {
 		shard, ok := shards[worker]
 		if !ok {
-			return all // their owners say that nobody knows the worker
+			return all // no shard owns the worker; merging all parts reports it as unknown
 		}
-		some = append(some, shard)
+		concerned = append(concerned, shard)
 	}
-	return some
+	return concerned
 }
 
+// shardsByWorker returns the shard of each worker in the routing table.
 func shardsByWorker(table *describer.RoutingTable) map[string]string {
 	out := make(map[string]string)
 	for _, backends := range table.Services {
@@ -87,31 +91,31 @@
 	return out
 }
 
-// reports collects the status of this daemon and of every owner of a shard
-// that can be reached.
-func (r *Responder) reports(ctx context.Context, worker string) []reducer.Status {
+// collectStatus asks this daemon and the owners of all shards for their status. The
+// status of an owner that doesn't answer holds only a remark in place of its name.
+func (r *Responder) collectStatus(ctx context.Context, worker string) []reducer.Status {
 	owners := map[string]bool{"": true}
 	for shard, owner := range r.options.Table().Owners {
-		if _, own := r.options.Table().Owned[shard]; !own {
+		if _, local := r.options.Table().Owned[shard]; !local {
 			owners[owner] = true
 		}
 	}
-	reports, _ := gather(ctx, slices.Sorted(maps.Keys(owners)), func(ctx context.Context, owner string) (reducer.Status, error) {
+	statuses, _ := gather(ctx, slices.Sorted(maps.Keys(owners)), func(ctx context.Context, owner string) (reducer.Status, error) {
 		if owner == "" {
-			return r.statusHere(ctx, worker)
+			return r.statusLocal(ctx, worker)
 		}
 		var status reducer.Status
 		if err := r.options.Peers.Call(ctx, owner, messenger.Report, statusRequest{Worker: worker}, &status); err != nil {
-			r.options.Log.Info().Err(err).Str("peer", owner).Msg("no report")
+			r.options.Log.Info().Err(err).Str("peer", owner).Msg("peer status request failed")
 			return reducer.Status{Daemon: owner + " (unreachable)"}, nil
 		}
 		return status, nil
 	})
-	return reports
+	return statuses
 }
 
-// gather calls ask for every owner at the same time; results are in the order
-// of owners.
+// gather calls ask for all owners concurrently. Results are in the order of
+// owners; the error is the first one.
 func gather[T any](ctx context.Context, owners []string, ask func(context.Context, string) (T, error)) ([]T, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	results := make([]T, len(owners))
@@ -126,7 +130,7 @@
 	return results, err
 }
 
-func (r *Responder) stepsHere(ctx context.Context, intent describer.Intent) (describer.Plan, error) {
+func (r *Responder) planLocal(ctx context.Context, intent describer.Intent) (describer.Plan, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.PlanRequested{Request: id, Intent: intent}
 	})
@@ -136,7 +140,7 @@
 	return *reply.Plan, nil
 }
 
-func (r *Responder) statusHere(ctx context.Context, worker string) (reducer.Status, error) {
+func (r *Responder) statusLocal(ctx context.Context, worker string) (reducer.Status, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.StatusRequested{Request: id, Worker: worker}
 	})
@@ -146,18 +150,18 @@
 	return *reply.Status, nil
 }
 
-func (r *Responder) handleSteps(ctx context.Context, params json.RawMessage) (any, error) {
+func (r *Responder) handlePlanSteps(ctx context.Context, params json.RawMessage) (any, error) {
 	var intent describer.Intent
 	if err := json.Unmarshal(params, &intent); err != nil {
 		return nil, bodyError(err)
 	}
-	return r.stepsHere(ctx, intent)
+	return r.planLocal(ctx, intent)
 }
 
-func (r *Responder) handleReport(ctx context.Context, params json.RawMessage) (any, error) {
+func (r *Responder) handleStatus(ctx context.Context, params json.RawMessage) (any, error) {
 	var request statusRequest
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, bodyError(err)
 	}
-	return r.statusHere(ctx, request.Worker)
+	return r.statusLocal(ctx, request.Worker)
 }
