--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Defaults returns the settings that hold where a file is silent.
+// Defaults returns the settings that apply where a file has no value.
 func Defaults() Settings {
 	return Settings{
 		Platform: Platform{Timeout: Duration(2 * time.Second)},
@@ -36,13 +36,13 @@
 	}
 }
 
-// Read decodes and checks a daemon's settings. The error is of type FaultErrors and
-// lists everything that is wrong.
+// Read decodes and checks a daemon's settings. Errors are of type ErrorList and
+// hold everything that is wrong.
 func Read(source []byte) (Settings, error) {
 	s := Defaults()
 	d := Decode(source, &s)
-	if len(d.Errors) == 1 && len(d.places) == 0 {
-		return s, d.Errors // not even JSON; checks of missing keys would be noise
+	if len(d.Errors) == 1 && len(d.offsets) == 0 {
+		return s, d.Errors // syntax error; missing keys would follow from it
 	}
 	d.checkIdentity(s)
 	d.checkAddresses(s)
@@ -60,7 +60,7 @@
 	for _, f := range []struct{ path, value string }{
 		{"name", s.Name}, {"domain", s.Domain}, {"region", s.Region},
 	} {
-		if f.value == "" && !d.hasFault(f.path) {
+		if f.value == "" && !d.hasError(f.path) {
 			d.AddError(f.path, "is missing")
 		}
 	}
@@ -69,7 +69,7 @@
 func (d *Document) checkAddresses(s Settings) {
 	seen := make(map[string]string)
 	check := func(path, address string) {
-		if d.hasFault(path) {
+		if d.hasError(path) {
 			return
 		}
 		if address == "" {
@@ -80,8 +80,8 @@
 			d.AddError(path, "must be an IP number and port such as 10.0.0.1:7000, is %q", address)
 			return
 		}
-		if first, ok := seen[address]; ok {
-			d.AddError(path, "%s stands at %s already", address, first)
+		if other, ok := seen[address]; ok {
+			d.AddError(path, "%s stands at %s already", address, other)
 			return
 		}
 		seen[address] = path
@@ -103,22 +103,22 @@
 			d.AddError(f.path, "must be a URL such as http://10.0.0.1:7000, is %q", f.value)
 		}
 	}
-	d.between("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
+	d.checkRange("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
 }
 
 func (d *Document) checkLease(l Lease) {
-	d.between("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
-	d.between("lease.task", l.Task, 100*time.Millisecond, time.Hour)
-	d.between("lease.margin", l.ClockMargin, 0, time.Minute)
-	d.between("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
+	d.checkRange("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
+	d.checkRange("lease.task", l.Task, 100*time.Millisecond, time.Hour)
+	d.checkRange("lease.margin", l.ClockMargin, 0, time.Minute)
+	d.checkRange("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
 	if l.SyncInterval*3 > l.Task {
 		d.AddError("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
 	}
 }
 
 func (d *Document) checkRestore(r Restore) {
-	d.between("restore.settle", r.MinStep, 10*time.Millisecond, time.Hour)
-	d.between("restore.patience", r.MaxStep, time.Duration(r.MinStep), 24*time.Hour)
+	d.checkRange("restore.settle", r.MinStep, 10*time.Millisecond, time.Hour)
+	d.checkRange("restore.patience", r.MaxStep, time.Duration(r.MinStep), 24*time.Hour)
 }
 
 func (d *Document) checkTraffic(t Traffic) {
@@ -134,14 +134,15 @@
 	if t.LinkBandwidth < 0 {
 		d.AddError("traffic.link", "must not be negative, is %d bytes a second", t.LinkBandwidth)
 	}
-	d.between("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
-	d.between("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
-	d.between("traffic.drainlimit", t.DrainTimeout, 0, time.Hour)
+	d.checkRange("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
+	d.checkRange("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
+	d.checkRange("traffic.drainlimit", t.DrainTimeout, 0, time.Hour)
 }
 
-// between checks a range unless the value could not be read at all.
-func (d *Document) between(path string, value Duration, low, high time.Duration) {
-	if d.hasFault(path) {
+// checkRange adds an error if the value is out of range, unless it could not be
+// decoded at all.
+func (d *Document) checkRange(path string, value Duration, low, high time.Duration) {
+	if d.hasError(path) {
 		return
 	}
 	if time.Duration(value) < low || time.Duration(value) > high {
@@ -149,9 +150,10 @@
 	}
 }
 
-func (d *Document) hasFault(path string) bool {
-	for _, f := range d.Errors {
-		if f.Path == path {
+// hasError reports whether the value at path has an error already.
+func (d *Document) hasError(path string) bool {
+	for _, e := range d.Errors {
+		if e.Path == path {
 			return true
 		}
 	}
--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -11,47 +11,48 @@
 	"github.com/tailscale/hujson"
 )
 
-// Document is a decoded source with the places of its values.
+// Document is a decoded file with the positions of its values.
 type Document struct {
 	Errors ErrorList
 
-	source []byte
-	places map[string]int // path to byte offset
+	source  []byte
+	offsets map[string]int // byte offsets of values in source, by path
 }
 
-// Decode reads source into the struct that into points to, which holds the
-// defaults. FaultErrors are collected in the document; into is filled as far as
-// possible.
+// Decode decodes source into the struct that into points to, whose values are the
+// defaults. Errors are collected in the document; values without an error are set
+// all the same.
 func Decode(source []byte, into any) *Document {
-	d := &Document{source: source, places: make(map[string]int)}
+	d := &Document{source: source, offsets: make(map[string]int)}
 	root, err := hujson.Parse(source)
 	if err != nil {
-		d.Errors = append(d.Errors, syntaxFault(err))
+		d.Errors = append(d.Errors, syntaxError(err))
 		return d
 	}
-	d.value(&root, "", reflect.ValueOf(into).Elem())
+	d.decodeValue(&root, "", reflect.ValueOf(into).Elem())
 	return d
 }
 
-// AddError adds a fault at the value with the given path, or at the nearest
-// enclosing value that the document has.
+// AddError adds an error at the position of the value at path, or else of the
+// nearest enclosing value that the document has.
 func (d *Document) AddError(path, format string, args ...any) {
 	offset := 0
-	for at := path; at != ""; {
-		if o, ok := d.places[at]; ok {
+	for prefix := path; prefix != ""; {
+		if o, ok := d.offsets[prefix]; ok {
 			offset = o
 			break
 		}
-		cut := strings.LastIndexAny(at, ".[")
-		if cut < 0 {
+		end := strings.LastIndexAny(prefix, ".[")
+		if end < 0 {
 			break
 		}
-		at = at[:cut]
+		prefix = prefix[:end]
 	}
-	d.faultAt(offset, path, format, args...)
+	d.addErrorAt(offset, path, format, args...)
 }
 
-func (d *Document) faultAt(offset int, path, format string, args ...any) {
+// addErrorAt adds an error at a byte offset of the source.
+func (d *Document) addErrorAt(offset int, path, format string, args ...any) {
 	before := string(d.source[:min(offset, len(d.source))])
 	line := strings.Count(before, "\n") + 1
 	column := offset - strings.LastIndex(before, "\n")
@@ -64,118 +65,127 @@
 	rawType      = reflect.TypeFor[json.RawMessage]()
 )
 
-func (d *Document) value(v *hujson.Value, path string, into reflect.Value) {
+// decodeValue decodes v, whose path is path, into a Go value by that value's type.
+func (d *Document) decodeValue(v *hujson.Value, path string, into reflect.Value) {
 	if path != "" {
-		d.places[path] = v.StartOffset
+		d.offsets[path] = v.StartOffset
 	}
 	switch into.Type() {
 	case durationType:
-		d.duration(v, path, into)
+		d.decodeDuration(v, path, into)
 		return
 	case timeType:
-		d.time(v, path, into)
+		d.decodeTime(v, path, into)
 		return
 	case rawType:
-		into.SetBytes(standard(v))
+		into.SetBytes(standardJSON(v))
 		return
 	}
 	switch into.Kind() {
 	case reflect.Struct:
-		d.object(v, path, into)
+		d.decodeObject(v, path, into)
 	case reflect.Slice:
-		d.array(v, path, into)
+		d.decodeArray(v, path, into)
 	default:
-		d.literal(v, path, into)
+		d.decodeLiteral(v, path, into)
 	}
 }
 
-func (d *Document) object(v *hujson.Value, path string, into reflect.Value) {
+// decodeObject decodes an object into a struct, whose json tags are the known keys.
+func (d *Document) decodeObject(v *hujson.Value, path string, into reflect.Value) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.faultAt(v.StartOffset, path, "must be an object")
+		d.addErrorAt(v.StartOffset, path, "must be an object")
 		return
 	}
 	seen := make(map[string]bool)
 	for i := range object.Members {
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		at := join(path, name)
-		field, ok := fieldOf(into, name)
+		memberPath := joinPath(path, name)
+		field, ok := fieldByKey(into, name)
 		switch {
 		case !ok:
-			d.faultAt(m.Name.StartOffset, at, "unknown key; known are %s", strings.Join(keysOf(into.Type()), ", "))
+			d.addErrorAt(m.Name.StartOffset, memberPath, "unknown key; known are %s", strings.Join(keysOf(into.Type()), ", "))
 		case seen[name]:
-			d.faultAt(m.Name.StartOffset, at, "stands twice")
+			d.addErrorAt(m.Name.StartOffset, memberPath, "stands twice")
 		default:
-			d.value(&m.Value, at, field)
+			d.decodeValue(&m.Value, memberPath, field)
 		}
 		seen[name] = true
 	}
 }
 
-func (d *Document) array(v *hujson.Value, path string, into reflect.Value) {
+// decodeArray decodes an array into a slice.
+func (d *Document) decodeArray(v *hujson.Value, path string, into reflect.Value) {
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.faultAt(v.StartOffset, path, "must be an array")
+		d.addErrorAt(v.StartOffset, path, "must be an array")
 		return
 	}
 	out := reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements))
 	for i := range array.Elements {
-		d.value(&array.Elements[i], fmt.Sprintf("%s[%d]", path, i), out.Index(i))
+		d.decodeValue(&array.Elements[i], fmt.Sprintf("%s[%d]", path, i), out.Index(i))
 	}
 	into.Set(out)
 }
 
-func (d *Document) literal(v *hujson.Value, path string, into reflect.Value) {
+// decodeLiteral decodes a string, number or boolean.
+func (d *Document) decodeLiteral(v *hujson.Value, path string, into reflect.Value) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
-		d.faultAt(v.StartOffset, path, "must be %s", describe(into.Kind()))
+		d.addErrorAt(v.StartOffset, path, "must be %s", kindName(into.Kind()))
 		return
 	}
 	if err := json.Unmarshal(literal, into.Addr().Interface()); err != nil || string(literal) == "null" {
-		d.faultAt(v.StartOffset, path, "must be %s, is %s", describe(into.Kind()), literal)
+		d.addErrorAt(v.StartOffset, path, "must be %s, is %s", kindName(into.Kind()), literal)
 	}
 }
 
-func (d *Document) duration(v *hujson.Value, path string, into reflect.Value) {
+// decodeDuration decodes text such as "250ms" into a Duration.
+func (d *Document) decodeDuration(v *hujson.Value, path string, into reflect.Value) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
-		d.faultAt(v.StartOffset, path, `must be a time with a unit, such as "250ms"`)
+		d.addErrorAt(v.StartOffset, path, `must be a time with a unit, such as "250ms"`)
 		return
 	}
 	parsed, err := time.ParseDuration(literal.String())
 	if err != nil {
-		d.faultAt(v.StartOffset, path, `must be a time with a unit, such as "250ms", is %s`, literal)
+		d.addErrorAt(v.StartOffset, path, `must be a time with a unit, such as "250ms", is %s`, literal)
 		return
 	}
 	into.SetInt(int64(parsed))
 }
 
-func (d *Document) time(v *hujson.Value, path string, into reflect.Value) {
+// decodeTime decodes text in the format of RFC 3339 into a time.Time.
+func (d *Document) decodeTime(v *hujson.Value, path string, into reflect.Value) {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok || json.Unmarshal(literal, into.Addr().Interface()) != nil {
-		d.faultAt(v.StartOffset, path, "must be a time such as \"2030-01-31T11:30:00+10:00\"")
+		d.addErrorAt(v.StartOffset, path, "must be a time such as \"2030-01-31T11:30:00+10:00\"")
 	}
 }
 
-// standard returns the value as plain JSON.
-func standard(v *hujson.Value) []byte {
+// standardJSON returns the value as JSON without comments, trailing commas and
+// white space.
+func standardJSON(v *hujson.Value) []byte {
 	c := v.Clone()
 	c.Standardize()
 	c.Minimize()
 	return c.Pack()
 }
 
-func syntaxFault(err error) Error {
+// syntaxError takes the position out of an error of hujson.Parse.
+func syntaxError(err error) Error {
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
-	f := Error{Line: 1, Column: 1, Message: text}
-	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &f.Line, &f.Column); n == 2 {
-		_, f.Message, _ = strings.Cut(text, ": ")
+	e := Error{Line: 1, Column: 1, Message: text}
+	if n, _ := fmt.Sscanf(text, "line %d, column %d:", &e.Line, &e.Column); n == 2 {
+		_, e.Message, _ = strings.Cut(text, ": ")
 	}
-	return f
+	return e
 }
 
-func fieldOf(into reflect.Value, name string) (reflect.Value, bool) {
+// fieldByKey returns the field of a struct whose json tag is key.
+func fieldByKey(into reflect.Value, name string) (reflect.Value, bool) {
 	for i := range into.NumField() {
 		if keyOf(into.Type().Field(i)) == name {
 			return into.Field(i), true
@@ -184,6 +194,7 @@
 	return reflect.Value{}, false
 }
 
+// keysOf returns the json keys of a struct type, in the order of its fields.
 func keysOf(t reflect.Type) []string {
 	keys := make([]string, t.NumField())
 	for i := range keys {
@@ -197,14 +208,16 @@
 	return key
 }
 
-func join(path, name string) string {
+// joinPath returns the path of the member name of the object at path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-func describe(k reflect.Kind) string {
+// kindName names the values that a Go kind accepts, for error messages.
+func kindName(k reflect.Kind) string {
 	switch k {
 	case reflect.String:
 		return "text"
@@ -220,7 +233,7 @@
 	return k.String()
 }
 
-// String returns the duration's text form.
+// String returns the duration as text, such as "250ms".
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalJSON implements json.Marshaler.
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -1,15 +1,16 @@
-// Package parser reads and checks settings in JSON with comments.
+// Package parser decodes and checks files in JSON with comments, in particular a
+// daemon's settings.
 //
-// # Faults
+// # Errors
 //
 // A file is checked in full: [Decode] walks the whole document against the Go
 // type and collects every [Error] with its line and column, instead of
 // stopping at the first. [Read] adds the checks of a daemon's [Settings].
 //
 //	settings, err := parser.Read(source)
-//	var faults parser.FaultErrors
-//	if errors.As(err, &faults) {
-//		// one line for each fault
+//	var list parser.ErrorList
+//	if errors.As(err, &list) {
+//		// one line for each error
 //	}
 package parser
 
@@ -21,40 +22,41 @@
 
 // Error is one thing that is wrong in a document.
 type Error struct {
-	Line    int    // from 1
-	Column  int    // from 1, in bytes
-	Path    string // such as listen.callers
+	Line    int    // counted from 1
+	Column  int    // in bytes, counted from 1
+	Path    string // of the value, such as listen.callers or peers[0]; empty for a syntax error
 	Message string
 }
 
-func (f Error) String() string {
-	if f.Path == "" {
-		return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Message)
+// String formats the error as line:column: path: message.
+func (e Error) String() string {
+	if e.Path == "" {
+		return fmt.Sprintf("%d:%d: %s", e.Line, e.Column, e.Message)
 	}
-	return fmt.Sprintf("%d:%d: %s: %s", f.Line, f.Column, f.Path, f.Message)
+	return fmt.Sprintf("%d:%d: %s: %s", e.Line, e.Column, e.Path, e.Message)
 }
 
-// ErrorList is everything that is wrong, in the order of the document.
+// ErrorList holds everything that is wrong in a document, in document order.
 type ErrorList []Error
 
-func (f ErrorList) Error() string {
-	lines := make([]string, len(f))
-	for i, fault := range f {
-		lines[i] = fault.String()
+func (l ErrorList) Error() string {
+	lines := make([]string, len(l))
+	for i, e := range l {
+		lines[i] = e.String()
 	}
 	return "parser: " + strings.Join(lines, "; ")
 }
 
-// sorted returns the faults in document order, or nil if there are none.
-func (f ErrorList) sorted() error {
-	if len(f) == 0 {
+// sorted sorts the list into document order and returns it, or nil if it is empty.
+func (l ErrorList) sorted() error {
+	if len(l) == 0 {
 		return nil
 	}
-	sort.SliceStable(f, func(i, j int) bool {
-		if f[i].Line != f[j].Line {
-			return f[i].Line < f[j].Line
+	sort.SliceStable(l, func(i, j int) bool {
+		if l[i].Line != l[j].Line {
+			return l[i].Line < l[j].Line
 		}
-		return f[i].Column < f[j].Column
+		return l[i].Column < l[j].Column
 	})
-	return f
+	return l
 }
--- a/internal/operator/parser/parser_test.go
+++ b/internal/operator/parser/parser_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("Read", func() {
-	It("keeps the defaults where a file is silent", func() {
+	It("keeps the defaults where a file has no value", func() {
 		source, err := os.ReadFile("testdata/entry.hujson")
 		Expect(err).NotTo(HaveOccurred())
 		s, err := Read(source)
@@ -27,12 +27,12 @@
 		Expect(s.Traffic.DefaultDeadline.String()).To(Equal("1.5s"))
 	})
 
-	It("reports the place of a syntax error", func() {
+	It("reports the position of a syntax error", func() {
 		_, err := Read([]byte("{\n  \"name\": \"a\" \"b\"\n}"))
-		var faults ErrorList
-		Expect(errors.As(err, &faults)).To(BeTrue())
-		Expect(faults).To(HaveLen(1))
-		Expect(faults[0].Line).To(Equal(2))
+		var list ErrorList
+		Expect(errors.As(err, &list)).To(BeTrue())
+		Expect(list).To(HaveLen(1))
+		Expect(list[0].Line).To(Equal(2))
 	})
 })
 
@@ -42,13 +42,13 @@
 		t.Fatal(err)
 	}
 	_, err = Read(source)
-	var faults ErrorList
-	if !errors.As(err, &faults) {
-		t.Fatalf("want FaultErrors, have %v", err)
+	var list ErrorList
+	if !errors.As(err, &list) {
+		t.Fatalf("want ErrorList, have %v", err)
 	}
 	var lines []string
-	for _, f := range faults {
-		lines = append(lines, f.String())
+	for _, e := range list {
+		lines = append(lines, e.String())
 	}
 	goldie.New(t).Assert(t, "faulty", []byte(strings.Join(lines, "\n")+"\n"))
 }
--- a/internal/operator/parser/settings.go
+++ b/internal/operator/parser/settings.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Settings are a daemon's settings, from a file in JSON with comments.
-// Durations are text such as "250ms".
+// Settings are an entry daemon's settings. Durations are text such as "250ms" in
+// the file.
 type Settings struct {
-	Name   string `json:"name"`   // unique among entry hosts
+	Name   string `json:"name"`   // of the entry host, unique
 	Domain string `json:"domain"` // failure domain
 	Region string `json:"region"`
 
 	Listen   Listen   `json:"listen"`
 	Platform Platform `json:"platform"`
-	Peers    []string `json:"peers"` // seed addresses of other entry hosts, ip:port
+	Peers    []string `json:"peers"` // addresses of other entry hosts to contact first, ip:port
 	Lease    Lease    `json:"lease"`
 	Restore  Restore  `json:"restore"`
 	Traffic  Traffic  `json:"traffic"`
@@ -20,47 +20,48 @@
 
 // Listen holds the addresses that a daemon listens on, ip:port.
 type Listen struct {
-	Callers   string `json:"callers"`   // requests and jobs
-	Peers     string `json:"peers"`     // other entry hosts
-	Operators string `json:"operators"` // health, metrics, status
+	Callers   string `json:"callers"`   // for callers' requests and jobs
+	Peers     string `json:"peers"`     // for other entry hosts
+	Operators string `json:"operators"` // for intents, health, metrics and status
 }
 
 // Platform holds the base URLs of the platform's services.
 type Platform struct {
-	Store   string   `json:"store"`
-	Hosts   string   `json:"hosts"`
-	Timeout Duration `json:"timeout"` // of one call
+	Store   string   `json:"store"`   // key-value store
+	Hosts   string   `json:"hosts"`   // host list
+	Timeout Duration `json:"timeout"` // for one call to a service or to a peer
 }
 
-// Lease holds the lease times.
+// Lease holds the durations of leases.
 type Lease struct {
-	Shard        Duration `json:"shard"`  // ownership of a shard in the store
-	Task         Duration `json:"task"`   // of a task at its worker
-	ClockMargin  Duration `json:"margin"` // for clock drift
-	SyncInterval Duration `json:"sync"`   // between inventories of one worker
+	Shard        Duration `json:"shard"`  // lease on the ownership of a shard, kept in the store
+	Task         Duration `json:"task"`   // lease on a task, kept by its worker
+	ClockMargin  Duration `json:"margin"` // allowance for clock drift between a lease's holder and its grantor
+	SyncInterval Duration `json:"sync"`   // between two inventories of a worker
 }
 
-// Restore holds the pace at which drained workers get their work back.
+// Restore holds the pace at which a restore brings work back to drained workers.
+// It proceeds in steps.
 type Restore struct {
-	MinStep Duration `json:"settle"`   // shortest time of a step, longer than the lag of workers' reports
-	MaxStep Duration `json:"patience"` // longest time of a step that latency holds back
+	MinStep Duration `json:"settle"`   // shortest duration of a step; must exceed the lag of workers' reports
+	MaxStep Duration `json:"patience"` // longest duration of a step while high latency delays the next one
 }
 
-// Traffic holds the limits of the interactive side.
+// Traffic holds the limits for callers' requests.
 type Traffic struct {
-	MaxQueue        int      `json:"queue"`      // waiting requests for each tenant and class
-	MaxBody         int64    `json:"body"`       // largest request body, bytes
-	DefaultDeadline Duration `json:"deadline"`   // for callers that state none
-	StallTimeout    Duration `json:"silence"`    // without progress, a connection counts as dead
-	RetryRatio      float64  `json:"budget"`     // retries as a share of first attempts, 0 to 1
-	LinkBandwidth   int64    `json:"link"`       // bytes a second to other regions
-	DrainTimeout    Duration `json:"drainlimit"` // longest planned stop
+	MaxQueue        int      `json:"queue"`      // waiting requests per tenant and class
+	MaxBody         int64    `json:"body"`       // size of a request body, bytes
+	DefaultDeadline Duration `json:"deadline"`   // for requests without a deadline
+	StallTimeout    Duration `json:"silence"`    // a connection without progress for this long counts as dead
+	RetryRatio      float64  `json:"budget"`     // retries per first attempt, 0 to 1
+	LinkBandwidth   int64    `json:"link"`       // to other regions, bytes per second
+	DrainTimeout    Duration `json:"drainlimit"` // bound on a planned shutdown
 }
 
 // Log holds the log settings.
 type Log struct {
-	Level string `json:"level"` // debug, info, warn, error
+	Level string `json:"level"` // lowest level that is logged: debug, info, warn or error
 }
 
-// Duration is a time.Duration that reads and writes text.
+// Duration is a time.Duration whose form in files is text such as "250ms".
 type Duration time.Duration
