--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -65,7 +65,7 @@
 // invalidFile formats a parser.ErrorList with each error of the file on a line of
 // its own. It returns other errors, and nil, as they are.
 func invalidFile(name string, err error) error {
-	var list parser.ErrorList
+	var list parser.Errors
 	if !errors.As(err, &list) {
 		return err
 	}
--- a/internal/operator/parser/decoder.go
+++ b/internal/operator/parser/decoder.go
@@ -13,7 +13,7 @@
 
 // Document is a decoded file with the positions of its values.
 type Document struct {
-	Errors ErrorList
+	Errors Errors
 
 	source  []byte
 	offsets map[string]int // byte offsets of values in source, by path
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -36,10 +36,10 @@
 	return fmt.Sprintf("%d:%d: %s: %s", e.Line, e.Column, e.Path, e.Message)
 }
 
-// ErrorList holds everything that is wrong in a document, in document order.
-type ErrorList []Error
+// Errors holds everything that is wrong in a document, in document order.
+type Errors []Error
 
-func (l ErrorList) Error() string {
+func (l Errors) Error() string {
 	lines := make([]string, len(l))
 	for i, e := range l {
 		lines[i] = e.String()
@@ -48,7 +48,7 @@
 }
 
 // sorted sorts the list into document order and returns it, or nil if it is empty.
-func (l ErrorList) sorted() error {
+func (l Errors) sorted() error {
 	if len(l) == 0 {
 		return nil
 	}
--- a/internal/operator/parser/parser_test.go
+++ b/internal/operator/parser/parser_test.go
@@ -29,7 +29,7 @@
 
 	It("reports the position of a syntax error", func() {
 		_, err := Read([]byte("{\n  \"name\": \"a\" \"b\"\n}"))
-		var list ErrorList
+		var list Errors
 		Expect(errors.As(err, &list)).To(BeTrue())
 		Expect(list).To(HaveLen(1))
 		Expect(list[0].Line).To(Equal(2))
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	_, err = Read(source)
-	var list ErrorList
+	var list Errors
 	if !errors.As(err, &list) {
 		t.Fatalf("want ErrorList, have %v", err)
 	}
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -42,7 +42,7 @@
 // Run sends the load and waits for all answers. It ends early, with the report
 // so far, when ctx is done.
 func Run(ctx context.Context, o Options) (Report, error) {
-	var faults parser.ErrorList
+	var faults parser.Errors
 	o.Settings.check(func(path, format string, args ...any) {
 		faults = append(faults, parser.Error{Path: path, Message: fmt.Sprintf(format, args...)})
 	})
