--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -62,7 +62,7 @@
 	return settings, invalidFile(name, err)
 }
 
-// invalidFile formats a parser.ErrorList with each error of the file on a line of
+// invalidFile formats the parser.Errors of a file with each on a line of
 // its own. It returns other errors, and nil, as they are.
 func invalidFile(name string, err error) error {
 	var list parser.Errors
--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Read decodes and checks a daemon's settings. Errors are of type ErrorList and
-// hold everything that is wrong.
+// Read decodes and checks a daemon's settings. The error is of type Errors and
+// holds everything that is wrong.
 func Read(source []byte) (Settings, error) {
 	s := Defaults()
 	d := Decode(source, &s)
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -8,7 +8,7 @@
 // stopping at the first. [Read] adds the checks of a daemon's [Settings].
 //
 //	settings, err := parser.Read(source)
-//	var list parser.ErrorList
+//	var list parser.Errors
 //	if errors.As(err, &list) {
 //		// one line for each error
 //	}
--- a/internal/operator/parser/parser_test.go
+++ b/internal/operator/parser/parser_test.go
@@ -44,7 +44,7 @@
 	_, err = Read(source)
 	var list Errors
 	if !errors.As(err, &list) {
-		t.Fatalf("want ErrorList, have %v", err)
+		t.Fatalf("want parser errors, have %v", err)
 	}
 	var lines []string
 	for _, e := range list {
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -36,7 +36,7 @@
 )
 
 // Parse reads settings and fills in defaults. The error is of type
-// parser.ErrorList and lists everything that is wrong, with its place.
+// parser.Errors and lists everything that is wrong, with its place.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	d := parser.Decode(data, &s)
