--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -26,30 +26,31 @@
 	defaultEntries = 2
 	defaultWorkers = 3
 
-	// lenientTarget is a latency target that a slow machine does not miss;
-	// otherwise batch tasks would be kept off for as long as it is busy.
-	lenientTarget = 30 * time.Second
-	taskCPU       = 500  // millicores of each submitted task
-	taskMemory    = 1024 // MiB of one whose memory is not stated
+	// lenientTarget is a latency target that even a slow machine meets. With a
+	// tighter one, no batch task would start while the machine is busy.
+	lenientTarget     = 30 * time.Second
+	taskCPU           = 500  // millicores per task
+	defaultTaskMemory = 1024 // MiB per task
 )
 
+// client makes all requests except those of the callers.
 var client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// writeSettings writes a daemon's settings file.
-func writeSettings(dir string, s parser.Settings) (string, error) {
-	data, err := json.MarshalIndent(s, "", "  ")
+// writeSettings writes a daemon's settings file into dir and returns its name.
+func writeSettings(dir string, settings parser.Settings) (string, error) {
+	data, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(dir, s.Name+".hujson")
+	file := filepath.Join(dir, settings.Name+".hujson")
 	return file, os.WriteFile(file, data, 0o600)
 }
 
-func start(w *world, args []string) error {
-	if w.d != nil && len(args) == 1 {
-		return w.startOne(args[0])
+func start(s *scenario, args []string) error {
+	if s.deployment != nil && len(args) == 1 {
+		return s.startOne(args[0])
 	}
-	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, Target: lenientTarget, Launch: w.launch}
+	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, Target: lenientTarget, Launch: s.launch}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
 		n, err := strconv.Atoi(value)
@@ -61,45 +62,47 @@
 		case name == "workers":
 			o.Workers = n
 		default:
-			return eris.Errorf("start: unknown %s", name)
+			return eris.Errorf("start: unknown option %s", name)
 		}
 	}
 	var err error
-	if w.d, err = deployer.New(w.ctx, o); err != nil {
+	if s.deployment, err = deployer.New(s.ctx, o); err != nil {
 		return err
 	}
-	w.calls = caller.New(w.d, random(), 1)
-	w.watch = newWatcher(w.ctx, w.d)
-	ctx, cancel := w.limited()
+	s.calls = caller.New(s.deployment, random(), 1)
+	s.watcher = newWatcher(s.ctx, s.deployment)
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	if err := w.d.Configure(ctx); err != nil {
+	if err := s.deployment.Configure(ctx); err != nil {
 		return err
 	}
-	return expect(w, []string{"owners"})
+	return expect(s, []string{"owners"})
 }
 
-func (w *world) startOne(name string) error {
-	if worker := w.d.Worker(name); worker != nil {
+// startOne starts a worker or the daemon of an entry host again.
+func (s *scenario) startOne(name string) error {
+	if worker := s.deployment.Worker(name); worker != nil {
 		return worker.Restart()
 	}
-	e := w.d.Entry(name)
+	e := s.deployment.Entry(name)
 	if e == nil {
 		return eris.Errorf("no entry host or worker %s", name)
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	return deployer.Until(ctx, func() error { return e.Start(ctx) })
 }
 
-// on carries a command out on an entry host's process or on a worker.
-func on(w *world, args []string, entry func(*deployer.Entry), worker func(*hoster.Worker)) error {
+// forEach calls onEntry for every named entry host whose daemon runs, and onWorker
+// for every named worker.
+func forEach(s *scenario, args []string, onEntry func(*deployer.Entry), onWorker func(*hoster.Worker)) error {
 	for _, name := range args {
-		e, h := w.d.Entry(name), w.d.Worker(name)
+		entry, worker := s.deployment.Entry(name), s.deployment.Worker(name)
 		switch {
-		case e != nil && e.Daemon() != nil:
-			entry(e)
-		case h != nil:
-			worker(h)
+		case entry != nil && entry.Daemon() != nil:
+			onEntry(entry)
+		case worker != nil:
+			onWorker(worker)
 		default:
 			return eris.Errorf("%s is not running", name)
 		}
@@ -107,46 +110,47 @@
 	return nil
 }
 
-func crash(w *world, args []string) error {
-	return on(w, args, (*deployer.Entry).Kill, (*hoster.Worker).Kill)
+func crash(s *scenario, args []string) error {
+	return forEach(s, args, (*deployer.Entry).Kill, (*hoster.Worker).Kill)
 }
 
-func pause(w *world, args []string) error {
-	return on(w, args, signal(syscall.SIGSTOP), (*hoster.Worker).Pause)
+func pause(s *scenario, args []string) error {
+	return forEach(s, args, signal(syscall.SIGSTOP), (*hoster.Worker).Pause)
 }
 
-func resume(w *world, args []string) error {
-	return on(w, args, signal(syscall.SIGCONT), (*hoster.Worker).Resume)
+func resume(s *scenario, args []string) error {
+	return forEach(s, args, signal(syscall.SIGCONT), (*hoster.Worker).Resume)
 }
 
-func signal(s syscall.Signal) func(*deployer.Entry) {
+// signal returns a function that sends a signal to the daemon of an entry host.
+func signal(sig syscall.Signal) func(*deployer.Entry) {
 	return func(e *deployer.Entry) {
 		if p, ok := e.Daemon().(*process); ok {
-			p.signal(s)
+			p.signal(sig)
 		}
 	}
 }
 
-func leave(w *world, args []string) error {
-	return on(w, args, func(e *deployer.Entry) { e.Stop(w.ctx) }, func(h *hoster.Worker) {
-		w.d.Hosts.Change(h.Host.Name, describer.Leaving)
-		h.Leave()
+func leave(s *scenario, args []string) error {
+	return forEach(s, args, func(e *deployer.Entry) { e.Stop(s.ctx) }, func(worker *hoster.Worker) {
+		s.deployment.Hosts.Change(worker.Host.Name, describer.Leaving)
+		worker.Leave()
 	})
 }
 
-func silence(w *world, args []string) error {
-	for _, m := range w.d.Domains {
-		for _, h := range m.Workers {
-			if args[0] == "all" || args[0] == h.Host.Name {
-				h.Silence()
+func silence(s *scenario, args []string) error {
+	for _, domain := range s.deployment.Domains {
+		for _, worker := range domain.Workers {
+			if args[0] == "all" || args[0] == worker.Host.Name {
+				worker.Silence()
 			}
 		}
 	}
 	return nil
 }
 
-func spoil(w *world, args []string) error {
-	if len(args) != 3 || w.d.Worker(args[0]) == nil {
+func spoil(s *scenario, args []string) error {
+	if len(args) != 3 || s.deployment.Worker(args[0]) == nil {
 		return eris.New("usage: spoil WORKER cut|lose N")
 	}
 	n, err := strconv.Atoi(args[2])
@@ -154,25 +158,26 @@
 		return err
 	}
 	if args[1] == "cut" {
-		w.d.Worker(args[0]).CutAnswers(n)
+		s.deployment.Worker(args[0]).CutAnswers(n)
 	} else {
-		w.d.Worker(args[0]).LoseAnswers(n)
+		s.deployment.Worker(args[0]).LoseAnswers(n)
 	}
 	return nil
 }
 
-func (w *world) link(name string) (*delayer.Link, error) {
+// link returns the link between regions or between domains of a region.
+func (s *scenario) link(name string) (*delayer.Link, error) {
 	switch name {
 	case "region":
-		return w.d.Region, nil
+		return s.deployment.Region, nil
 	case "local":
-		return w.d.Local, nil
+		return s.deployment.Local, nil
 	}
 	return nil, eris.Errorf("no link %q, use region or local", name)
 }
 
-func cut(w *world, args []string) error {
-	l, err := w.link(args[0])
+func cut(s *scenario, args []string) error {
+	l, err := s.link(args[0])
 	if err != nil {
 		return err
 	}
@@ -184,41 +189,41 @@
 	return nil
 }
 
-func heal(w *world, args []string) error {
-	l, err := w.link(args[0])
+func heal(s *scenario, args []string) error {
+	l, err := s.link(args[0])
 	if err == nil {
 		l.Heal()
 	}
 	return err
 }
 
-func outage(w *world, args []string) error {
+func outage(s *scenario, args []string) error {
 	switch args[0] {
 	case "on", "off":
-		w.d.Store.Outage(args[0] == "on")
+		s.deployment.Store.Outage(args[0] == "on")
 	case "slow":
 		slow, err := time.ParseDuration(args[1])
 		if err != nil {
 			return err
 		}
-		w.d.Store.Slow(slow)
+		s.deployment.Store.Slow(slow)
 	case "lose":
 		n, err := strconv.Atoi(args[1])
 		if err != nil {
 			return err
 		}
-		w.d.Store.LoseAnswers(n, 0, 0)
+		s.deployment.Store.LoseAnswers(n, 0, 0)
 	default:
 		return eris.New("usage: outage on|off|slow D|lose N")
 	}
 	return nil
 }
 
-func submit(w *world, args []string) error {
-	if len(args) < 4 || w.d.Domain(args[1]) == nil {
+func submit(s *scenario, args []string) error {
+	if len(args) < 4 || s.deployment.Domain(args[1]) == nil {
 		return eris.New("usage: submit JOB DOMAIN TASKS WORK [MEMORY]")
 	}
-	memory := int64(taskMemory)
+	memory := int64(defaultTaskMemory)
 	if len(args) > 4 {
 		if _, err := fmt.Sscan(args[4], &memory); err != nil {
 			return err
@@ -237,26 +242,26 @@
 		ID: args[0], Team: "council", Class: "translate", Tasks: tasks, RunTime: work, Payload: payload,
 		Declared: describer.Resources{CPU: taskCPU, Memory: memory},
 	}
-	return w.persist(http.MethodPost, args[1], "/v1/jobs", job)
+	return s.sendUntilDone(http.MethodPost, args[1], "/v1/jobs", job)
 }
 
-func cancel(w *world, args []string) error {
-	if len(args) != 2 || w.d.Domain(args[1]) == nil {
+func cancel(s *scenario, args []string) error {
+	if len(args) != 2 || s.deployment.Domain(args[1]) == nil {
 		return eris.New("usage: cancel JOB DOMAIN")
 	}
-	return w.persist(http.MethodDelete, args[1], "/v1/jobs/"+args[0], nil)
+	return s.sendUntilDone(http.MethodDelete, args[1], "/v1/jobs/"+args[0], nil)
 }
 
-// persist repeats an idempotent call through a domain's balancer until it
+// sendUntilDone repeats an idempotent request through a domain's balancer until it
 // succeeds.
-func (w *world) persist(method, domain, path string, in any) error {
-	ctx, cancel := w.limited()
+func (s *scenario) sendUntilDone(method, domain, path string, in any) error {
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	url := "http://" + w.d.Domain(domain).Balancer.Address + path
+	url := "http://" + s.deployment.Domain(domain).Balancer.Address + path
 	return deployer.Until(ctx, func() error { return deployer.Exchange(ctx, client, method, url, in, nil) })
 }
 
-func call(w *world, args []string) error {
+func call(s *scenario, args []string) error {
 	if len(args) < 3 {
 		return eris.New("usage: call PLACE OUTCOME ID [charge]")
 	}
@@ -265,37 +270,37 @@
 		q.Charge, q.Class, q.Body = true, "charge", args[2]
 	}
 	address := ""
-	if m := w.d.Domain(args[0]); m != nil {
-		address = m.Balancer.Address
-	} else if e := w.d.Entry(args[0]); e != nil {
-		address = e.Settings.Listen.Callers
+	if domain := s.deployment.Domain(args[0]); domain != nil {
+		address = domain.Balancer.Address
+	} else if entry := s.deployment.Entry(args[0]); entry != nil {
+		address = entry.Settings.Listen.Callers
 	}
 	c := caller.NewClient()
 	defer c.CloseIdleConnections()
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	return deployer.Until(ctx, func() error {
-		outcome, code := w.calls.CallAt(c, address, q)
+		outcome, code := s.calls.CallAt(c, address, q)
 		if outcome == caller.Denied && args[1] != outcome.String() {
 			return eris.Errorf("call %s was denied, want %s: %s", q.ID, args[1], code)
 		}
 		if outcome.String() != args[1] {
-			w.fail("call %s was %s, want %s: %s", q.ID, outcome, args[1], code)
+			s.addViolation("call %s was %s, want %s: %s", q.ID, outcome, args[1], code)
 		}
 		return nil
 	})
 }
 
-// fail keeps a violation for the invariants.
-func (w *world) fail(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.failures = append(w.failures, eris.Errorf(format, args...))
+// addViolation records a violation for the command invariant.
+func (s *scenario) addViolation(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.violations = append(s.violations, eris.Errorf(format, args...))
 }
 
-func load(w *world, args []string) error {
+func load(s *scenario, args []string) error {
 	if args[0] == "stop" {
-		w.endLoad()
+		s.endLoad()
 		return nil
 	}
 	rate, err := strconv.ParseFloat(args[0], 64)
@@ -308,44 +313,45 @@
 			return err
 		}
 	}
-	w.endLoad()
-	w.calls = caller.New(w.d, random(), rate)
-	w.calls.Work = work
-	ctx, stop := context.WithCancel(w.ctx)
-	stopped := make(chan struct{})
-	w.mu.Lock()
-	w.stop, w.stopped = stop, stopped
-	w.mu.Unlock()
+	s.endLoad()
+	s.calls = caller.New(s.deployment, random(), rate)
+	s.calls.Work = work
+	ctx, stop := context.WithCancel(s.ctx)
+	done := make(chan struct{})
+	s.mu.Lock()
+	s.stopLoad, s.loadDone = stop, done
+	s.mu.Unlock()
 	go func() {
-		defer close(stopped)
-		w.calls.Run(ctx)
+		defer close(done)
+		s.calls.Run(ctx)
 	}()
 	return nil
 }
 
-// endLoad ends the callers and waits for their answers.
-func (w *world) endLoad() {
-	w.mu.Lock()
-	stop, stopped := w.stop, w.stopped
-	w.stop = nil
-	w.mu.Unlock()
+// endLoad stops the callers, if there are any, and waits for the responses to
+// their requests.
+func (s *scenario) endLoad() {
+	s.mu.Lock()
+	stop, done := s.stopLoad, s.loadDone
+	s.stopLoad = nil
+	s.mu.Unlock()
 	if stop != nil {
 		stop()
-		<-stopped
+		<-done
 	}
 }
 
-func invariant(w *world, _ []string) error {
-	audit, calls := w.d.Audit.Report(), w.calls.Report()
-	faults := append(audit.Faults, calls.Words...)
-	faults = append(faults, w.watch.faults()...)
-	w.mu.Lock()
-	for _, err := range w.failures {
-		faults = append(faults, err.Error())
-	}
-	w.mu.Unlock()
-	if len(faults) == 0 {
+func invariant(s *scenario, _ []string) error {
+	audit, calls := s.deployment.Audit.Report(), s.calls.Report()
+	violations := append(audit.Faults, calls.Words...)
+	violations = append(violations, s.watcher.violations()...)
+	s.mu.Lock()
+	for _, err := range s.violations {
+		violations = append(violations, err.Error())
+	}
+	s.mu.Unlock()
+	if len(violations) == 0 {
 		return nil
 	}
-	return eris.New(fmt.Sprintf("%d violations:\n%s", len(faults), strings.Join(faults, "\n")))
+	return eris.New(fmt.Sprintf("%d violations:\n%s", len(violations), strings.Join(violations, "\n")))
 }
--- a/internal/operator/rehearser/conditions.go
+++ b/internal/operator/rehearser/conditions.go
@@ -13,22 +13,25 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
 )
 
-// Conditions of the command expect:
+// conditions holds the conditions of the command expect, by name:
 //
 //	expect serving            every running entry host is ready and answers
-//	expect job J STATE        as the daemons say, such as done
-//	expect finished J TASKS   as the workers counted
-//	expect running WORKER N   at least N runs
-//	expect idle WORKER        no runs
-//	expect runs N             at least N runs were begun anywhere
-//	expect stopped N          at least N runs were ended on request
-//	expect answers N          the callers sent at least N more requests
-//	expect work WORKER        it executes requests from now on
-//	expect drains N           in force
+//	expect job J STATE        the job's owner reports the state, such as done
+//	expect finished J TASKS   the workers have completed all TASKS tasks of the job
+//	expect running WORKER N   at least N tasks run on the worker
+//	expect idle WORKER        no task runs on the worker
+//	expect runs N             at least N runs of tasks have begun on all workers
+//	expect stopped N          at least N runs were stopped on request
+//	expect answers N          the callers have sent at least N more requests
+//	expect work WORKER        the worker has executed a further request
+//	expect drains N           exactly N drains are in force
 //	expect agreed             all running daemons have the same revision
-//	expect owners             every shard has an owner that runs
-//	expect executions ID N    exactly N
-var conditions = map[string]func(*world, []string) (func(context.Context) error, error){
+//	expect owners             every shard is owned by a running daemon
+//	expect executions ID N    the request was executed exactly N times
+//
+// Each function parses the arguments and returns a check that is repeated until it
+// returns nil.
+var conditions = map[string]func(*scenario, []string) (func(context.Context) error, error){
 	"serving":    serving,
 	"job":        jobState,
 	"finished":   finished,
@@ -44,51 +47,52 @@
 	"executions": executions,
 }
 
-func expect(w *world, args []string) error {
+// expect waits until a condition holds.
+func expect(s *scenario, args []string) error {
 	build := conditions[args[0]]
 	if build == nil {
 		return eris.Errorf("no condition %q", args[0])
 	}
-	check, err := build(w, args[1:])
+	check, err := build(s, args[1:])
 	if err != nil {
 		return err
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	return deployer.Until(ctx, func() error { return check(ctx) })
 }
 
-// atLeast builds a condition on a count.
+// atLeast returns a check that the count has reached the number in text.
 func atLeast(text, name string, count func() int) (func(context.Context) error, error) {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return nil, err
 	}
 	return func(context.Context) error {
-		if now := count(); now < n {
-			return eris.Errorf("%s is %d, want at least %d", name, now, n)
+		if current := count(); current < n {
+			return eris.Errorf("%s is %d, want at least %d", name, current, n)
 		}
 		return nil
 	}, nil
 }
 
-// when builds a condition that has no value.
-func when(why string, holds func() bool) (func(context.Context) error, error) {
+// checkThat returns a check that fails with the message while holds is false.
+func checkThat(message string, holds func() bool) (func(context.Context) error, error) {
 	return func(context.Context) error {
 		if !holds() {
-			return eris.New(why)
+			return eris.New(message)
 		}
 		return nil
 	}, nil
 }
 
-func serving(w *world, _ []string) (func(context.Context) error, error) {
-	return func(context.Context) error { return w.d.Probe() }, nil
+func serving(s *scenario, _ []string) (func(context.Context) error, error) {
+	return func(context.Context) error { return s.deployment.Probe() }, nil
 }
 
-func jobState(w *world, args []string) (func(context.Context) error, error) {
+func jobState(s *scenario, args []string) (func(context.Context) error, error) {
 	return func(ctx context.Context) error {
-		status, err := w.status(ctx, args[0])
+		status, err := s.status(ctx, args[0])
 		if err == nil && status.State == args[1] {
 			return nil
 		}
@@ -96,27 +100,27 @@
 	}, nil
 }
 
-func finished(w *world, args []string) (func(context.Context) error, error) {
+func finished(s *scenario, args []string) (func(context.Context) error, error) {
 	tasks, err := strconv.Atoi(args[1])
 	return func(ctx context.Context) error {
 		n := 0
 		for i := range tasks {
-			if w.d.Audit.Finished(describer.TaskID{Job: args[0], Index: i}) {
+			if s.deployment.Audit.Finished(describer.TaskID{Job: args[0], Index: i}) {
 				n++
 			}
 		}
 		if n == tasks {
 			return nil
 		}
-		status, _ := w.status(ctx, args[0])
+		status, _ := s.status(ctx, args[0])
 		return eris.Errorf("%d of %d tasks of %s are finished; its owner says %+v", n, tasks, args[0], status)
 	}, err
 }
 
-// status asks for a job through each domain's balancer in turn.
-func (w *world) status(ctx context.Context, job string) (status reducer.JobStatus, err error) {
-	for _, m := range w.d.Domains {
-		url := "http://" + m.Balancer.Address + "/v1/jobs/" + job
+// status asks for a job's state through the domains' balancers, until one answers.
+func (s *scenario) status(ctx context.Context, job string) (status reducer.JobStatus, err error) {
+	for _, domain := range s.deployment.Domains {
+		url := "http://" + domain.Balancer.Address + "/v1/jobs/" + job
 		if err = deployer.Exchange(ctx, client, http.MethodGet, url, nil, &status); err == nil {
 			return status, nil
 		}
@@ -124,105 +128,105 @@
 	return status, err
 }
 
-func running(w *world, args []string) (func(context.Context) error, error) {
-	return atLeast(args[1], "runs on "+args[0], w.d.Worker(args[0]).Running)
+func running(s *scenario, args []string) (func(context.Context) error, error) {
+	return atLeast(args[1], "runs on "+args[0], s.deployment.Worker(args[0]).Running)
 }
 
-func idle(w *world, args []string) (func(context.Context) error, error) {
-	h := w.d.Worker(args[0])
-	return when(args[0]+" is not idle", func() bool { return h.Running() == 0 })
+func idle(s *scenario, args []string) (func(context.Context) error, error) {
+	worker := s.deployment.Worker(args[0])
+	return checkThat(args[0]+" is not idle", func() bool { return worker.Running() == 0 })
 }
 
-func runs(w *world, args []string) (func(context.Context) error, error) {
-	return atLeast(args[0], "runs", func() int { return w.d.Audit.Report().Runs })
+func runs(s *scenario, args []string) (func(context.Context) error, error) {
+	return atLeast(args[0], "runs", func() int { return s.deployment.Audit.Report().Runs })
 }
 
-func stoppedRuns(w *world, args []string) (func(context.Context) error, error) {
-	return atLeast(args[0], "stopped runs", func() int { return w.d.Audit.Report().Stopped })
+func stoppedRuns(s *scenario, args []string) (func(context.Context) error, error) {
+	return atLeast(args[0], "stopped runs", func() int { return s.deployment.Audit.Report().Stopped })
 }
 
-func answers(w *world, args []string) (func(context.Context) error, error) {
-	before, _ := w.calls.Counts()
+func answers(s *scenario, args []string) (func(context.Context) error, error) {
+	before, _ := s.calls.Counts()
 	return atLeast(args[0], "requests", func() int {
-		now, _ := w.calls.Counts()
-		return int(now - before)
+		sent, _ := s.calls.Counts()
+		return int(sent - before)
 	})
 }
 
-func work(w *world, args []string) (func(context.Context) error, error) {
-	count := &w.d.Worker(args[0]).Counts.Requests
+func work(s *scenario, args []string) (func(context.Context) error, error) {
+	count := &s.deployment.Worker(args[0]).Counts.Requests
 	before := count.Load()
-	return when(args[0]+" executes no requests", func() bool { return count.Load() > before })
+	return checkThat(args[0]+" executes no requests", func() bool { return count.Load() > before })
 }
 
-func drains(w *world, args []string) (func(context.Context) error, error) {
+func drains(s *scenario, args []string) (func(context.Context) error, error) {
 	n, err := strconv.Atoi(args[0])
 	return func(ctx context.Context) error {
-		present, err := w.d.Drains(ctx)
-		if err == nil && len(present) != n {
-			err = eris.Errorf("%d drains are in force, want %d", len(present), n)
+		drains, err := s.deployment.Drains(ctx)
+		if err == nil && len(drains) != n {
+			err = eris.Errorf("%d drains are in force, want %d", len(drains), n)
 		}
 		return err
 	}, err
 }
 
-func agreed(w *world, _ []string) (func(context.Context) error, error) {
+func agreed(s *scenario, _ []string) (func(context.Context) error, error) {
 	return func(ctx context.Context) error {
-		seen := make(map[int64][]string)
-		for _, e := range w.daemons() {
+		hosts := make(map[int64][]string) // names of entry hosts by revision
+		for _, e := range s.daemons() {
 			revision, err := revisionOf(ctx, e)
 			if err != nil {
 				return err
 			}
-			seen[revision] = append(seen[revision], e.Settings.Name)
+			hosts[revision] = append(hosts[revision], e.Settings.Name)
 		}
-		if len(seen) > 1 {
-			return eris.Errorf("revisions differ: %v", seen)
+		if len(hosts) > 1 {
+			return eris.Errorf("revisions differ: %v", hosts)
 		}
 		return nil
 	}, nil
 }
 
-func owners(w *world, _ []string) (func(context.Context) error, error) {
+func owners(s *scenario, _ []string) (func(context.Context) error, error) {
 	return func(ctx context.Context) error {
 		owned := make(map[string]bool)
-		for _, e := range w.daemons() {
+		for _, e := range s.daemons() {
 			var reports []reducer.Status
 			url := "http://" + e.Settings.Listen.Operators + "/v1/status"
 			if err := deployer.Exchange(ctx, client, http.MethodGet, url, nil, &reports); err != nil {
 				return err
 			}
-			for _, r := range reports {
-				if r.Daemon != e.Settings.Name {
+			for _, report := range reports {
+				if report.Daemon != e.Settings.Name {
 					continue
 				}
-				for _, s := range r.Shards {
-					owned[s.Shard] = true
+				for _, shard := range report.Shards {
+					owned[shard.Shard] = true
 				}
 			}
 		}
-		if missing := w.d.Shards(); len(missing) > len(owned) {
-			return eris.Errorf("only %d of %s are owned", len(owned), strings.Join(missing, ", "))
+		if shards := s.deployment.Shards(); len(shards) > len(owned) {
+			return eris.Errorf("only %d of %s are owned", len(owned), strings.Join(shards, ", "))
 		}
 		return nil
 	}, nil
 }
 
-func executions(w *world, args []string) (func(context.Context) error, error) {
+func executions(s *scenario, args []string) (func(context.Context) error, error) {
 	n, err := strconv.Atoi(args[1])
 	if err != nil {
 		return nil, err
 	}
-	return when("request "+args[0]+" was not executed "+args[1]+" times", func() bool {
-		return w.d.Audit.Executions(args[0]) == n
+	return checkThat("request "+args[0]+" was not executed "+args[1]+" times", func() bool {
+		return s.deployment.Audit.Executions(args[0]) == n
 	})
 }
 
-// daemons returns the entry hosts whose daemon runs.
-func (w *world) daemons() []*deployer.Entry {
+// daemons returns the entry hosts whose daemons run.
+func (s *scenario) daemons() []*deployer.Entry {
 	var out []*deployer.Entry
-	for _, m := range w.d.Domains {
-		for _, e := range m.Entries {
+	for _, domain := range s.deployment.Domains {
+		for _, e := range domain.Entries {
 			if e.Daemon() != nil {
 				out = append(out, e)
 			}
@@ -231,7 +235,7 @@
 	return out
 }
 
-// revisionOf asks a daemon for the configuration in force there.
+// revisionOf asks a daemon for the revision of its configuration.
 func revisionOf(ctx context.Context, e *deployer.Entry) (int64, error) {
 	var c describer.Configuration
 	err := deployer.Exchange(ctx, client, http.MethodGet, "http://"+e.Settings.Listen.Operators+"/v1/configuration", nil, &c)
--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -6,89 +6,92 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/rotisserie/eris"
+
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
-	"github.com/rotisserie/eris"
 )
 
-func drain(w *world, args []string) error {
+// drain plans and confirms a drain.
+func drain(s *scenario, args []string) error {
 	if len(args) < 3 {
 		return eris.New("usage: drain ID D WORKER...")
 	}
-	lasting, err := time.ParseDuration(args[1])
+	duration, err := time.ParseDuration(args[1])
 	if err != nil {
 		return err
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return w.d.Drain(ctx, args[0], args[2:], lasting) })
+	return deployer.Until(ctx, func() error { return s.deployment.Drain(ctx, args[0], args[2:], duration) })
 }
 
-// planDrain asks for the plan of a drain and does not confirm it.
-func planDrain(w *world, args []string) error {
+// planDrain asks for the plan of a drain and remembers it for confirm.
+func planDrain(s *scenario, args []string) error {
 	if len(args) < 3 {
 		return eris.New("usage: plan ID D WORKER...")
 	}
-	lasting, err := time.ParseDuration(args[1])
+	duration, err := time.ParseDuration(args[1])
 	if err != nil {
 		return err
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: lasting}
-	var made describer.Plan
-	err = deployer.Until(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &made) })
+	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: duration}
+	var plan describer.Plan
+	err = deployer.Until(ctx, func() error { return s.deployment.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plan) })
 	if err != nil {
 		return err
 	}
-	w.plans[args[0]] = made.ID
+	s.plans[args[0]] = plan.ID
 	return nil
 }
 
-// confirm confirms the plan of an intent.
-func confirm(w *world, args []string) error {
-	if len(args) != 1 || w.plans[args[0]] == "" {
-		return eris.New("usage: confirm ID, of a plan made before")
+// confirm confirms a plan that planDrain made.
+func confirm(s *scenario, args []string) error {
+	if len(args) != 1 || s.plans[args[0]] == "" {
+		return eris.New("usage: confirm ID, after plan ID")
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	path := "/v1/plans/" + w.plans[args[0]] + "/confirm"
-	return deployer.Until(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, path, nil, nil) })
+	path := "/v1/plans/" + s.plans[args[0]] + "/confirm"
+	return deployer.Until(ctx, func() error { return s.deployment.Operate(ctx, http.MethodPost, path, nil, nil) })
 }
 
-// race lets two operators plan first and confirm at the same time.
-func race(w *world, args []string) error {
+// race plans two drains of the same workers and confirms both concurrently at two
+// entry hosts. It fails if both confirmations succeed.
+func race(s *scenario, args []string) error {
 	if len(args) < 4 {
 		return eris.New("usage: race ID1 ID2 D WORKER...")
 	}
-	lasting, err := time.ParseDuration(args[2])
+	duration, err := time.ParseDuration(args[2])
 	if err != nil {
 		return err
 	}
-	ctx, cancel := w.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var plans [2]describer.Plan
 	for i := range plans {
-		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: lasting}
+		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: duration}
 		err := deployer.Until(ctx, func() error {
-			return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
+			return s.deployment.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
 		})
 		if err != nil {
 			return err
 		}
 	}
-	var both sync.WaitGroup
+	var operators sync.WaitGroup
 	var confirmed atomic.Int32
 	for i, p := range plans {
-		e := w.d.Domains[i].Entries[0]
-		both.Go(func() {
-			url := "http://" + e.Settings.Listen.Operators + "/v1/plans/" + p.ID + "/confirm"
+		entry := s.deployment.Domains[i].Entries[0]
+		operators.Go(func() {
+			url := "http://" + entry.Settings.Listen.Operators + "/v1/plans/" + p.ID + "/confirm"
 			if deployer.Exchange(ctx, client, http.MethodPost, url, nil, nil) == nil {
 				confirmed.Add(1)
 			}
 		})
 	}
-	both.Wait()
+	operators.Wait()
 	if n := confirmed.Load(); n > 1 {
 		return eris.New("both conflicting plans were confirmed")
 	}
--- a/internal/operator/rehearser/rehearser.go
+++ b/internal/operator/rehearser/rehearser.go
@@ -1,35 +1,47 @@
-// Package rehearser runs scripted scenarios: entry daemons as processes of
-// their own, stand-ins for the platform, faults, and invariants that the
-// stand-ins count.
+// Package rehearser runs scripted end-to-end scenarios. It starts entry daemons as
+// processes of their own together with stand-ins for the platform, injects faults,
+// and checks invariants that the stand-ins and the callers count.
 //
 // # Language
 //
-// A scenario is a testscript whose commands this package adds:
+// A scenario is a testscript with additional commands. D and WORK are durations
+// such as 2s.
 //
-//	start [entries=N] [workers=N]  the whole deployment, and wait until it serves
-//	start NAME                     a dead entry host or worker
-//	crash NAME                     at once
-//	pause NAME, resume NAME        freeze and unfreeze
-//	cut LINK [drop], heal LINK     region or local; without drop bytes wait
-//	outage on|off|slow D|lose N    of the store
-//	silence WORKER|all             open connections go silent for good
-//	spoil WORKER cut|lose N        next answers end half way, or are lost
-//	leave NAME                     planned stop of an entry host; a worker leaves
+//	start [entries=N] [workers=N]  start the whole deployment and wait until every
+//	                               shard has an owner
+//	start NAME                     start a killed entry host or worker again
+//	crash NAME...                  kill entry hosts or workers
+//	pause NAME..., resume NAME...  freeze entry hosts or workers, and unfreeze them
+//	cut LINK [drop], heal LINK     cut the links between regions, or those within them
+//	                               (local), and heal them; bytes wait until then; with
+//	                               drop, connections are reset and new ones refused
+//	outage on|off|slow D|lose N    make the store unavailable, available, or slow, or
+//	                               lose its next N responses
+//	silence WORKER|all             stop responding on the open connections, for good
+//	spoil WORKER cut|lose N        truncate or lose the next N responses
+//	leave NAME...                  shut an entry host down as planned, or take a worker
+//	                               out of service
 //	submit JOB DOMAIN TASKS WORK [MEMORY]
-//	                               until it is acknowledged; memory in MiB
-//	cancel JOB DOMAIN              until it is acknowledged
-//	call PLACE OUTCOME ID [charge] one request, again while it is denied: answered,
-//	                               denied or unclear
-//	load RATE [WORK], load stop    callers in every domain; service time
-//	drain ID D WORKER...           confirmed; D is for how long
-//	plan ID D WORKER...            the same without confirmation
-//	confirm ID                     the plan of this intent
-//	race ID1 ID2 D WORKER...       two operators drain at once; one must be refused
-//	expect CONDITION...            wait for it, see conditions.go
-//	invariant                      nothing that must hold was violated so far
+//	                               submit a job, again until it is acknowledged; WORK
+//	                               is the run time of a task, MEMORY is in MiB
+//	cancel JOB DOMAIN              cancel a job, again until it is acknowledged
+//	call PLACE OUTCOME ID [charge] send one request to a domain or an entry host and
+//	                               check its outcome: answered, denied or unclear;
+//	                               repeat it while it is denied; with charge it is
+//	                               not idempotent and ID is its key
+//	load RATE [WORK], load stop    start callers in every domain that send RATE requests
+//	                               per second each, with WORK as service time; stop
+//	                               them
+//	drain ID D WORKER...           plan and confirm a drain for the time D
+//	plan ID D WORKER...            plan a drain
+//	confirm ID                     confirm the plan of the drain with this intent ID
+//	race ID1 ID2 D WORKER...       let two operators plan drains of the same workers and
+//	                               confirm them concurrently; at most one may succeed
+//	expect CONDITION...            wait for a condition, see conditions.go
+//	invariant                      fail if an invariant has been violated so far
 //
-// Conditions are waited for with a generous limit; no verdict depends on how
-// long something took.
+// The timeout of conditions is generous; no verdict depends on how long something
+// took.
 package rehearser
 
 import (
@@ -50,78 +62,79 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
 )
 
-// ConditionTimeout is how long a condition is waited for.
+// ConditionTimeout bounds the wait for a condition and for a command.
 const ConditionTimeout = 60 * time.Second
 
 // BinaryName is the name of the binary in a scenario's PATH.
 const BinaryName = "dotterelcart"
 
-// worldKey finds the world of a scenario.
-type worldKey struct{}
-
-// world is what one scenario has started.
-type world struct {
-	ctx    context.Context
-	binary string
-	dir    string
-	d      *deployer.Deployment
-	watch  *watcher
-	calls  *caller.Load
-	plans  map[string]string // plan's id by the intent's
-
-	mu       sync.Mutex
-	stop     context.CancelFunc // of the load
-	stopped  chan struct{}
-	failures []error // violations seen by commands, such as a planned stop that fails
+// scenarioKey is the key of the *scenario in a testscript's values.
+type scenarioKey struct{}
+
+// scenario is the state of one running scenario.
+type scenario struct {
+	ctx        context.Context // ends with the scenario
+	binary     string          // path of the program under test
+	dir        string          // working directory
+	deployment *deployer.Deployment
+	watcher    *watcher
+	calls      *caller.Load
+	plans      map[string]string // ids of plans, by the intent's id
+
+	mu         sync.Mutex
+	stopLoad   context.CancelFunc // ends the load; nil while there is none
+	loadDone   chan struct{}      // closed when the load has ended
+	violations []error            // found by commands, such as a planned shutdown that fails
 }
 
-// Params returns the parameters of a run of all scenarios in dir.
+// Params returns the parameters with which testscript runs all scenarios in dir.
 func Params(dir string) testscript.Params {
 	return testscript.Params{
 		Dir:   dir,
 		Setup: setup,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"start":     positive(start),
-			"crash":     positive(crash),
-			"pause":     positive(pause),
-			"resume":    positive(resume),
-			"cut":       positive(cut),
-			"heal":      positive(heal),
-			"outage":    positive(outage),
-			"silence":   positive(silence),
-			"spoil":     positive(spoil),
-			"leave":     positive(leave),
-			"submit":    positive(submit),
-			"cancel":    positive(cancel),
-			"call":      positive(call),
-			"load":      positive(load),
-			"drain":     positive(drain),
-			"plan":      positive(planDrain),
-			"confirm":   positive(confirm),
-			"race":      positive(race),
-			"expect":    positive(expect),
-			"invariant": positive(invariant),
+			"start":     adapt(start),
+			"crash":     adapt(crash),
+			"pause":     adapt(pause),
+			"resume":    adapt(resume),
+			"cut":       adapt(cut),
+			"heal":      adapt(heal),
+			"outage":    adapt(outage),
+			"silence":   adapt(silence),
+			"spoil":     adapt(spoil),
+			"leave":     adapt(leave),
+			"submit":    adapt(submit),
+			"cancel":    adapt(cancel),
+			"call":      adapt(call),
+			"load":      adapt(load),
+			"drain":     adapt(drain),
+			"plan":      adapt(planDrain),
+			"confirm":   adapt(confirm),
+			"race":      adapt(race),
+			"expect":    adapt(expect),
+			"invariant": adapt(invariant),
 		},
 	}
 }
 
+// setup creates the state of a scenario and defers its end.
 func setup(e *testscript.Env) error {
-	binary, err := lookup(e)
+	binary, err := findBinary(e)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{ctx: ctx, binary: binary, dir: e.WorkDir, plans: make(map[string]string)}
-	e.Values[worldKey{}] = w
+	s := &scenario{ctx: ctx, binary: binary, dir: e.WorkDir, plans: make(map[string]string)}
+	e.Values[scenarioKey{}] = s
 	e.Defer(func() {
 		cancel()
-		w.close()
+		s.close()
 	})
 	return nil
 }
 
-// lookup finds the binary in the scenario's own PATH.
-func lookup(e *testscript.Env) (string, error) {
+// findBinary finds the binary in the scenario's own PATH.
+func findBinary(e *testscript.Env) (string, error) {
 	for _, dir := range filepath.SplitList(e.Getenv("PATH")) {
 		name := filepath.Join(dir, BinaryName)
 		if _, err := os.Stat(name); err == nil {
@@ -131,51 +144,52 @@
 	return "", eris.New("rehearser: " + BinaryName + " is not in the scenario's PATH")
 }
 
-func (w *world) close() {
-	w.endLoad()
-	if w.watch != nil {
-		<-w.watch.Done
+// close ends the load, the watcher and the deployment.
+func (s *scenario) close() {
+	s.endLoad()
+	if s.watcher != nil {
+		<-s.watcher.Done
 	}
-	if w.d != nil {
-		w.d.Close()
+	if s.deployment != nil {
+		s.deployment.Close()
 	}
 }
 
-// limited returns a context that ends with the limit for one condition.
-func (w *world) limited() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(w.ctx, ConditionTimeout)
+// withTimeout returns a context that ends after ConditionTimeout.
+func (s *scenario) withTimeout() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(s.ctx, ConditionTimeout)
 }
 
-// positive adapts a command that can't be negated and that reports an error.
-func positive(command func(*world, []string) error) func(*testscript.TestScript, bool, []string) {
+// adapt turns a function into a testscript command that can't be negated.
+func adapt(command func(*scenario, []string) error) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
-		w, _ := ts.Value(worldKey{}).(*world)
+		s, _ := ts.Value(scenarioKey{}).(*scenario)
 		if neg {
 			ts.Fatalf("the command can't be negated")
 		}
-		if err := command(w, args); err != nil {
+		if err := command(s, args); err != nil {
 			ts.Fatalf("%v", err)
 		}
 	}
 }
 
-// launch runs an entry daemon as a process.
-func (w *world) launch(_ context.Context, s parser.Settings) (deployer.Daemon, error) {
-	file, err := writeSettings(w.dir, s)
+// launch starts an entry daemon in a process of its own. Its log goes to a file.
+func (s *scenario) launch(_ context.Context, settings parser.Settings) (deployer.Daemon, error) {
+	file, err := writeSettings(s.dir, settings)
 	if err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(filepath.Join(logDir(w.dir), s.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(logDir(s.dir), settings.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	c := exec.Command(w.binary, "serve", file)
+	c := exec.Command(s.binary, "serve", file)
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
 		log.Close()
 		return nil, err
 	}
-	p := &process{w: w, name: s.Name, command: c, done: make(chan struct{})}
+	p := &process{scenario: s, name: settings.Name, command: c, done: make(chan struct{})}
 	go func() {
 		defer close(p.done)
 		defer log.Close()
@@ -184,8 +198,9 @@
 	return p, nil
 }
 
-// logDir is where the daemons' logs go: DOTTERELCART_LOGS, if set, in place
-// of the scenario's own directory, which is removed.
+// logDir returns the directory for the daemons' logs. That is a directory below
+// DOTTERELCART_LOGS, if set, because the scenario's own directory dir is removed at
+// its end.
 func logDir(dir string) string {
 	kept := os.Getenv("DOTTERELCART_LOGS")
 	if kept == "" {
@@ -198,11 +213,11 @@
 
 // process is an entry daemon in a process of its own.
 type process struct {
-	w       *world
-	name    string
-	command *exec.Cmd
-	done    chan struct{}
-	err     error // once done
+	scenario *scenario
+	name     string
+	command  *exec.Cmd
+	done     chan struct{}
+	err      error // exit error; valid once done is closed
 }
 
 // Kill implements deployer.Daemon.
@@ -211,8 +226,8 @@
 	<-p.done
 }
 
-// Stop implements deployer.Daemon. An exit code other than 0 is kept for the
-// invariants.
+// Stop implements deployer.Daemon. It shuts the daemon down as planned and kills it
+// when ctx ends. An exit code other than 0 violates an invariant.
 func (p *process) Stop(ctx context.Context) {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -221,10 +236,11 @@
 		p.Kill()
 	}
 	if p.err != nil {
-		p.w.fail("planned stop of %s: %v", p.name, p.err)
+		p.scenario.addViolation("planned shutdown of %s failed: %v", p.name, p.err)
 	}
 }
 
-func (p *process) signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
+func (p *process) signal(sig syscall.Signal) { _ = p.command.Process.Signal(sig) }
 
+// random returns a source with a fixed seed.
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
--- a/internal/operator/rehearser/watcher.go
+++ b/internal/operator/rehearser/watcher.go
@@ -14,58 +14,61 @@
 	watchTimeout  = time.Second
 )
 
-// watcher reads the revision of every entry host all the time: it must never
-// fall, on one process or across its successors.
+// watcher polls the revision of the configuration of every entry host. A revision
+// that decreases, in one process or from one to its successor, is a violation.
 type watcher struct {
-	Done chan struct{} // closed when it has ended
+	Done chan struct{} // closed when the watcher has ended
 
 	d *deployer.Deployment
 
-	mu       sync.Mutex
-	highest  map[string]int64 // by entry host
-	reverted []string
+	mu        sync.Mutex
+	highest   map[string]int64 // highest revision seen, by the entry host's name
+	decreases []string         // violations in words
 }
 
+// newWatcher starts a watcher, which ends with ctx.
 func newWatcher(ctx context.Context, d *deployer.Deployment) *watcher {
 	w := &watcher{Done: make(chan struct{}), d: d, highest: make(map[string]int64)}
-	var parts sync.WaitGroup
-	for _, m := range d.Domains {
-		for _, e := range m.Entries {
-			parts.Go(func() {
+	var polls sync.WaitGroup
+	for _, domain := range d.Domains {
+		for _, entry := range domain.Entries {
+			polls.Go(func() {
 				for deployer.Pause(ctx, watchInterval) {
-					w.look(ctx, e)
+					w.poll(ctx, entry)
 				}
 			})
 		}
 	}
 	go func() {
-		parts.Wait()
+		polls.Wait()
 		close(w.Done)
 	}()
 	return w
 }
 
-func (w *watcher) look(ctx context.Context, e *deployer.Entry) {
-	if e.Daemon() == nil {
+// poll reads the revision of one entry host.
+func (w *watcher) poll(ctx context.Context, entry *deployer.Entry) {
+	if entry.Daemon() == nil {
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	revision, err := revisionOf(limited, e)
+	revision, err := revisionOf(limited, entry)
 	if err != nil {
-		return // not ready, paused or cut off: it serves no older one
+		return // not ready, paused or cut off, so it uses no older revision
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	name := e.Settings.Name
+	name := entry.Settings.Name
 	if before := w.highest[name]; revision < before {
-		w.reverted = append(w.reverted, fmt.Sprintf("%s went from revision %d back to %d", name, before, revision))
+		w.decreases = append(w.decreases, fmt.Sprintf("%s went from revision %d back to %d", name, before, revision))
 	}
 	w.highest[name] = max(w.highest[name], revision)
 }
 
-func (w *watcher) faults() []string {
+// violations returns the decreases seen so far.
+func (w *watcher) violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string{}, w.reverted...)
+	return append([]string{}, w.decreases...)
 }
