--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -1,20 +1,21 @@
-// Package demonstrator runs a whole deployment in one process and counts what
-// its callers and the stand-ins see.
+// Package demonstrator runs a whole deployment in one process, with load and
+// faults, and reports what its callers and the stand-ins for the platform see.
 //
 // # Model
 //
 // A deployment has three failure domains in two regions, each with entry
-// hosts, workers and a balancer. All traffic goes over loopback TCP; what
-// crosses a failure domain goes through a link with a delay. [Run] puts load
-// on it, drains workers, stops one entry host as planned, lets the chosen
-// fault happen, and reports:
+// hosts, workers and a balancer. All traffic goes over loopback TCP; traffic
+// between failure domains goes through links with a delay. [Run] starts callers
+// and batch jobs, drains workers, performs a planned shutdown of one entry host,
+// injects the chosen fault, and reports:
 //
 //	report, err := demonstrator.Run(ctx, demonstrator.Options{Seed: 1, Seconds: 20}, os.Stdout, os.Stderr)
 //	if err == nil && !report.OK() {
 //		// an invariant was violated
 //	}
 //
-// No figure of a [Report] comes from a daemon.
+// The callers and the stand-ins count the figures of a [Report]; none comes from a
+// daemon.
 package demonstrator
 
 import (
@@ -33,7 +34,7 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
 )
 
-// Faults that Options.Fault may name.
+// Values of Options.Fault.
 const (
 	FaultNone      = "none"
 	FaultKill      = "kill"
@@ -45,45 +46,45 @@
 )
 
 const (
-	startLimit  = 7 * time.Second  // for all daemons to become ready
-	settleLimit = 19 * time.Second // for the start, and for jobs and the restore after the load
-	minSeconds  = 5
-	entryHosts  = 2  // in each failure domain
-	workers     = 6  // in each failure domain
-	requestRate = 60 // a second in each failure domain
+	startTimeout = 7 * time.Second  // until all daemons are ready
+	extraTime    = 19 * time.Second // added to the load's duration for the start, the last jobs and the restore
+	minSeconds   = 5
+	entryHosts   = 2  // per failure domain
+	workers      = 6  // per failure domain
+	requestRate  = 60 // requests per second in each failure domain
 )
 
-// Options of a run.
+// Options are the parameters of a run.
 type Options struct {
-	Seed     uint64
-	Seconds  int    // of load
-	Fault    string // one of the constants
-	Terminal bool   // redraw progress on one line
-	Log      zerolog.Logger
+	Seed     uint64         // of the requests and jobs
+	Seconds  int            // duration of the load
+	Fault    string         // one of the Fault constants; empty: FaultNone
+	Terminal bool           // whether progress is redrawn on one line
+	Log      zerolog.Logger // for the daemons
 }
 
-// Report is the outcome. Times are in milliseconds.
+// Report is the outcome of a run. Requests are those of callers.
 type Report struct {
 	Seed           uint64         `json:"seed"`
 	Fault          string         `json:"fault"`
 	Seconds        int            `json:"seconds"`
 	Requests       int64          `json:"requests"`
-	FailedRequests int64          `json:"failed"`     // requests without an answer of their own, refusals included
-	WrongAnswers   int64          `json:"wrong"`      // answers that were not the request's own
-	CutRequests    int64          `json:"cut"`        // in flight at an entry host when its planned stop cut them
-	Duplicated     int64          `json:"duplicated"` // tasks or non-idempotent requests that ran again
-	FalseNotRun    int64          `json:"untrue"`     // requests said not to have run that had
+	FailedRequests int64          `json:"failed"`     // requests without the right response, including refused ones
+	WrongAnswers   int64          `json:"wrong"`      // responses that belong to another request
+	CutRequests    int64          `json:"cut"`        // requests in flight that a planned shutdown aborted
+	Duplicated     int64          `json:"duplicated"` // tasks and non-idempotent requests that ran more than once
+	FalseNotRun    int64          `json:"untrue"`     // requests that ran although the response said that they hadn't
 	Jobs           int            `json:"jobs"`       // accepted
 	DoneJobs       int            `json:"done"`
-	LostJobs       int            `json:"lost"` // accepted, and not done
+	LostJobs       int            `json:"lost"` // jobs that were accepted but aren't done
 	Overcommitted  int            `json:"overfilled"`
-	LateRequests   int            `json:"late"`    // requests to a worker long after it began to leave
-	Evicted        int            `json:"evicted"` // runs that ended before their task had
+	LateRequests   int            `json:"late"`    // requests sent to a worker long after it began to leave
+	Evicted        int            `json:"evicted"` // runs that ended before their task was complete
 	Restored       bool           `json:"restored"`
 	P50            float64        `json:"p50"`
 	P99            float64        `json:"p99"`
-	Failures       map[string]int `json:"failures,omitempty"`   // failed attempts by code and verdict
-	Violations     []string       `json:"violations,omitempty"` // the first in words
+	Failures       map[string]int `json:"failures,omitempty"`   // number of failed attempts by code and verdict
+	Violations     []string       `json:"violations,omitempty"` // descriptions of the first violations
 }
 
 // OK reports whether all invariants held.
@@ -92,26 +93,28 @@
 		r.LostJobs == 0 && r.Overcommitted == 0 && r.LateRequests == 0 && r.Restored
 }
 
-// Run runs the deployment. Progress goes to stderr.
+// Run runs a deployment to its end and reports the outcome. Progress goes to
+// stderr. The error is about a run that couldn't be carried out; violations of
+// invariants are in the report.
 func Run(ctx context.Context, o Options, _, stderr io.Writer) (Report, error) {
 	if err := o.check(); err != nil {
 		return Report{}, err
 	}
-	ends := time.Now().Add(time.Duration(o.Seconds)*time.Second + settleLimit)
+	deadline := time.Now().Add(time.Duration(o.Seconds)*time.Second + extraTime)
 	d, err := deployer.New(ctx, deployer.Options{EntryHosts: entryHosts, Workers: workers, Launch: o.launch})
 	if err != nil {
 		return Report{}, err
 	}
 	defer d.Close()
-	ready, cancel := context.WithTimeout(ctx, startLimit)
+	ready, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := d.Configure(ready); err != nil {
 		return Report{}, err
 	}
-	return play(ctx, o, d, ends, stderr)
+	return runLoad(ctx, o, d, deadline, stderr)
 }
 
-// check completes the options.
+// check validates the options and sets the default fault.
 func (o *Options) check() error {
 	switch o.Fault {
 	case "":
@@ -126,27 +129,29 @@
 	return nil
 }
 
-// play puts the load on and lets everything happen until ends at the latest.
-func play(ctx context.Context, o Options, d *deployer.Deployment, ends time.Time, stderr io.Writer) (Report, error) {
+// runLoad runs the callers, the jobs, the drain and the events, and reports the
+// outcome. It ends at the deadline at the latest.
+func runLoad(ctx context.Context, o Options, d *deployer.Deployment, deadline time.Time, stderr io.Writer) (Report, error) {
 	length := time.Duration(o.Seconds) * time.Second
-	loaded, cancel := context.WithTimeout(ctx, length)
+	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	settled, stop := context.WithDeadline(ctx, ends)
+	runCtx, stop := context.WithDeadline(ctx, deadline)
 	defer stop()
 
 	calls := caller.New(d, rand.New(rand.NewPCG(o.Seed, 1)), requestRate)
-	jobs := newWave(d, o, rand.New(rand.NewPCG(o.Seed, 2)))
-	drained := newDrain(d, o)
-	view := newScreen(stderr, o.Terminal, calls, jobs, drained)
+	jobs := newBatchLoad(d, o, rand.New(rand.NewPCG(o.Seed, 2)))
+	drain := newDrainRun(d, o)
+	progress := newScreen(stderr, o.Terminal, calls, jobs, drain)
 	var parts, drawing sync.WaitGroup
-	drawing.Go(func() { view.draw(settled) })
-	// A killed owner's successor can begin the restore after the load's length;
-	// the workers can only show that they are back while there are requests.
-	parts.Go(func() { calls.Run(untilBoth(settled, loaded, drained.busy)) })
-	parts.Go(func() { jobs.run(loaded, settled) })
-	parts.Go(func() { drained.run(settled) })
-	for _, e := range script(o, d, view) {
-		parts.Go(func() { e.run(settled, length) })
+	drawing.Go(func() { progress.draw(runCtx) })
+	// If the owner of a shard is killed, its successor may begin the restore only
+	// after the load's duration. The restored workers are only seen to serve again
+	// while there are requests, so the callers go on until then.
+	parts.Go(func() { calls.Run(untilBoth(runCtx, loadCtx, drain.served)) })
+	parts.Go(func() { jobs.run(loadCtx, runCtx) })
+	parts.Go(func() { drain.run(runCtx) })
+	for _, e := range events(o, d, progress) {
+		parts.Go(func() { e.run(runCtx, length) })
 	}
 	parts.Wait()
 	stop()
@@ -154,24 +159,26 @@
 	if err := ctx.Err(); err != nil {
 		return Report{}, eris.Wrap(err, "demonstrator: interrupted")
 	}
-	return report(o, d, calls, jobs, drained), nil
+	return report(o, d, calls, jobs, drain), nil
 }
 
-// untilBoth is done once the other context and the channel are, and with ctx at the latest.
-func untilBoth(ctx, other context.Context, busy <-chan struct{}) context.Context {
+// untilBoth returns a context that ends once other has ended and the channel is
+// closed, and with ctx at the latest.
+func untilBoth(ctx, other context.Context, closed <-chan struct{}) context.Context {
 	both, cancel := context.WithCancel(ctx)
 	go func() {
 		defer cancel()
 		<-other.Done()
 		select {
-		case <-busy:
+		case <-closed:
 		case <-ctx.Done():
 		}
 	}()
 	return both
 }
 
-func report(o Options, d *deployer.Deployment, calls *caller.Load, jobs *wave, drained *drain) Report {
+// report collects the counts of the stand-ins, the callers, the jobs and the drain.
+func report(o Options, d *deployer.Deployment, calls *caller.Load, jobs *batchLoad, drain *drainRun) Report {
 	audit := d.Audit.Report()
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
@@ -179,7 +186,7 @@
 		Overcommitted: audit.Overfilled,
 		LateRequests:  audit.Late,
 		Evicted:       audit.Stopped + audit.Lapsed,
-		Restored:      drained.restored(),
+		Restored:      drain.restored(),
 		Violations:    audit.Faults,
 	}
 	seen := calls.Report()
@@ -188,20 +195,23 @@
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
 	out.Violations = append(out.Violations, seen.Words...)
-	jobs.fill(&out)
-	if why := drained.missing(); why != "" {
-		out.Violations = append(out.Violations, why)
+	jobs.addTo(&out)
+	if violation := drain.violation(); violation != "" {
+		out.Violations = append(out.Violations, violation)
 	}
 	return out
 }
 
-// daemon runs in this process.
+// daemon is an entry daemon in this process; it implements deployer.Daemon.
 type daemon struct{ *server.Server }
 
+// Kill implements deployer.Daemon.
 func (d daemon) Kill() { d.Close() }
 
+// Stop implements deployer.Daemon.
 func (d daemon) Stop(ctx context.Context) { d.Shutdown(ctx) }
 
+// launch starts a daemon.
 func (o Options) launch(ctx context.Context, s parser.Settings) (deployer.Daemon, error) {
 	started, err := server.New(ctx, s, o.Log)
 	return daemon{started}, err
--- a/internal/operator/demonstrator/demonstrator_test.go
+++ b/internal/operator/demonstrator/demonstrator_test.go
@@ -16,7 +16,7 @@
 		return demonstrator.Run(context.Background(), o, io.Discard, io.Discard)
 	}
 
-	It("refuses unknown faults and too short runs", func() {
+	It("rejects unknown faults and too short runs", func() {
 		_, err := run(demonstrator.Options{Seconds: 10, Fault: "flood"})
 		Expect(err).To(MatchError(ContainSubstring("flood")))
 		_, err = run(demonstrator.Options{Seconds: 1})
@@ -25,7 +25,7 @@
 })
 
 var _ = Describe("Report", func() {
-	It("is not OK with any violation", func() {
+	It("isn't OK if any invariant is violated", func() {
 		Expect(demonstrator.Report{Restored: true}.OK()).To(BeTrue())
 		Expect(demonstrator.Report{}.OK()).To(BeFalse())
 		for _, r := range []demonstrator.Report{
@@ -37,10 +37,11 @@
 	})
 })
 
-// TestKilledHosts violates nothing when an entry host and a worker are killed.
+// TestKilledHosts checks that killing an entry host and a worker violates no
+// invariant.
 func TestKilledHosts(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run takes some 15 seconds")
+		t.Skip("a run takes about 15 seconds")
 	}
 	o := demonstrator.Options{Seed: 1, Seconds: 6, Fault: demonstrator.FaultKill}
 	report, err := demonstrator.Run(context.Background(), o, io.Discard, io.Discard)
--- a/internal/operator/demonstrator/drain.go
+++ b/internal/operator/demonstrator/drain.go
@@ -14,113 +14,118 @@
 )
 
 const (
-	drainAt       = 0.25 // share of the load's length
-	drainFor      = 0.25
-	drained       = 2 // workers
-	watchInterval = 50 * time.Millisecond
+	drainStart     = 0.25 // fraction of the load's duration after which the drain begins
+	drainLength    = 0.25 // fraction of the load's duration that the drain lasts
+	drainedWorkers = 2    // number of workers that are drained
+	pollInterval   = 50 * time.Millisecond
 )
 
-// drain takes workers out of use for a while and watches their return.
-type drain struct {
+// drainRun drains workers for some time and observes that they become idle and
+// get their work back.
+type drainRun struct {
 	d       *deployer.Deployment
 	options Options
 	workers []*hoster.Worker
-	busy    chan struct{} // closed once every worker has requests again, or the drain is given up
+	served  chan struct{} // closed once every worker serves requests again, or the drain has failed
 
-	mu    sync.Mutex
-	state string // for the screen
-	over  bool   // no drain is in force any more
-	back  map[string]bool
-	empty map[string]bool
+	mu      sync.Mutex
+	state   string          // for the progress output
+	ended   bool            // whether no drain is in force any more
+	resumed map[string]bool // workers that have served requests during the restore
+	idle    map[string]bool // workers on which no task ran during the drain
 }
 
-// newDrain chooses the first workers of the first domain.
-func newDrain(d *deployer.Deployment, o Options) *drain {
-	return &drain{
-		d: d, options: o, workers: d.Domains[0].Workers[:drained], busy: make(chan struct{}),
-		state: "not begun", back: make(map[string]bool), empty: make(map[string]bool),
+// newDrainRun chooses the first workers of the first domain.
+func newDrainRun(d *deployer.Deployment, o Options) *drainRun {
+	return &drainRun{
+		d: d, options: o, workers: d.Domains[0].Workers[:drainedWorkers], served: make(chan struct{}),
+		state: "not begun", resumed: make(map[string]bool), idle: make(map[string]bool),
 	}
 }
 
-// run drains, and waits until every worker was empty and has its work back.
-func (r *drain) run(ctx context.Context) {
-	if !r.untilBusy(ctx) {
+// run drains the workers and waits until all have been idle and served requests
+// again, and the restore is complete. It gives up when ctx ends.
+func (r *drainRun) run(ctx context.Context) {
+	if !r.drainUntilServing(ctx) {
 		return
 	}
-	if err := deployer.Until(ctx, func() error { return r.isOver(ctx) }); err != nil {
+	if err := deployer.Until(ctx, func() error { return r.checkEnded(ctx) }); err != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
+	r.ended = true
 	r.state = "restored"
 }
 
-// untilBusy drains, and waits until every worker was empty and has requests again.
-func (r *drain) untilBusy(ctx context.Context) bool {
-	defer close(r.busy)
-	if !deployer.Pause(ctx, time.Duration(float64(r.length())*drainAt)) {
+// drainUntilServing drains the workers and waits until all have been idle and
+// served requests again. It reports whether they have.
+func (r *drainRun) drainUntilServing(ctx context.Context) bool {
+	defer close(r.served)
+	if !deployer.Pause(ctx, time.Duration(float64(r.length())*drainStart)) {
 		return false
 	}
 	if err := deployer.Until(ctx, func() error { return r.confirm(ctx) }); err != nil {
-		r.say("not confirmed: " + err.Error())
+		r.setState("not confirmed: " + err.Error())
 		return false
 	}
-	r.say("draining")
-	if !r.await(ctx, r.isEmpty, r.empty) {
+	r.setState("draining")
+	if !r.await(ctx, r.isIdle, r.idle) {
 		return false
 	}
-	r.say("drained")
-	if err := deployer.Until(ctx, func() error { return r.isRestoring(ctx) }); err != nil {
+	r.setState("drained")
+	if err := deployer.Until(ctx, func() error { return r.checkRestoring(ctx) }); err != nil {
 		return false
 	}
-	r.say("restoring")
-	if !r.await(ctx, r.hasWork(), r.back) {
+	r.setState("restoring")
+	if !r.await(ctx, r.newRequests(), r.resumed) {
 		return false
 	}
-	r.say("restoring, all workers have requests")
+	r.setState("restoring, all workers have requests")
 	return true
 }
 
-func (r *drain) length() time.Duration { return time.Duration(r.options.Seconds) * time.Second }
+// length is the duration of the load.
+func (r *drainRun) length() time.Duration { return time.Duration(r.options.Seconds) * time.Second }
 
-// confirm asks for a plan and confirms it.
-func (r *drain) confirm(ctx context.Context) error {
+// confirm plans the drain and confirms the plan.
+func (r *drainRun) confirm(ctx context.Context) error {
 	var names []string
 	for _, w := range r.workers {
 		names = append(names, w.Host.Name)
 	}
 	id := fmt.Sprintf("drain-%d", r.options.Seed)
-	return r.d.Drain(ctx, id, names, time.Duration(float64(r.length())*drainFor))
+	return r.d.Drain(ctx, id, names, time.Duration(float64(r.length())*drainLength))
 }
 
-// isRestoring returns nil once the drain's time is over.
-func (r *drain) isRestoring(ctx context.Context) error {
+// checkRestoring returns nil once every drain is being restored or has ended.
+func (r *drainRun) checkRestoring(ctx context.Context) error {
 	drains, err := r.d.Drains(ctx)
 	if err != nil {
 		return err
 	}
 	for _, d := range drains {
 		if d.State == describer.Draining {
-			return eris.New("draining")
+			return eris.New("a drain is still draining")
 		}
 	}
 	return nil
 }
 
-// isOver returns nil once no drain is in force.
-func (r *drain) isOver(ctx context.Context) error {
+// checkEnded returns nil once no drain is in force.
+func (r *drainRun) checkEnded(ctx context.Context) error {
 	drains, err := r.d.Drains(ctx)
 	if err == nil && len(drains) > 0 {
-		err = eris.New("drain in force")
+		err = eris.New("a drain is still in force")
 	}
 	return err
 }
 
-func (r *drain) isEmpty(w *hoster.Worker) bool { return w.Running() == 0 }
+// isIdle reports whether no task runs on the worker.
+func (r *drainRun) isIdle(w *hoster.Worker) bool { return w.Running() == 0 }
 
-// hasWork returns a check that a worker has answered requests since now.
-func (r *drain) hasWork() func(*hoster.Worker) bool {
+// newRequests returns a check that a worker has served requests since this call.
+func (r *drainRun) newRequests() func(*hoster.Worker) bool {
 	before := make(map[string]int64)
 	for _, w := range r.workers {
 		before[w.Host.Name] = w.Counts.Requests.Load()
@@ -128,8 +133,9 @@
 	return func(w *hoster.Worker) bool { return w.Counts.Requests.Load() > before[w.Host.Name] }
 }
 
-// await marks each worker once it passes the check, and returns when all have.
-func (r *drain) await(ctx context.Context, check func(*hoster.Worker) bool, passed map[string]bool) bool {
+// await waits until every worker has passed the check once, and records those that
+// have. It returns false if ctx ends first.
+func (r *drainRun) await(ctx context.Context, check func(*hoster.Worker) bool, passed map[string]bool) bool {
 	for {
 		r.mu.Lock()
 		for _, w := range r.workers {
@@ -142,34 +148,38 @@
 		if all {
 			return true
 		}
-		if !deployer.Pause(ctx, watchInterval) {
+		if !deployer.Pause(ctx, pollInterval) {
 			return false
 		}
 	}
 }
 
-func (r *drain) say(state string) {
+// setState sets the state that the progress output shows.
+func (r *drainRun) setState(state string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = state
 }
 
-func (r *drain) now() string {
+// currentState returns the state that the progress output shows.
+func (r *drainRun) currentState() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state
 }
 
-func (r *drain) restored() bool {
+// restored reports whether the drain has ended and all workers got their work back.
+func (r *drainRun) restored() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.over && len(r.back) == len(r.workers)
+	return r.ended && len(r.resumed) == len(r.workers)
 }
 
-// missing says what keeps the drain from being restored.
-func (r *drain) missing() string {
+// violation describes the last state of a drain that wasn't restored. It is empty
+// if the drain was restored.
+func (r *drainRun) violation() string {
 	if r.restored() {
 		return ""
 	}
-	return "the drain ended as " + r.now()
+	return "the drain was not restored, its last state is: " + r.currentState()
 }
--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -8,26 +8,27 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/deployer"
 )
 
-// event is something that happens once, at a share of the load's length.
+// event is something that happens once during the load, such as a fault.
 type event struct {
-	at   float64
-	name string
-	view *screen
-	do   func(ctx context.Context)
+	at       float64 // fraction of the load's duration
+	name     string  // shown in the progress output
+	progress *screen
+	do       func(ctx context.Context)
 }
 
+// run waits for the event's time and lets it happen, unless ctx ends before.
 func (e event) run(ctx context.Context, length time.Duration) {
 	if !deployer.Pause(ctx, time.Duration(float64(length)*e.at)) {
 		return
 	}
-	e.view.note(e.name)
+	e.progress.showEvent(e.name)
 	e.do(ctx)
 }
 
-// script lists the events of a run: the planned stop, and those of its fault.
-func script(o Options, d *deployer.Deployment, view *screen) []event {
-	events := []event{
-		{at: 0.7, name: "planned stop", do: func(ctx context.Context) { replace(ctx, d.Domains[1].Entries[0]) }},
+// events returns the events of a run: a planned shutdown, and those of its fault.
+func events(o Options, d *deployer.Deployment, progress *screen) []event {
+	list := []event{
+		{at: 0.7, name: "planned stop", do: func(ctx context.Context) { restart(ctx, d.Domains[1].Entries[0]) }},
 	}
 	faults := map[string][]event{
 		FaultKill:      kills(d),
@@ -36,28 +37,30 @@
 		FaultSilence:   silence(d),
 		FaultPause:     pauses(d),
 	}
-	for name, list := range faults {
+	for name, injected := range faults {
 		if o.Fault == name || o.Fault == FaultAll {
-			events = append(events, list...)
+			list = append(list, injected...)
 		}
 	}
-	for i := range events {
-		events[i].view = view
+	for i := range list {
+		list[i].progress = progress
 	}
-	return events
+	return list
 }
 
-// replace stops a daemon as planned and starts its successor.
-func replace(ctx context.Context, e *deployer.Entry) {
+// restart shuts a daemon down as planned and starts its successor.
+func restart(ctx context.Context, e *deployer.Entry) {
 	e.Stop(ctx)
 	start(ctx, e)
 }
 
-// start tries until the daemon runs, since its ports may still be in use.
+// start starts a daemon. It retries until ctx ends, since the ports may still be in
+// use.
 func start(ctx context.Context, e *deployer.Entry) {
 	_ = deployer.Until(ctx, func() error { return e.Start(ctx) })
 }
 
+// kills kills an entry host and a worker and replaces them later.
 func kills(d *deployer.Deployment) []event {
 	first, last := d.Domains[0], d.Domains[2]
 	return []event{
@@ -68,6 +71,7 @@
 	}
 }
 
+// outage makes the store unavailable, and lets it lose some responses afterwards.
 func outage(d *deployer.Deployment) []event {
 	return []event{
 		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.Outage(true) }},
@@ -78,6 +82,7 @@
 	}
 }
 
+// partition cuts the links between the regions for some time.
 func partition(d *deployer.Deployment) []event {
 	return []event{
 		{at: 0.35, name: "regions cut off", do: func(context.Context) { d.Region.Cut(delayer.Blackhole) }},
@@ -85,21 +90,22 @@
 	}
 }
 
+// silence makes the open connections of half of the workers unresponsive, twice.
 func silence(d *deployer.Deployment) []event {
-	quiet := func(context.Context) {
-		for _, m := range d.Domains {
-			for _, w := range m.Workers[:workers/2] {
+	silenceHalf := func(context.Context) {
+		for _, domain := range d.Domains {
+			for _, w := range domain.Workers[:workers/2] {
 				w.Silence()
 			}
 		}
 	}
 	return []event{
-		{at: 0.35, name: "connections go silent", do: quiet},
-		{at: 0.45, name: "connections go silent again", do: quiet},
+		{at: 0.35, name: "connections go silent", do: silenceHalf},
+		{at: 0.45, name: "connections go silent again", do: silenceHalf},
 	}
 }
 
-// pauses freezes a worker for longer than its tasks' leases.
+// pauses freezes a worker for one second longer than its tasks' leases last.
 func pauses(d *deployer.Deployment) []event {
 	frozen := d.Domains[0].Workers[workers-1]
 	return []event{
--- a/internal/operator/demonstrator/screen.go
+++ b/internal/operator/demonstrator/screen.go
@@ -14,38 +14,38 @@
 
 const (
 	drawInterval = 250 * time.Millisecond
-	lineWidth    = 100
+	lineWidth    = 100 // columns
 )
 
-// screen draws progress: one line that is redrawn on a terminal, otherwise a
-// line for each event.
+// screen shows the progress of a run: on a terminal as one line that is redrawn,
+// and otherwise as a line for each event.
 type screen struct {
 	out      io.Writer
 	terminal bool
 	calls    *caller.Load
-	jobs     *wave
-	drained  *drain
-	began    time.Time
+	jobs     *batchLoad
+	drain    *drainRun
+	start    time.Time
 
-	mu     sync.Mutex
-	latest string
+	mu        sync.Mutex
+	lastEvent string
 }
 
-func newScreen(out io.Writer, terminal bool, calls *caller.Load, jobs *wave, drained *drain) *screen {
-	return &screen{out: out, terminal: terminal, calls: calls, jobs: jobs, drained: drained, began: time.Now()}
+func newScreen(out io.Writer, terminal bool, calls *caller.Load, jobs *batchLoad, drain *drainRun) *screen {
+	return &screen{out: out, terminal: terminal, calls: calls, jobs: jobs, drain: drain, start: time.Now()}
 }
 
-// draw shows progress until ctx ends.
+// draw shows the progress until ctx ends.
 func (s *screen) draw(ctx context.Context) {
 	last := ""
 	for deployer.Pause(ctx, drawInterval) {
 		if s.terminal {
-			fmt.Fprintf(s.out, "\r%-*s", lineWidth, s.line())
+			fmt.Fprintf(s.out, "\r%-*s", lineWidth, s.statusLine())
 			continue
 		}
-		if now := s.drained.now(); now != last {
-			last = now
-			s.note("drain " + now)
+		if state := s.drain.currentState(); state != last {
+			last = state
+			s.showEvent("drain " + state)
 		}
 	}
 	if s.terminal {
@@ -53,23 +53,24 @@
 	}
 }
 
-func (s *screen) line() string {
+// statusLine returns the counts so far, the state of the drain and the last event.
+func (s *screen) statusLine() string {
 	accepted, done := s.jobs.count()
 	requests, failed := s.calls.Counts()
 	s.mu.Lock()
-	latest := s.latest
+	event := s.lastEvent
 	s.mu.Unlock()
 	return fmt.Sprintf("%5.1f s  requests %d (%d failed)  jobs %d/%d  drain %s  %s",
-		time.Since(s.began).Seconds(), requests, failed, done, accepted,
-		strings.SplitN(s.drained.now(), ":", 2)[0], latest)
+		time.Since(s.start).Seconds(), requests, failed, done, accepted,
+		strings.SplitN(s.drain.currentState(), ":", 2)[0], event)
 }
 
-// note shows an event.
-func (s *screen) note(event string) {
+// showEvent shows an event, on a terminal with the next drawing.
+func (s *screen) showEvent(event string) {
 	s.mu.Lock()
-	s.latest = event
+	s.lastEvent = event
 	s.mu.Unlock()
 	if !s.terminal {
-		fmt.Fprintf(s.out, "%5.1f s  %s\n", time.Since(s.began).Seconds(), event)
+		fmt.Fprintf(s.out, "%5.1f s  %s\n", time.Since(s.start).Seconds(), event)
 	}
 }
