--- a/cmd/dotterelcart/main.go
+++ b/cmd/dotterelcart/main.go
@@ -1,5 +1,5 @@
-// Command dotterelcart runs the entry daemon, its operators' tools and the
-// stand-ins for the platform.
+// Command dotterelcart runs the entry daemon, the tools for its operators and the
+// stand-ins for the platform. Package commander describes its commands.
 package main
 
 import (
--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -63,26 +63,27 @@
 	Log      zerolog.Logger // for the daemons
 }
 
-// Report is the outcome of a run. Requests are those of callers.
+// Report is the outcome of a run. Requests are those of callers, their latencies
+// are in milliseconds.
 type Report struct {
 	Seed           uint64         `json:"seed"`
 	Fault          string         `json:"fault"`
 	Seconds        int            `json:"seconds"`
 	Requests       int64          `json:"requests"`
-	FailedRequests int64          `json:"failed"`     // requests without the right response, including refused ones
-	WrongAnswers   int64          `json:"wrong"`      // responses that belong to another request
-	CutRequests    int64          `json:"cut"`        // requests in flight that a planned shutdown aborted
-	Duplicated     int64          `json:"duplicated"` // tasks and non-idempotent requests that ran more than once
-	FalseNotRun    int64          `json:"untrue"`     // requests that ran although the response said that they hadn't
-	Jobs           int            `json:"jobs"`       // accepted
-	DoneJobs       int            `json:"done"`
-	LostJobs       int            `json:"lost"` // jobs that were accepted but aren't done
-	Overcommitted  int            `json:"overfilled"`
-	LateRequests   int            `json:"late"`    // requests sent to a worker long after it began to leave
-	Evicted        int            `json:"evicted"` // runs that ended before their task was complete
-	Restored       bool           `json:"restored"`
-	P50            float64        `json:"p50"`
-	P99            float64        `json:"p99"`
+	FailedRequests int64          `json:"failed"`               // requests without the right response, including refused ones
+	WrongAnswers   int64          `json:"wrong"`                // responses that belong to another request
+	CutRequests    int64          `json:"cut"`                  // requests in flight that a planned shutdown aborted
+	Duplicated     int64          `json:"duplicated"`           // tasks and non-idempotent requests that ran more than once
+	FalseNotRun    int64          `json:"untrue"`               // requests that ran although the response said that they hadn't
+	Jobs           int            `json:"jobs"`                 // accepted batch jobs
+	DoneJobs       int            `json:"done"`                 // accepted jobs whose tasks are all complete
+	LostJobs       int            `json:"lost"`                 // jobs that were accepted but aren't done
+	Overcommitted  int            `json:"overfilled"`           // grants of resources that exceeded a worker's capacity
+	LateRequests   int            `json:"late"`                 // requests sent to a worker long after it began to leave
+	Evicted        int            `json:"evicted"`              // runs that ended before their task was complete
+	Restored       bool           `json:"restored"`             // whether the drained workers got their work back
+	P50            float64        `json:"p50"`                  // median latency
+	P99            float64        `json:"p99"`                  // 99th percentile of the latency
 	Failures       map[string]int `json:"failures,omitempty"`   // number of failed attempts by code and verdict
 	Violations     []string       `json:"violations,omitempty"` // descriptions of the first violations
 }
