--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -71,7 +71,7 @@
 	Seconds        int            `json:"seconds"`
 	Requests       int64          `json:"requests"`
 	FailedRequests int64          `json:"failed"`               // requests without the right response, including refused ones
-	WrongAnswers   int64          `json:"wrong"`                // responses that belong to another request
+	WrongResponses   int64          `json:"wrong"`                // responses that belong to another request
 	CutRequests    int64          `json:"cut"`                  // requests in flight that a planned shutdown aborted
 	Duplicated     int64          `json:"duplicated"`           // tasks and non-idempotent requests that ran more than once
 	FalseNotRun    int64          `json:"untrue"`               // requests that ran although the response said that they hadn't
@@ -90,7 +90,7 @@
 
 // OK reports whether all invariants held.
 func (r Report) OK() bool {
-	return r.WrongAnswers == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
+	return r.WrongResponses == 0 && r.CutRequests == 0 && r.Duplicated == 0 && r.FalseNotRun == 0 &&
 		r.LostJobs == 0 && r.Overcommitted == 0 && r.LateRequests == 0 && r.Restored
 }
 
@@ -191,7 +191,7 @@
 		Violations:    audit.Faults,
 	}
 	seen := calls.Report()
-	out.Requests, out.FailedRequests, out.WrongAnswers = seen.Requests, seen.Failed, seen.Wrong
+	out.Requests, out.FailedRequests, out.WrongResponses = seen.Requests, seen.Failed, seen.Wrong
 	out.CutRequests, out.FalseNotRun = seen.Cut, seen.Untrue
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
--- a/internal/operator/demonstrator/demonstrator_test.go
+++ b/internal/operator/demonstrator/demonstrator_test.go
@@ -29,7 +29,7 @@
 		Expect(demonstrator.Report{Restored: true}.OK()).To(BeTrue())
 		Expect(demonstrator.Report{}.OK()).To(BeFalse())
 		for _, r := range []demonstrator.Report{
-			{WrongAnswers: 1}, {CutRequests: 1}, {Duplicated: 1}, {FalseNotRun: 1}, {LostJobs: 1}, {Overcommitted: 1}, {LateRequests: 1},
+			{WrongResponses: 1}, {CutRequests: 1}, {Duplicated: 1}, {FalseNotRun: 1}, {LostJobs: 1}, {Overcommitted: 1}, {LateRequests: 1},
 		} {
 			r.Restored = true
 			Expect(r.OK()).To(BeFalse())
