--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -71,7 +71,7 @@
 	Seconds        int            `json:"seconds"`
 	Requests       int64          `json:"requests"`
 	FailedRequests int64          `json:"failed"`               // requests without the right response, including refused ones
-	WrongResponses   int64          `json:"wrong"`                // responses that belong to another request
+	WrongResponses int64          `json:"wrong"`                // responses that belong to another request
 	CutRequests    int64          `json:"cut"`                  // requests in flight that a planned shutdown aborted
 	Duplicated     int64          `json:"duplicated"`           // tasks and non-idempotent requests that ran more than once
 	FalseNotRun    int64          `json:"untrue"`               // requests that ran although the response said that they hadn't
--- a/internal/operator/responder/jobs.go
+++ b/internal/operator/responder/jobs.go
@@ -46,8 +46,8 @@
 // owns.
 type localHandler func(ctx context.Context, job string) (*reducer.JobStatus, error)
 
-// serveJob carries out a request about the job in the path, by local here or by
-// the peer method at the owner of its home shard.
+// serveJob carries out a request about the job in the path at the owner of its home
+// shard: by local if that is this daemon, and by the peer method otherwise.
 func (r *Responder) serveJob(w http.ResponseWriter, request *http.Request, method string, local localHandler) {
 	message := jobRequest{Job: request.PathValue("id")}
 	status, err := r.forwardJob(request.Context(), method, message, local)
@@ -58,14 +58,15 @@
 	writeJSON(w, http.StatusOK, status)
 }
 
-// forwardJob sends a request about a job to the owner of its home shard.
+// forwardJob carries out a request about a job at the owner of its home shard, see
+// forward.
 func (r *Responder) forwardJob(ctx context.Context, method string, message jobRequest, local localHandler) (*reducer.JobStatus, error) {
 	return forward(ctx, r, message.Job, method, message, func(ctx context.Context) (*reducer.JobStatus, error) {
 		return local(ctx, message.Job)
 	})
 }
 
-// submit sends a submission to the owner of the job's home shard.
+// submit submits a job at the owner of its home shard.
 func (r *Responder) submit(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
 	return forward(ctx, r, job.ID, messenger.Submit, job, func(ctx context.Context) (*reducer.JobStatus, error) {
 		return r.submitLocal(ctx, job)
@@ -95,11 +96,12 @@
 	})
 }
 
-// cancel sends a cancellation to the owner of the job's home shard.
+// cancel cancels a job at the owner of its home shard.
 func (r *Responder) cancel(ctx context.Context, job string) (*reducer.JobStatus, error) {
 	return r.forwardJob(ctx, messenger.Cancel, jobRequest{Job: job}, r.cancelLocal)
 }
 
+// submitLocal submits a job to this daemon's control plane.
 func (r *Responder) submitLocal(ctx context.Context, job describer.Job) (*reducer.JobStatus, error) {
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
 		return reducer.SubmitRequested{Request: id, Job: job}
