--- a/internal/operator/commander/client.go
+++ b/internal/operator/commander/client.go
@@ -26,17 +26,17 @@
 }
 
 // Error lists the details and the retry time on lines of their own.
-func (r *daemonError) Error() string {
-	out := r.Code + ": "
-	if r.Field != "" {
-		out += r.Field + ": "
+func (e *daemonError) Error() string {
+	out := e.Code + ": "
+	if e.Field != "" {
+		out += e.Field + ": "
 	}
-	out += r.Message + " (" + r.Verdict + ")"
-	for _, line := range r.Details {
+	out += e.Message + " (" + e.Verdict + ")"
+	for _, line := range e.Details {
 		out += "\n  " + line
 	}
-	if r.Retry != "" {
-		out += "\n  retry after " + r.Retry
+	if e.Retry != "" {
+		out += "\n  retry after " + e.Retry
 	}
 	return out
 }
@@ -75,11 +75,11 @@
 
 // readError returns the error for a response with an error status.
 func readError(response *http.Response) error {
-	var r daemonError
-	if err := json.NewDecoder(response.Body).Decode(&r); err != nil || r.Code == "" {
+	var e daemonError
+	if err := json.NewDecoder(response.Body).Decode(&e); err != nil || e.Code == "" {
 		return exitFailed(fmt.Errorf("daemon answered %s", response.Status))
 	}
-	return exitFailed(&r)
+	return exitFailed(&e)
 }
 
 // output prints value in the format that the format flag chooses: as JSON, or
--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -89,14 +89,14 @@
 	case <-signals:
 	case <-ctx.Done():
 	}
-	limited, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Traffic.DrainTimeout))
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), time.Duration(settings.Traffic.DrainTimeout))
 	defer cancel()
 	go func() {
 		<-signals
 		log.Warn().Str("part", "serve").Msg("second signal received, stopping at once")
 		cancel()
 	}()
-	cut := daemon.Shutdown(limited)
+	cut := daemon.Shutdown(shutdownCtx)
 	if cut > 0 {
 		return exitFailed(fmt.Errorf("planned shutdown cut off %d requests in flight", cut))
 	}
--- a/internal/operator/rehearser/watcher.go
+++ b/internal/operator/rehearser/watcher.go
@@ -51,9 +51,9 @@
 	if entry.Daemon() == nil {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, watchTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	revision, err := revisionOf(limited, entry)
+	revision, err := revisionOf(callCtx, entry)
 	if err != nil {
 		return // not ready, paused or cut off, so it uses no older revision
 	}
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -184,8 +184,8 @@
 func (s *Server) watchHosts(ctx context.Context) {
 	hosts := lister.New(s.Settings.Platform.Hosts, platformClient())
 	for ctx.Err() == nil {
-		limited, cancel := context.WithTimeout(ctx, s.timeout())
-		list, err := hosts.Hosts(limited)
+		callCtx, cancel := context.WithTimeout(ctx, s.timeout())
+		list, err := hosts.Hosts(callCtx)
 		cancel()
 		if err != nil {
 			s.log.Info().Str("part", "server").Err(err).Msg("host list read failed")
--- a/internal/operator/server/stop.go
+++ b/internal/operator/server/stop.go
@@ -27,7 +27,7 @@
 		waiter.Sleep(ctx, balancerDelay)
 		aborted = s.forwarder.Drain(ctx)
 		if err := s.callerServer.Shutdown(ctx); err != nil {
-			s.log.Warn().Str("part", "server").Err(err).Msg("requests in flight cut off")
+			s.log.Warn().Str("part", "server").Err(err).Msg("caller server shutdown incomplete")
 		}
 		s.lender.HandBack(ctx)
 		s.awaitRelease(ctx)
@@ -71,9 +71,9 @@
 
 // awaitRelease waits until the daemon owns no shard, at most for releaseTimeout.
 func (s *Server) awaitRelease(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
+	releaseCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	for len(s.table.Load().Owned) > 0 && limited.Err() == nil {
-		waiter.Sleep(limited, releaseInterval)
+	for len(s.table.Load().Owned) > 0 && releaseCtx.Err() == nil {
+		waiter.Sleep(releaseCtx, releaseInterval)
 	}
 }
