--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -111,7 +111,7 @@
 	w.checkStart(m, e, step)
 	r := &fakeRun{number: e.Run, step: step, begun: w.now}
 	m.runs[e.Task] = r
-	if step.Lasting {
+	if step.LongRunning {
 		return NoFault
 	}
 	w.after(step.Estimate, func() { m.work(e.Task, r) })
@@ -186,7 +186,7 @@
 	switch {
 	case m.hung:
 		return 50
-	case r.step.Lasting:
+	case r.step.LongRunning:
 		return 100
 	}
 	return int(100 * m.world.now.Sub(r.begun) / (r.step.Estimate + 1))
@@ -216,7 +216,7 @@
 	if w.rules.noted[e.Task] {
 		w.fail("%s starts on %s after its end was acknowledged", e.Task, m.id)
 	}
-	if !step.Lasting && w.rules.failed[e.Task] >= worldAttempts {
+	if !step.LongRunning && w.rules.failed[e.Task] >= worldAttempts {
 		w.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, w.rules.failed[e.Task])
 	}
 	if told := w.store[e.Task.Job].told; !told.IsZero() && w.now.Sub(told) > 13*time.Second {
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -91,7 +91,7 @@
 	switch end.Outcome {
 	case specifier.OutcomeDone:
 		w.faults = 0
-		if t.step.spec.Lasting {
+		if t.step.spec.LongRunning {
 			return false
 		}
 		s.completeAll(w, t)
@@ -347,7 +347,7 @@
 		}
 		spec := r.task.step.spec
 		leaves := spec.Checkpoint && w.reg.Remaining > 0 && w.reg.Remaining < checkpointNotice
-		if (spec.Lasting || leaves) && s.hasRoom(r, anyWorker) {
+		if (spec.LongRunning || leaves) && s.hasRoom(r, anyWorker) {
 			s.stopRun(r, "worker leaves")
 		}
 	}
--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -264,13 +264,13 @@
 	if slices.Contains(t.failed, run) {
 		return
 	}
-	if t.adopted && !t.step.spec.Lasting && !s.isSettled() {
+	if t.adopted && !t.step.spec.LongRunning && !s.isSettled() {
 		// Workers that have not answered may tell of more failures.
 		t.located = false
 	}
 	j := t.step.job
 	t.last = w.reg.ID
-	if t.step.spec.Lasting {
+	if t.step.spec.LongRunning {
 		return
 	}
 	t.failed = append(t.failed, run)
--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -52,7 +52,7 @@
 			counted, filler := st.waitingWork()
 			b.FiniteWork += counted
 			b.FillerWork += filler
-			if st.spec.Lasting {
+			if st.spec.LongRunning {
 				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
 			}
 		}
@@ -70,7 +70,7 @@
 
 // waitingWork is the estimated work of tasks that have no run, in millicore-seconds.
 func (st *step) waitingWork() (counted, filler int64) {
-	if st.spec.Lasting {
+	if st.spec.LongRunning {
 		return 0, 0
 	}
 	scale := func(cpu int64) int64 {
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -87,7 +87,7 @@
 
 // promiseOf is the promise of the step's job, where shards hand jobs on.
 func (p *placement) promiseOf(st *step) int64 {
-	if p.s.options.Domain == "" || !st.spec.Lasting {
+	if p.s.options.Domain == "" || !st.spec.LongRunning {
 		return 0
 	}
 	return st.job.promise()
--- a/internal/job/dispatcher/move_test.go
+++ b/internal/job/dispatcher/move_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("a shard with too many lasting jobs", func() {
 	queue := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2}
 	lasting := func(n int) specifier.Job {
-		job := oneStep(2, func(s *specifier.Step) { s.Lasting, s.Needs = true, resources(1000) })
+		job := oneStep(2, func(s *specifier.Step) { s.LongRunning, s.Needs = true, resources(1000) })
 		job.ID = fmt.Sprintf("%016x", n)
 		return job
 	}
--- a/internal/job/dispatcher/need.go
+++ b/internal/job/dispatcher/need.go
@@ -18,7 +18,7 @@
 		n.filler = s.Needs.CPU
 		n.counted.CPU = 0
 	}
-	if s.Lasting {
+	if s.LongRunning {
 		n.lasting = n.counted.CPU
 	}
 	return n
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -81,7 +81,7 @@
 		w.Objective = w.Objective.Add(shift)
 		w.GraceEnd = w.GraceEnd.Add(shift)
 	}
-	if st.spec.Lasting {
+	if st.spec.LongRunning {
 		// A lasting task earns for as long as it runs, however late it begins.
 		w.NoDeadline = true
 		w.Objective = st.waitingSince().Add(lastingWait)
@@ -332,7 +332,7 @@
 	t.number = number
 	t.located, t.watched = true, true
 	t.step.waiting--
-	if !t.step.spec.Lasting && t.step.needs.counted.CPU > 0 {
+	if !t.step.spec.LongRunning && t.step.needs.counted.CPU > 0 {
 		s.ending = s.now
 	}
 	w.add(&run{task: t, id: t.id(), worker: w, number: number, phase: starting, ordered: s.now, needs: t.step.needs, pace: full})
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -38,9 +38,9 @@
 			Estimate:     time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond,
 			Checkpoint:   rapid.Bool().Draw(t, "checkpoint"),
 			MaxPerWorker: rapid.IntRange(0, 2).Draw(t, "spread"),
-			Lasting:      rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
+			LongRunning:      rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
 		}
-		if i > 0 && !job.Steps[i-1].Lasting {
+		if i > 0 && !job.Steps[i-1].LongRunning {
 			step.After = []int{i - 1}
 		}
 		job.Steps = append(job.Steps, step)
@@ -137,7 +137,7 @@
 // all others.
 func (w *world) cancelLasting() {
 	for _, id := range sortedKeys(w.store) {
-		if slices.ContainsFunc(w.store[id].job.Steps, func(s specifier.Step) bool { return s.Lasting }) {
+		if slices.ContainsFunc(w.store[id].job.Steps, func(s specifier.Step) bool { return s.LongRunning }) {
 			w.cancel(id)
 		}
 	}
--- a/internal/job/dispatcher/stall.go
+++ b/internal/job/dispatcher/stall.go
@@ -18,7 +18,7 @@
 		return false
 	}
 	spec := r.task.step.spec
-	if spec.Lasting && r.percent >= full {
+	if spec.LongRunning && r.percent >= full {
 		return false
 	}
 	return s.now.Sub(r.moved) > max(stallLimit, r.patience())
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -231,7 +231,7 @@
 
 	It("starts a failed task again where it failed, if there is no room elsewhere", func() {
 		d := newDesk(queue, "w1", "w2")
-		whole := func(s *specifier.Step) { s.Lasting, s.Needs = true, resources(lastingShare*workerCPU) }
+		whole := func(s *specifier.Step) { s.LongRunning, s.Needs = true, resources(lastingShare*workerCPU) }
 		other := oneStep(1, whole)
 		other.ID = "0000000000000001"
 		d.do(JobArrived{Job: oneStep(1, whole)}, JobArrived{Job: other})
--- a/internal/job/dispatcher/yield.go
+++ b/internal/job/dispatcher/yield.go
@@ -35,7 +35,7 @@
 	switch {
 	case st.job.moving:
 		return true
-	case !st.spec.Lasting || st.mayExceed:
+	case !st.spec.LongRunning || st.mayExceed:
 		return false
 	case p.s.options.Domain != "":
 		return p.isToMove(st.job)
@@ -46,7 +46,7 @@
 // mayExceedLimit reports whether tasks of the step may start above the limit: they
 // have yielded for yieldTime and there is more room than one of them needs.
 func (p *placement) mayExceedLimit(st *step) bool {
-	if !st.spec.Lasting || p.lasting+st.needs.lasting <= p.limit {
+	if !st.spec.LongRunning || p.lasting+st.needs.lasting <= p.limit {
 		return false
 	}
 	t := st.firstWaiting()
--- a/internal/job/dispatcher/yield_test.go
+++ b/internal/job/dispatcher/yield_test.go
@@ -18,7 +18,7 @@
 	w := newWorld(t, 1, 5)
 	const lasting = "00000000000000ff"
 	w.submit(specifier.Job{ID: lasting, Steps: []specifier.Step{
-		{Count: 16, Needs: resources(1000), Estimate: time.Minute, Lasting: true},
+		{Count: 16, Needs: resources(1000), Estimate: time.Minute, LongRunning: true},
 	}})
 	w.pass(3 * time.Second)
 	g.Expect(w.running(lasting)).To(Equal(16))
--- a/internal/job/manager/move_test.go
+++ b/internal/job/manager/move_test.go
@@ -17,7 +17,7 @@
 // lastingJob reserves 1,500 millicores for good.
 func lastingJob(n int) specifier.Job {
 	return specifier.Job{ID: job(n).ID, Queue: catalog.Queues[0].Name, Accepted: time.Now(), Steps: []specifier.Step{
-		{Count: 1, Needs: describer.Resources{CPU: 1500}, Estimate: time.Minute, Lasting: true},
+		{Count: 1, Needs: describer.Resources{CPU: 1500}, Estimate: time.Minute, LongRunning: true},
 	}}
 }
 
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -105,7 +105,7 @@
 		cpu := step.Needs.CPU * int64(step.Count)
 		work := cpu * int64(step.Estimate) / int64(time.Second) * int64(job.Occurrences())
 		switch {
-		case step.Lasting:
+		case step.LongRunning:
 			w.LongRunningCPU += cpu
 		case step.Filler:
 			w.FillerWork += work
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -44,7 +44,7 @@
 	PreferredRack   string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
 	MaxPerWorker    int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
 	AllowDuplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
-	Lasting         bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
+	LongRunning         bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
 	Image           string              `json:"image,omitempty"`      // tasks of one image behave alike
 	LatencyTarget   time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
 	Filler          bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
