--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -20,7 +20,7 @@
 		l.Capacity = l.Capacity.Add(w.reg.Capacity)
 		l.Free = l.Free.Add(room.Free)
 		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
-		l.LastingCPU += w.used.lasting
+		l.LongRunningCPU += w.used.lasting
 		l.UnusedCPU += max(room.UnusedCPU, 0)
 		l.FillerCPU += w.used.filler
 		l.MaxCapacity.CPU = max(l.MaxCapacity.CPU, w.reg.Capacity.CPU)
@@ -53,7 +53,7 @@
 			b.FiniteWork += counted
 			b.FillerWork += filler
 			if st.spec.LongRunning {
-				l.LastingCPU += int64(st.waiting) * st.needs.counted.CPU
+				l.LongRunningCPU += int64(st.waiting) * st.needs.counted.CPU
 			}
 		}
 		backlog[j.queue.Priority] = b
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LastingCPU, LongRunningLimit: s.Load.LastingLimit,
+			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LastingLimit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
 				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
 			}),
@@ -70,7 +70,7 @@
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	to := admitter.ChooseLongRunning(e.LastingCPU, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
-		s.Load.LastingCPU += e.LastingCPU
+		s.Load.LongRunningCPU += e.LastingCPU
 		m.view.Shards[to] = s
 	}
 	return to
