--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -32,7 +32,7 @@
 			}
 		}
 	}
-	l.LastingLimit = s.lastingLimit(l.Capacity.CPU)
+	l.LongRunningLimit = s.lastingLimit(l.Capacity.CPU)
 	s.countJobs(&l)
 	return l
 }
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -30,7 +30,7 @@
 // moveExcess hands on lasting jobs that many hosts have accepted for this shard
 // by the same summary, until the rest is within the limit.
 func (s *Shard) moveExcess(l *recorder.Load) {
-	excess := l.LongRunningCPU - l.LastingLimit
+	excess := l.LongRunningCPU - l.LongRunningLimit
 	if s.options.Domain == "" || excess <= 0 || !s.isConfirmed() {
 		return
 	}
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LastingLimit,
+			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
 				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
 			}),
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -313,7 +313,7 @@
 	load.MadeAt = made
 	o.last = load
 	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.FiniteCPU).
-		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LongRunningCPU).Int64("limit", load.LastingLimit)
+		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LongRunningCPU).Int64("limit", load.LongRunningLimit)
 	for _, b := range load.Backlog {
 		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.FiniteWork).Int64(fmt.Sprintf("fillers%d", b.Priority), b.FillerWork)
 	}
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -64,7 +64,7 @@
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
-		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LastingLimit,
+		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
 		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -189,7 +189,7 @@
 	MaxCapacity  describer.Resources `json:"largest"` // most that any worker has of each kind
 	FiniteCPU    int64               `json:"turning"` // CPU of counted tasks that will end, millicores
 	LongRunningCPU   int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
-	LastingLimit int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
+	LongRunningLimit int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
 	UnusedCPU    int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
 	FillerCPU    int64               `json:"fillers"` // CPU that running fillers asked for, millicores
 	Queues       []QueueLoad         `json:"queues,omitempty"`
