--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -50,7 +50,7 @@
 		b := backlog[j.queue.Priority]
 		for _, st := range j.steps {
 			counted, filler := st.waitingWork()
-			b.FiniteWork += counted
+			b.ReservedWork += counted
 			b.FillerWork += filler
 			if st.spec.LongRunning {
 				l.LongRunningCPU += int64(st.waiting) * st.needs.counted.CPU
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -315,7 +315,7 @@
 	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.FiniteCPU).
 		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LongRunningCPU).Int64("limit", load.LongRunningLimit)
 	for _, b := range load.Backlog {
-		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.FiniteWork).Int64(fmt.Sprintf("fillers%d", b.Priority), b.FillerWork)
+		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.ReservedWork).Int64(fmt.Sprintf("fillers%d", b.Priority), b.FillerWork)
 	}
 	line.Msg("load")
 	o.calls.Go(func() {
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -76,7 +76,7 @@
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
-			out.ReservedBacklog += b.FiniteWork
+			out.ReservedBacklog += b.ReservedWork
 			out.FillerBacklog += b.FillerWork
 		}
 	}
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -52,7 +52,7 @@
 }
 
 func full() recorder.Load {
-	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{FiniteWork: 1_000_000}}}
+	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{ReservedWork: 1_000_000}}}
 }
 
 func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *shards, store *faker.Client)) {
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -206,7 +206,7 @@
 // Backlog is the work that waits in a shard at one priority.
 type Backlog struct {
 	Priority   int   `json:"priority"`
-	FiniteWork int64 `json:"counted"` // millicore-seconds that need room
+	ReservedWork int64 `json:"counted"` // millicore-seconds that need room
 	FillerWork int64 `json:"filler"`  // millicore-seconds of fillers
 }
 
