--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -11,7 +11,7 @@
 // that has room for its lasting tasks.
 type MoveJob struct {
 	Job        specifier.Job
-	LastingCPU int64 // CPU that its tasks reserve, millicores
+	LongRunningCPU int64 // CPU that its tasks reserve, millicores
 }
 
 // JobMoved tells whether another shard has the job now.
@@ -52,7 +52,7 @@
 		j.moving = true
 		moving++
 		excess -= lasting
-		s.emit(MoveJob{Job: j.spec, LastingCPU: lasting})
+		s.emit(MoveJob{Job: j.spec, LongRunningCPU: lasting})
 	}
 }
 
--- a/internal/job/dispatcher/move_test.go
+++ b/internal/job/dispatcher/move_test.go
@@ -33,7 +33,7 @@
 		moves := taken[MoveJob](d)
 		Expect(moves).To(HaveLen(3))
 		for _, m := range moves {
-			Expect(m.LastingCPU).To(Equal(int64(2000)))
+			Expect(m.LongRunningCPU).To(Equal(int64(2000)))
 			d.do(JobMoved{ID: m.Job.ID, OK: true})
 			Expect(d.jobs).NotTo(HaveKey(m.Job.ID))
 			d.do(JobArrived{Job: m.Job}) // a watch that lags delivers it again
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -35,7 +35,7 @@
 	})
 	switch {
 	case err == nil:
-		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.LastingCPU).Msg("job moved")
+		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.LongRunningCPU).Msg("job moved")
 	case errors.Is(err, fencer.ErrConditionFailed):
 		o.log.Info().Str("job", job.ID).Msg("job not moved: it is being cancelled")
 	case errors.Is(err, fencer.ErrFenced):
@@ -68,9 +68,9 @@
 		})
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
-	to := admitter.ChooseLongRunning(e.LastingCPU, shards, m.options.Random)
+	to := admitter.ChooseLongRunning(e.LongRunningCPU, shards, m.options.Random)
 	if s, ok := m.view.Shards[to]; ok {
-		s.Load.LongRunningCPU += e.LastingCPU
+		s.Load.LongRunningCPU += e.LongRunningCPU
 		m.view.Shards[to] = s
 	}
 	return to
