--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -8,30 +8,31 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// Bounds of requests for advice.
+// Limits of requests for placement advice.
 const (
-	adviceWorkers = 24                     // asked for in one call; each costs the service time
-	adviceRetry   = 400 * time.Millisecond // after a call that failed
-	adviceMargin  = 300 * time.Millisecond // before its end, a ticket is not used any more
+	maxAdviceWorkers = 24                     // workers in one request; each takes the service additional time
+	adviceRetryDelay = 400 * time.Millisecond // delay after a failed request
+	ticketMargin     = 300 * time.Millisecond // a ticket isn't used any more this long before it expires
 )
 
-// AskAdvice asks which of some workers may run a step. The answer is Advised.
+// AskAdvice requests tickets that allow workers to run a step. The answer is
+// AdviceAnswered.
 type AskAdvice struct {
-	Step    specifier.TaskID // of its first task
+	Step    specifier.TaskID // id of the step's first task
 	Workers []specifier.Worker
 }
 
-// AdviceAnswered is the outcome of AskAdvice. Workers that were asked for and have no
-// ticket may not run the step.
+// AdviceAnswered is the outcome of AskAdvice. Requested workers without a ticket
+// must not run the step.
 type AdviceAnswered struct {
 	Step     specifier.TaskID
 	Asked    []specifier.Worker
 	Tickets  []Ticket
 	Validity time.Duration
-	Failed   bool // no answer: ask again
+	Failed   bool // no answer; the request has to be repeated
 }
 
-// Ticket lets one life of a worker run a step.
+// Ticket allows one incarnation of a worker to run a step.
 type Ticket struct {
 	Worker string
 	Text   string
@@ -40,75 +41,77 @@
 func (AskAdvice) effect()     {}
 func (AdviceAnswered) event() {}
 
-// advice is what is known of the workers that may run a step.
+// advice is what is known about which workers may run a step.
 type advice struct {
-	asking  bool
-	retry   time.Time
-	verdict map[string]verdict // by worker
+	asking   bool
+	retryAt  time.Time
+	verdicts map[string]verdict // by worker id
 }
 
-// verdict is the advice on one worker. Whether it may run the step does not
-// change; a ticket is for one life of the worker and a time.
+// verdict is the advice about one worker. Whether the worker is allowed never
+// changes; a ticket expires and is for one incarnation of the worker.
 type verdict struct {
-	allowed bool
-	ticket  string
-	born    int64
-	expires time.Time
+	allowed     bool
+	ticket      string
+	incarnation int64
+	expires     time.Time
 }
 
-// ticketFor returns a ticket that is valid on the worker.
+// ticketFor returns a ticket for the step that is valid on the worker now.
 func (st *step) ticketFor(w *worker, now time.Time) (string, bool) {
-	v := st.advice.verdict[w.reg.ID]
-	if !v.allowed || v.born != w.reg.Incarnation || !now.Before(v.expires) {
+	v := st.advice.verdicts[w.reg.ID]
+	if !v.allowed || v.incarnation != w.reg.Incarnation || !now.Before(v.expires) {
 		return "", false
 	}
 	return v.ticket, true
 }
 
-// seekAdvice asks for tickets, if those at hand don't do for the tasks that wait.
+// seekAdvice requests tickets for workers that have room for the step's waiting
+// tasks but no valid ticket.
 func (p *placement) seekAdvice(st *step) {
 	s := p.s
-	if !st.job.queue.Advice.Needed || st.advice.asking || st.waiting == 0 || s.now.Before(st.advice.retry) {
+	if !st.job.queue.Advice.Needed || st.advice.asking || st.waiting == 0 || s.now.Before(st.advice.retryAt) {
 		return
 	}
-	ask := p.candidates(st)
+	ask := p.adviceCandidates(st)
 	if len(ask) == 0 {
 		return
 	}
 	st.advice.asking = true
 	s.emit(AskAdvice{Step: st.tasks[0].id(), Workers: ask})
-	s.emit(Log{Message: "advice asked for", Job: st.job.spec.ID, Task: st.tasks[0].id().StepID()})
+	s.emit(Log{Message: "advice requested", Job: st.job.spec.ID, Task: st.tasks[0].id().StepID()})
 }
 
-// candidates are the workers with room whose tickets are wanted: those that
-// are known to be allowed first, then those not asked for yet.
-func (p *placement) candidates(st *step) []specifier.Worker {
-	need := st.fitterNeed()
+// adviceCandidates returns workers with room for the step and without a valid ticket,
+// at most maxAdviceWorkers: first those known to be allowed, then those that
+// haven't been requested yet.
+func (p *placement) adviceCandidates(st *step) []specifier.Worker {
+	request := st.request()
 	var known, unknown []int
 	for i, w := range p.workers {
-		v, asked := st.advice.verdict[w.reg.ID]
+		v, asked := st.advice.verdicts[w.reg.ID]
 		_, valid := st.ticketFor(w, p.s.now)
 		switch {
-		case valid || asked && !v.allowed || !need.Fits(&p.rooms[i]) || !w.reg.HasLabel(st.spec.Label):
+		case valid || asked && !v.allowed || !request.Fits(&p.candidates[i]) || !w.reg.HasLabel(st.spec.Label):
 		case asked:
 			known = append(known, i)
 		default:
 			unknown = append(unknown, i)
 		}
 	}
-	byRoom := func(a, b int) int { return cmp.Compare(p.rooms[b].Free.CPU, p.rooms[a].Free.CPU) }
+	byRoom := func(a, b int) int { return cmp.Compare(p.candidates[b].Free.CPU, p.candidates[a].Free.CPU) }
 	slices.SortStableFunc(known, byRoom)
 	slices.SortStableFunc(unknown, byRoom)
 	chosen := append(known, unknown...)
 	var out []specifier.Worker
-	for _, i := range chosen[:min(len(chosen), adviceWorkers)] {
+	for _, i := range chosen[:min(len(chosen), maxAdviceWorkers)] {
 		out = append(out, p.workers[i].reg)
 	}
 	return out
 }
 
-// advised takes in the answer.
-func (s *Shard) advised(e AdviceAnswered) {
+// adviceAnswered stores the tickets of an answer.
+func (s *Shard) adviceAnswered(e AdviceAnswered) {
 	j := s.jobs[e.Step.Job]
 	if j == nil || j.task(e.Step) == nil {
 		return
@@ -116,21 +119,21 @@
 	st := j.task(e.Step).step
 	st.advice.asking = false
 	if e.Failed {
-		st.advice.retry = s.now.Add(adviceRetry)
+		st.advice.retryAt = s.now.Add(adviceRetryDelay)
 		return
 	}
-	if st.advice.verdict == nil {
-		st.advice.verdict = make(map[string]verdict)
+	if st.advice.verdicts == nil {
+		st.advice.verdicts = make(map[string]verdict)
 	}
 	for _, w := range e.Asked {
-		v := verdict{born: w.Incarnation}
+		v := verdict{incarnation: w.Incarnation}
 		for _, t := range e.Tickets {
 			if t.Worker == w.ID {
 				v.allowed, v.ticket = true, t.Text
-				v.expires = s.now.Add(e.Validity - adviceMargin)
+				v.expires = s.now.Add(e.Validity - ticketMargin)
 			}
 		}
-		st.advice.verdict[w.ID] = v
+		st.advice.verdicts[w.ID] = v
 	}
-	s.changed = true
+	s.placementDue = true
 }
--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -10,16 +10,17 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// desk drives one Shard by hand and keeps its effects.
-type desk struct {
+// harness feeds a Shard events and collects its effects. It confirms commits at
+// once.
+type harness struct {
 	*Shard
 	effects []Effect
 	batch   int64
 }
 
-func newDesk(queue specifier.Queue, workers ...string) *desk {
-	d := &desk{Shard: New(Options{
-		Name: "desk", Service: "desk", Lease: worldLease, OutageLimit: worldOutage, PollWait: time.Second,
+func newHarness(queue specifier.Queue, workers ...string) *harness {
+	h := &harness{Shard: New(Options{
+		Name: "desk", Service: "desk", Lease: simLease, OutageLimit: simOutageLimit, PollWait: time.Second,
 	}, epoch)}
 	var list []specifier.Worker
 	for _, id := range workers {
@@ -27,42 +28,42 @@
 			ID: id, Incarnation: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
 		})
 	}
-	d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
+	h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
 	for _, id := range workers {
-		d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
+		h.feed(PollAnswered{Worker: id, Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 	}
-	d.pass(100 * time.Millisecond)
-	return d
+	h.advance(100 * time.Millisecond)
+	return h
 }
 
-func (d *desk) do(events ...Event) {
-	d.effects = append(d.effects, d.Reduce(d.now, events...)...)
-	for _, e := range d.effects {
-		if c, ok := e.(Commit); ok && c.Batch > d.batch {
-			d.batch = c.Batch
-			d.do(Committed{Batch: c.Batch})
+func (h *harness) feed(events ...Event) {
+	h.effects = append(h.effects, h.Reduce(h.now, events...)...)
+	for _, e := range h.effects {
+		if c, ok := e.(Commit); ok && c.Batch > h.batch {
+			h.batch = c.Batch
+			h.feed(Committed{Batch: c.Batch})
 			return
 		}
 	}
 }
 
-func (d *desk) pass(t time.Duration) {
-	d.now = d.now.Add(t)
-	d.do(OwnershipChecked{Confirmed: true}, Tick{})
+func (h *harness) advance(t time.Duration) {
+	h.now = h.now.Add(t)
+	h.feed(OwnershipChecked{Confirmed: true}, Tick{})
 }
 
-// taken removes and returns the effects of one type.
-func taken[E Effect](d *desk) []E {
+// takeEffects removes and returns the collected effects of one type.
+func takeEffects[E Effect](h *harness) []E {
 	var out []E
 	var rest []Effect
-	for _, one := range d.effects {
+	for _, one := range h.effects {
 		if e, ok := one.(E); ok {
 			out = append(out, e)
 		} else {
 			rest = append(rest, one)
 		}
 	}
-	d.effects = rest
+	h.effects = rest
 	return out
 }
 
@@ -77,60 +78,60 @@
 var _ = Describe("advice", func() {
 	advised := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2, Advice: specifier.Advice{Needed: true}}
 
-	It("is asked for before a start, and its ticket goes with the start", func() {
-		d := newDesk(advised, "w1", "w2", "w3")
-		d.do(JobArrived{Job: oneStep(2, nil)})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		asked := taken[AskAdvice](d)
+	It("is requested before a start, which then carries the ticket", func() {
+		h := newHarness(advised, "w1", "w2", "w3")
+		h.feed(JobArrived{Job: oneStep(2, nil)})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		asked := takeEffects[AskAdvice](h)
 		Expect(asked).To(HaveLen(1))
 		Expect(asked[0].Workers).To(HaveLen(3))
-		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w2", "t2"}}, Validity: 3 * time.Second})
-		starts := taken[StartRun](d)
+		h.feed(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w2", "t2"}}, Validity: 3 * time.Second})
+		starts := takeEffects[StartRun](h)
 		Expect(starts).To(HaveLen(2))
 		Expect(starts).To(HaveEach(And(HaveField("Worker.ID", "w2"), HaveField("Ticket", "t2"))))
 	})
 
-	It("is asked for again after a failure, and for a ticket that is too old", func() {
-		d := newDesk(advised, "w1")
-		d.do(JobArrived{Job: oneStep(9, nil)})
-		asked := taken[AskAdvice](d)
-		d.do(AdviceAnswered{Step: asked[0].Step, Failed: true})
-		Expect(taken[AskAdvice](d)).To(BeEmpty())
-		d.pass(adviceRetry)
-		asked = taken[AskAdvice](d)
+	It("is requested again after a failure and for an expired ticket", func() {
+		h := newHarness(advised, "w1")
+		h.feed(JobArrived{Job: oneStep(9, nil)})
+		asked := takeEffects[AskAdvice](h)
+		h.feed(AdviceAnswered{Step: asked[0].Step, Failed: true})
+		Expect(takeEffects[AskAdvice](h)).To(BeEmpty())
+		h.advance(adviceRetryDelay)
+		asked = takeEffects[AskAdvice](h)
 		Expect(asked).To(HaveLen(1))
-		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w1", "t1"}}, Validity: time.Second})
-		starts := taken[StartRun](d)
+		h.feed(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w1", "t1"}}, Validity: time.Second})
+		starts := takeEffects[StartRun](h)
 		Expect(starts).To(HaveLen(4))
-		d.pass(time.Second)
-		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
-		d.pass(time.Second)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		Expect(taken[AskAdvice](d)).To(HaveLen(1))
+		h.advance(time.Second)
+		h.feed(StartAnswered{Worker: "w1", Incarnation: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
+		h.advance(time.Second)
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		Expect(takeEffects[AskAdvice](h)).To(HaveLen(1))
 	})
 
-	It("does not ask twice for a worker that may not run the step", func() {
-		d := newDesk(advised, "w1")
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		asked := taken[AskAdvice](d)
-		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers})
-		d.pass(5 * time.Second)
-		Expect(taken[AskAdvice](d)).To(BeEmpty())
+	It("isn't requested twice for a worker that must not run the step", func() {
+		h := newHarness(advised, "w1")
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		asked := takeEffects[AskAdvice](h)
+		h.feed(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers})
+		h.advance(5 * time.Second)
+		Expect(takeEffects[AskAdvice](h)).To(BeEmpty())
 	})
 })
 
 var _ = Describe("a step", func() {
 	queue := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2}
 
-	It("starts a gang whole or not at all", func() {
+	It("starts all tasks of a gang or none", func() {
 		gang := func(s *specifier.Step) { s.Gang = true }
-		d := newDesk(queue, "w1", "w2")
-		d.do(JobArrived{Job: oneStep(9, gang)}) // room for eight
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d = newDesk(queue, "w1", "w2")
-		d.do(JobArrived{Job: oneStep(8, gang)})
-		starts := taken[StartRun](d)
+		h := newHarness(queue, "w1", "w2")
+		h.feed(JobArrived{Job: oneStep(9, gang)}) // there is room for 8
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h = newHarness(queue, "w1", "w2")
+		h.feed(JobArrived{Job: oneStep(8, gang)})
+		starts := takeEffects[StartRun](h)
 		Expect(starts).To(HaveLen(8))
 		Expect(starts).To(HaveEach(HaveField("Run", int64(1))))
 	})
@@ -138,33 +139,33 @@
 	It("waits for its due time", func() {
 		job := oneStep(1, nil)
 		job.Repeat, job.First, job.Every = 2, epoch.Add(2*time.Second), 3*time.Second
-		d := newDesk(queue, "w1")
-		d.do(JobArrived{Job: job})
-		d.pass(time.Second)
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.pass(time.Second)
-		Expect(taken[StartRun](d)).To(HaveLen(1))
-		d.pass(3 * time.Second)
-		second := taken[StartRun](d)
+		h := newHarness(queue, "w1")
+		h.feed(JobArrived{Job: job})
+		h.advance(time.Second)
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.advance(time.Second)
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
+		h.advance(3 * time.Second)
+		second := takeEffects[StartRun](h)
 		Expect(second).To(HaveLen(1))
 		Expect(second[0].Task.Occurrence).To(Equal(1))
 	})
 
-	It("keeps its data's rack as long as there is room there", func() {
-		d := newDesk(queue, "w1", "w2")
-		d.workers["w2"].rack = "r1-2"
-		d.do(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.PreferredRack = "r1-2" })})
+	It("prefers the rack of its data while there is room", func() {
+		h := newHarness(queue, "w1", "w2")
+		h.workers["w2"].rack = "r1-2"
+		h.feed(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.PreferredRack = "r1-2" })})
 		count := make(map[string]int)
-		for _, s := range taken[StartRun](d) {
+		for _, s := range takeEffects[StartRun](h) {
 			count[s.Worker.ID]++
 		}
 		Expect(count).To(Equal(map[string]int{"w2": 4, "w1": 1}))
 	})
 
-	It("goes on without a filler's CPU being counted", func() {
-		d := newDesk(queue, "w1")
-		d.do(JobArrived{Job: oneStep(1, func(s *specifier.Step) { s.Filler = true })})
-		Expect(taken[StartRun](d)).To(HaveLen(1))
-		Expect(d.workers["w1"].used.counted.CPU).To(BeZero())
+	It("reserves no CPU for a filler", func() {
+		h := newHarness(queue, "w1")
+		h.feed(JobArrived{Job: oneStep(1, func(s *specifier.Step) { s.Filler = true })})
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
+		Expect(h.workers["w1"].allocated.reserved.CPU).To(BeZero())
 	})
 })
--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -7,53 +7,54 @@
 	"dotterelcart.dev/dotterelcart/internal/job/recorder"
 )
 
-// commit sends what has changed, one batch at a time.
+// commit emits a commit of changed jobs and the worker list. At most one commit
+// is in progress at a time.
 func (s *Shard) commit() {
-	if s.pending || len(s.dirty) == 0 && !s.unnamed || s.now.Sub(s.committed) < commitInterval {
+	if s.committing || len(s.dirtyJobs) == 0 && !s.hasUnrecorded || s.now.Sub(s.lastCommit) < commitInterval {
 		return
 	}
-	n := min(len(s.dirty), commitChanges)
+	n := min(len(s.dirtyJobs), maxCommitJobs)
 	changes := make([]Change, 0, n)
-	s.sent = s.sent[:0]
-	for _, j := range s.dirty[:n] {
+	s.batchJobs = s.batchJobs[:0]
+	for _, j := range s.dirtyJobs[:n] {
 		j.dirty = false
 		j.sent = j.version
-		change := Change{ID: j.spec.ID, Queue: j.spec.Queue, State: j.shown()}
+		change := Change{ID: j.spec.ID, Queue: j.spec.Queue, State: j.state()}
 		if j.final != "" {
 			change.State = j.final
 		} else {
 			change.Progress = j.progress()
 		}
 		changes = append(changes, change)
-		s.sent = append(s.sent, j)
+		s.batchJobs = append(s.batchJobs, j)
 	}
-	s.dirty = slices.Delete(s.dirty, 0, n)
-	s.batch++
-	s.pending = true
-	s.committed = s.now
-	s.name()
-	s.emit(Commit{Batch: s.batch, Changes: changes, Workers: s.naming})
+	s.dirtyJobs = slices.Delete(s.dirtyJobs, 0, n)
+	s.lastBatch++
+	s.committing = true
+	s.lastCommit = s.now
+	s.chooseBatchWorkers()
+	s.emit(Commit{Batch: s.lastBatch, Changes: changes, Workers: s.batchWorkers})
 }
 
-// committedBatch takes in that a batch is durable, and lets the ends that
-// caused it be acknowledged.
-func (s *Shard) committedBatch(batch int64) {
-	if batch != s.batch || !s.pending {
+// batchCommitted handles the confirmation of a commit: jobs with a final state
+// are removed, and the ends that caused the changes may be acknowledged.
+func (s *Shard) batchCommitted(batch int64) {
+	if batch != s.lastBatch || !s.committing {
 		return
 	}
-	s.pending = false
-	s.contact = s.now
-	for _, j := range s.sent {
+	s.committing = false
+	s.confirmedAt = s.now
+	for _, j := range s.batchJobs {
 		j.durable = j.sent
 		if j.final != "" && !j.dirty {
 			delete(s.jobs, j.spec.ID)
-			s.ended[j.spec.ID] = s.now
+			s.endedAt[j.spec.ID] = s.now
 		}
 	}
-	for _, id := range s.naming {
-		if w := s.workers[id]; w != nil && !w.named {
-			w.named = true
-			s.changed = true
+	for _, id := range s.batchWorkers {
+		if w := s.workers[id]; w != nil && !w.recorded {
+			w.recorded = true
+			s.placementDue = true
 		}
 	}
 	for _, w := range s.workers {
@@ -61,30 +62,31 @@
 	}
 }
 
-// name chooses the workers that the next commit names. Nothing is started on a
-// worker before a durable commit names it, nor after one leaves it out.
-func (s *Shard) name() {
-	s.naming = s.usedWorkers()
-	s.unnamed = false
-	for _, w := range s.roster {
-		if _, ok := slices.BinarySearch(s.naming, w.reg.ID); !ok {
-			w.named = false
+// chooseBatchWorkers sets the worker list of the next commit. Runs are started
+// only on workers in the durable list, so that a new owner knows all workers
+// that may have runs.
+func (s *Shard) chooseBatchWorkers() {
+	s.batchWorkers = s.workersToRecord()
+	s.hasUnrecorded = false
+	for _, w := range s.sortedWorkers {
+		if _, ok := slices.BinarySearch(s.batchWorkers, w.reg.ID); !ok {
+			w.recorded = false
 		}
 	}
 }
 
-// usedWorkers returns the sorted ids of the workers that a successor has to
-// hear from, or whose leases it has to let lapse, before it may start what it
-// inherits.
-func (s *Shard) usedWorkers() []string {
-	used := make([]string, 0, len(s.roster))
-	for _, w := range s.roster {
-		_, inherited := s.inherited[w.reg.ID]
-		if inherited || w.isUsed() {
+// workersToRecord returns the sorted ids of the workers that may have runs. A
+// new owner has to hear from them, or wait until their leases have expired,
+// before it starts tasks of inherited jobs.
+func (s *Shard) workersToRecord() []string {
+	used := make([]string, 0, len(s.sortedWorkers))
+	for _, w := range s.sortedWorkers {
+		_, inherited := s.inheritedExpiry[w.reg.ID]
+		if inherited || w.mayHaveRuns() {
 			used = append(used, w.reg.ID)
 		}
 	}
-	for id := range s.inherited {
+	for id := range s.inheritedExpiry {
 		if s.workers[id] == nil {
 			used = append(used, id)
 		}
@@ -93,23 +95,23 @@
 	return used
 }
 
-// isUsed reports whether the worker has runs, or may be given one.
-func (w *worker) isUsed() bool {
-	isSilent := w.failing > 0 || !w.missing.IsZero()
-	return len(w.runs) > 0 || len(w.ends) > 0 || !isSilent
+// mayHaveRuns reports whether the worker has runs or may get some.
+func (w *worker) mayHaveRuns() bool {
+	isSilent := w.failedPolls > 0 || !w.unregisteredAt.IsZero()
+	return len(w.runs) > 0 || len(w.pendingEnds) > 0 || !isSilent
 }
 
-// WorkerLeases returns what a successor has to know of a shard that ends at now:
-// the workers that may have runs, and for how long leases there may go on.
+// WorkerLeases returns the workers that may have runs when the ownership ends
+// at now, and how long the leases on each may remain valid.
 func (s *Shard) WorkerLeases(now time.Time) []recorder.WorkerLease {
-	used := s.usedWorkers()
-	left := make([]recorder.WorkerLease, 0, len(used))
+	used := s.workersToRecord()
+	leases := make([]recorder.WorkerLease, 0, len(used))
 	for _, id := range used {
-		lapse := s.inherited[id].Sub(now)
+		remaining := s.inheritedExpiry[id].Sub(now)
 		if w := s.workers[id]; w != nil {
-			lapse = max(lapse, w.lapsed.Sub(now))
+			remaining = max(remaining, w.leaseExpiry.Sub(now))
 		}
-		left = append(left, recorder.WorkerLease{Worker: id, Remaining: max(lapse, 0)})
+		leases = append(leases, recorder.WorkerLease{Worker: id, Remaining: max(remaining, 0)})
 	}
-	return left
+	return leases
 }
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -1,34 +1,36 @@
-// Package dispatcher runs the jobs of one shard on the shard's workers, as a
-// pure function.
+// Package dispatcher schedules the jobs of one shard on the shard's workers.
+// It is a deterministic state machine: it takes events and returns effects.
 //
 // # Model
 //
-// The owner of a shard feeds a [Shard] one [Event] at a time and carries out
-// the [Effect] values that each returns. Nothing here does I/O, reads a clock
-// or starts a goroutine.
+// A shard is a set of workers of one service together with the jobs that run
+// on them; exactly one daemon owns it at a time. The owner feeds events to a
+// [Shard] and executes the [Effect] values that it returns. Nothing here does
+// I/O, reads a clock or starts a goroutine.
 //
 //	s := dispatcher.New(options, now)
 //	for event := range events {
-//		carryOut(s.Reduce(time.Now(), event))
+//		execute(s.Reduce(time.Now(), event))
 //	}
 //
-// # What is durable
+// # Durable state
 //
-// Accepted jobs, cancellations, ends of tasks and checkpoints are in the
-// store. Starts are not: what runs is learnt from the workers. A run's number
-// rises over owners, because its high part is the ownership's epoch. An end is
-// acknowledged to its worker only when the change it caused is durable, so a
-// successor hears of it again.
+// Accepted jobs, cancellations, completed tasks, failed runs and checkpoints
+// are in the store. Starts are not: an owner learns from the workers'
+// inventories what runs. Run numbers of a task increase across owners because
+// each contains the epoch of the ownership. The end of a run is acknowledged
+// to its worker only after the change that it caused is durable; until then
+// the worker keeps listing it, also to a new owner.
 //
-// # When a run is over
+// # When a run has ended
 //
-// A run counts as over when its worker lists its end, when an inventory asked
-// for after the start was confirmed lacks it, when the worker has been born
-// again, or when every lease that can have been given on the worker has
-// lapsed. A start without an answer is settled by a stop of the same run,
-// after which the worker refuses it. A successor starts nothing of an
-// inherited job before each worker that may have a run of it has answered or
-// has lapsed.
+// A run has ended when its worker lists its end, when an inventory requested
+// after the start was confirmed doesn't contain it, when the worker has
+// restarted, or when every lease that may have been granted on the worker has
+// expired. If a start gets no answer, the same run is stopped, after which the
+// worker refuses to start it. A new owner starts a task of an inherited job
+// only after each worker that may run it has answered or its leases have
+// expired.
 package dispatcher
 
 import (
@@ -41,108 +43,109 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// Times and sizes of the dispatcher.
+// Intervals and limits of the dispatcher.
 const (
-	renewInterval   = time.Second            // longest time between renewals of a worker's leases
-	endPause        = 60 * time.Millisecond  // between inventories while ends wait to become durable
-	failedPause     = 250 * time.Millisecond // before an unanswered inventory is asked for again
-	commitInterval  = 40 * time.Millisecond
-	publishInterval = 700 * time.Millisecond
-	paceInterval    = 500 * time.Millisecond
-	commitChanges   = 7    // jobs of one commit; each takes up to four entries of a transaction
-	runsOfEpoch     = 1000 // run numbers of one ownership, for one task
-	clockDrift      = 0.03 // bound on how much slower a worker's steady clock may run
-	lapseMargin     = 200 * time.Millisecond
+	renewInterval    = time.Second            // maximum time between renewals of a worker's leases
+	pendingPollDelay = 60 * time.Millisecond  // delay between polls while ends of runs aren't durable yet
+	pollRetryDelay   = 250 * time.Millisecond // delay before a failed poll is repeated
+	commitInterval   = 40 * time.Millisecond
+	publishInterval  = 700 * time.Millisecond
+	paceInterval     = 500 * time.Millisecond
+	maxCommitJobs    = 7    // a job takes up to 4 entries of a transaction
+	runsPerEpoch     = 1000 // run numbers available to one ownership for each task
+	maxClockDrift    = 0.03 // fraction by which a worker's monotonic clock may run slow
+	expiryMargin     = 200 * time.Millisecond
 )
 
-// Options are what a Shard needs to know.
+// Options configure a Shard.
 type Options struct {
 	Name    string
 	Service string
-	Domain  string // failure domain of its workers
+	Domain  string // failure domain of the workers; empty for all domains
 
-	Epoch   int64    // number of ownerships before this one
-	Workers []string // that may have runs of an earlier ownership
+	Epoch   int64    // number of earlier ownerships
+	Workers []string // ids of workers that may have runs of an earlier ownership
 
-	Released     bool                   // the predecessor has stopped as planned
-	WorkerLeases []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
+	Released     bool                   // the previous owner shut down in order
+	WorkerLeases []recorder.WorkerLease // set if Released: replaces Workers
 
-	Lease       time.Duration // granted to everything that runs on a worker with each renewal
-	OutageLimit time.Duration // how long an owner that can't reach the store goes on
-	PollWait    time.Duration // how long a renewal waits at the worker for an end
-	ClockError  time.Duration // by which the time of day may be off, ahead of a due time
+	Lease       time.Duration // granted to all runs on a worker with each poll
+	OutageLimit time.Duration // how long an owner keeps working without the store
+	PollWait    time.Duration // how long a poll waits at the worker for a run to end
+	ClockError  time.Duration // maximum error of the wall clock; due times are delayed by it
 }
 
-// Shard is the state of one owned shard. Only one goroutine may use it.
+// Shard is the scheduling state of one owned shard. It is not safe for
+// concurrent use.
 type Shard struct {
-	options Options
-	now     time.Time
-	claimed time.Time
-	catalog *specifier.Catalog
-	effects []Effect
+	options   Options
+	now       time.Time
+	claimedAt time.Time
+	catalog   *specifier.Catalog
+	effects   []Effect
 
-	jobs    map[string]*job
-	ended   map[string]time.Time // jobs that ended durably: when
-	early   map[string]time.Time // cancellations of jobs that have not arrived: when
-	steps   []*step              // with waiting tasks, in no order
-	workers map[string]*worker
-	roster  []*worker        // the same, sorted by id
-	unnamed bool             // a worker that answers is not named yet
-	harm    *learner.Learner // how fillers disturb serving tasks, by image
-	beliefs beliefs
-	ending  time.Time // when a task last started that reserves room and does not last
+	jobs            map[string]*job
+	endedAt         map[string]time.Time // jobs whose end is durable, by id
+	earlyCancels    map[string]time.Time // cancellations that came before their jobs, by job id
+	waitingSteps    []*step              // steps with waiting tasks, unordered
+	workers         map[string]*worker
+	sortedWorkers   []*worker        // the values of workers, sorted by id
+	hasUnrecorded   bool             // a worker that answers isn't in the durable worker list
+	interference    *learner.Learner // learns how fillers slow down serving tasks, by image
+	estimates       estimateCache
+	lastFiniteStart time.Time // last start of a finite task that reserves CPU
 
-	inherited map[string]time.Time // workers that may have runs of an earlier ownership: when these have lapsed
-	listed    bool                 // the registered workers are known
-	contact   time.Time            // when the store last confirmed the ownership
-	resigned  bool
+	inheritedExpiry map[string]time.Time // when the last leases of earlier owners expire, by worker id
+	workersListed   bool                 // WorkersListed has been received
+	confirmedAt     time.Time            // when the store last confirmed the ownership
+	resigned        bool
 
-	batch     int64
-	pending   bool     // a commit is on its way
-	sent      []*job   // of the last commit
-	naming    []string // workers that the last commit names
-	committed time.Time
-	published time.Time
-	dirty     []*job
-	changed   bool // work or room has changed since the last placement
+	lastBatch    int64
+	committing   bool     // a commit is in progress
+	batchJobs    []*job   // jobs in the last commit
+	batchWorkers []string // worker list in the last commit
+	lastCommit   time.Time
+	lastPublish  time.Time
+	dirtyJobs    []*job
+	placementDue bool // waiting work or free room has changed since the last placement
 }
 
 // New returns the state of a shard that was claimed at now.
 func New(o Options, now time.Time) *Shard {
 	s := &Shard{
-		options:   o,
-		now:       now,
-		claimed:   now,
-		catalog:   &specifier.Catalog{},
-		jobs:      make(map[string]*job),
-		ended:     make(map[string]time.Time),
-		early:     make(map[string]time.Time),
-		workers:   make(map[string]*worker),
-		harm:      newHarm(),
-		inherited: make(map[string]time.Time),
-		contact:   now,
+		options:         o,
+		now:             now,
+		claimedAt:       now,
+		catalog:         &specifier.Catalog{},
+		jobs:            make(map[string]*job),
+		endedAt:         make(map[string]time.Time),
+		earlyCancels:    make(map[string]time.Time),
+		workers:         make(map[string]*worker),
+		interference:    newInterferenceLearner(),
+		inheritedExpiry: make(map[string]time.Time),
+		confirmedAt:     now,
 	}
 	if o.Released {
-		for _, left := range o.WorkerLeases {
-			s.inherited[left.Worker] = now.Add(left.Remaining)
+		for _, lease := range o.WorkerLeases {
+			s.inheritedExpiry[lease.Worker] = now.Add(lease.Remaining)
 		}
 		return s
 	}
-	// A predecessor that can't reach the store goes on renewing for OutageLimit.
-	lapsed := now.Add(stretch(o.OutageLimit+o.Lease) + lapseMargin)
+	// An earlier owner that can't reach the store renews leases for OutageLimit.
+	expiry := now.Add(withDrift(o.OutageLimit+o.Lease) + expiryMargin)
 	for _, id := range o.Workers {
-		s.inherited[id] = lapsed
+		s.inheritedExpiry[id] = expiry
 	}
 	return s
 }
 
-// stretch is the longest time that d on a worker's clock takes.
-func stretch(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*clockDrift)
+// withDrift returns the longest time in which a worker's clock can advance by d.
+func withDrift(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*maxClockDrift)
 }
 
-// Reduce takes in events and returns what is to be done, in order. Work is
-// placed once for all of them.
+// Reduce applies events to the state and returns the effects to execute, in
+// order. Waiting tasks are placed once after all events.
 func (s *Shard) Reduce(now time.Time, events ...Event) []Effect {
 	s.effects = nil
 	if now.After(s.now) {
@@ -152,14 +155,14 @@
 		if s.resigned {
 			return s.effects
 		}
-		s.take(event)
+		s.handle(event)
 	}
 	if s.resigned {
 		return s.effects
 	}
-	if s.changed {
-		s.changed = false
-		s.place()
+	if s.placementDue {
+		s.placementDue = false
+		s.placeSteps()
 	}
 	s.commit()
 	return s.effects
@@ -167,129 +170,133 @@
 
 func (s *Shard) emit(e Effect) { s.effects = append(s.effects, e) }
 
-func (s *Shard) take(event Event) {
+// handle applies one event to the state.
+func (s *Shard) handle(event Event) {
 	switch e := event.(type) {
 	case Tick:
 		s.tick()
 	case CatalogUpdated:
-		s.configure(e.Catalog)
+		s.applyCatalog(e.Catalog)
 	case WorkersListed:
 		s.listWorkers(e.Workers)
 	case JobLoaded:
-		s.load(e)
+		s.loadJob(e)
 	case JobArrived:
-		s.arrive(e.Job)
+		s.addJob(e.Job)
 	case JobCancelled:
-		s.cancel(e.ID)
+		s.cancelJob(e.ID)
 	case PollAnswered:
-		s.held(e)
+		s.pollAnswered(e)
 	case PollFailed:
-		s.holdFailed(e)
+		s.pollFailed(e)
 	case StartAnswered:
 		s.startAnswered(e)
 	case StopAnswered:
 		s.stopAnswered(e)
 	case AdviceAnswered:
-		s.advised(e)
+		s.adviceAnswered(e)
 	case PaceAnswered:
 		s.paceAnswered(e)
 	case JobMoved:
-		s.moved(e)
+		s.jobMoved(e)
 	case Committed:
-		s.committedBatch(e.Batch)
+		s.batchCommitted(e.Batch)
 	case OwnershipChecked:
-		s.contact = s.now
+		s.confirmedAt = s.now
 		if !e.Confirmed {
-			s.contact = s.now.Add(-s.options.OutageLimit)
+			s.confirmedAt = s.now.Add(-s.options.OutageLimit)
 		}
 	}
 }
 
-// openTime is how long after its claim a shard lets its predecessor's summary
-// stand while no worker has answered.
-const openTime = 1500 * time.Millisecond
+// summaryDelay is how long after the claim the previous owner's load summary
+// stays in place while most workers haven't answered.
+const summaryDelay = 1500 * time.Millisecond
 
-// isOpen reports whether the shard knows enough of its workers for a summary.
-func (s *Shard) isOpen() bool {
-	if s.now.Sub(s.claimed) >= openTime {
+// canSummarize reports whether enough workers have answered for a load summary.
+func (s *Shard) canSummarize() bool {
+	if s.now.Sub(s.claimedAt) >= summaryDelay {
 		return true
 	}
 	answered := 0
 	for _, w := range s.workers {
-		if w.synced {
+		if w.reported {
 			answered++
 		}
 	}
-	return s.listed && answered*2 > len(s.workers)
+	return s.workersListed && answered*2 > len(s.workers)
 }
 
-// configure takes in a catalog. Jobs of a queue that is gone go on with what
-// they were accepted under.
-func (s *Shard) configure(c *specifier.Catalog) {
+// applyCatalog puts a configuration in force. Jobs of a queue that was removed
+// keep the configuration that they had.
+func (s *Shard) applyCatalog(c *specifier.Catalog) {
 	s.catalog = c
 	for _, j := range s.jobs {
 		if q, ok := c.Queue(j.spec.Queue); ok {
 			j.queue = q
 		}
 	}
-	s.changed = true
+	s.placementDue = true
 }
 
-// mayAct reports whether the shard may still renew and start: an owner that
-// the store has not confirmed for OutageLimit stops, as a successor counts on.
-func (s *Shard) mayAct() bool { return s.now.Sub(s.contact) < s.options.OutageLimit }
+// mayAct reports whether the shard may start runs and renew leases. An owner
+// that the store hasn't confirmed for OutageLimit must not: a new owner relies
+// on it when it computes the expiry of inherited leases.
+func (s *Shard) mayAct() bool { return s.now.Sub(s.confirmedAt) < s.options.OutageLimit }
 
+// tick does what is due: polls, expiries, opening steps and the load summary.
 func (s *Shard) tick() {
 	s.expireInherited()
-	s.wake()
-	for _, w := range slices.Clone(s.roster) {
+	s.openDueSteps()
+	for _, w := range slices.Clone(s.sortedWorkers) {
 		s.reviewWorker(w)
 	}
-	if s.now.Sub(s.published) >= publishInterval && s.isOpen() {
-		s.published = s.now
+	if s.now.Sub(s.lastPublish) >= publishInterval && s.canSummarize() {
+		s.lastPublish = s.now
 		load := s.summarize()
 		s.emit(Publish{Load: load})
 		s.moveExcess(&load)
 		s.forgetEnded()
 	}
-	s.changed = true
+	s.placementDue = true
 }
 
-// endedTime is how long the record of an ended job may still be on its way to
-// the owner, through a watch that lags or a list that was read before the end.
-const endedTime = 2 * time.Minute
+// endedRetention is how long the ids of ended jobs are remembered. A delayed
+// watch, or a list read before the end, may still deliver their records.
+const endedRetention = 2 * time.Minute
 
 func (s *Shard) forgetEnded() {
-	isOld := func(_ string, at time.Time) bool { return s.now.Sub(at) > endedTime }
-	maps.DeleteFunc(s.ended, isOld)
-	maps.DeleteFunc(s.early, isOld)
+	isOld := func(_ string, at time.Time) bool { return s.now.Sub(at) > endedRetention }
+	maps.DeleteFunc(s.endedAt, isOld)
+	maps.DeleteFunc(s.earlyCancels, isOld)
 }
 
-// expireInherited gives up waiting for workers whose leases have lapsed.
+// expireInherited forgets inherited workers whose leases have expired.
 func (s *Shard) expireInherited() {
-	if !s.isConfirmed() {
+	if !s.isOwnershipConfirmed() {
 		return
 	}
-	for id, lapsed := range s.inherited {
-		if s.now.After(lapsed) {
-			s.emit(Log{Message: "inherited leases lapsed", Worker: id})
-			delete(s.inherited, id)
-			s.changed = true
+	for id, expiry := range s.inheritedExpiry {
+		if s.now.After(expiry) {
+			s.emit(Log{Message: "inherited leases expired", Worker: id})
+			delete(s.inheritedExpiry, id)
+			s.placementDue = true
 		}
 	}
 }
 
-// isSettled reports whether it is known of every inherited run where it is.
-func (s *Shard) isSettled() bool { return len(s.inherited) == 0 && s.listed }
+// knowsInheritedRuns reports whether every worker that may have runs of an
+// earlier ownership has answered or its leases have expired.
+func (s *Shard) knowsInheritedRuns() bool { return len(s.inheritedExpiry) == 0 && s.workersListed }
 
-// JobCount counts the jobs that have not ended.
+// JobCount returns the number of jobs whose end isn't durable.
 func (s *Shard) JobCount() int { return len(s.jobs) }
 
-// JobState is a job's state. It is false for a job that is not here.
+// JobState returns a job's state, or false if the shard doesn't have the job.
 func (s *Shard) JobState(id string) (specifier.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return "", false
 	}
-	return j.shown(), true
+	return j.state(), true
 }
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -7,53 +7,54 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// Event is anything that changes the state of a shard.
+// Event is an input of a Shard: an answer, a change or the passing of time.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick triggers what depends only on time. The owner sends it regularly.
 type Tick struct{}
 
-// CatalogUpdated delivers a version of the operators' configuration.
+// CatalogUpdated delivers a new version of the configuration.
 type CatalogUpdated struct{ Catalog *specifier.Catalog }
 
-// WorkersListed delivers the registered workers of the shard.
+// WorkersListed delivers the complete list of the shard's registered workers.
 type WorkersListed struct{ Workers []specifier.Worker }
 
-// JobLoaded delivers a job of an earlier ownership with its progress.
+// JobLoaded delivers a job that an earlier owner already had, with its durable
+// progress.
 type JobLoaded struct {
 	Job      specifier.Job
 	Progress recorder.Progress
-	Begun    bool // a task has started
+	Begun    bool // a task of the job has started
 }
 
 // JobArrived delivers a newly accepted job. Known jobs are ignored.
 type JobArrived struct{ Job specifier.Job }
 
-// JobCancelled delivers an accepted cancellation.
+// JobCancelled delivers an accepted cancellation. It may precede the job.
 type JobCancelled struct{ ID string }
 
-// PollAnswered is a worker's answer to HoldWorker.
+// PollAnswered is the successful outcome of a PollWorker.
 type PollAnswered struct {
 	Worker    string
-	Sent      time.Time // when the call began
+	Sent      time.Time // when the poll was sent
 	Inventory specifier.Inventory
 }
 
-// Fault is why a call to a worker did not have its effect.
+// Fault is the reason why a call to a worker had no confirmed effect.
 type Fault uint8
 
-// Faults.
+// Faults of calls to workers. Their texts are values of a metric label.
 const (
 	NoFault         Fault = iota
-	OutcomeUnknown        // no answer: the order may have been carried out, or may be yet
-	Fenced                // a higher token was seen there
-	StaleRun              // the run is not higher than one that ended there
-	LeaseExpired          // the lease had ended
-	NoRoom                // the worker has no room
-	InvalidTicket         // the ticket is not valid
-	InvalidOrder          // the worker could not read the order
-	Unhealthy             // refused by an unhealthy worker; nothing was done
-	WorkerRestarted       // another life answers at the address
+	OutcomeUnknown        // no answer: the order may have taken effect, or still may
+	Fenced                // the worker has seen a higher fencing token
+	StaleRun              // a run of the task with this or a higher number has already ended there
+	LeaseExpired          // the lease in the order had expired
+	NoRoom                // the worker has no free capacity
+	InvalidTicket         // the worker rejected the ticket
+	InvalidOrder          // the worker couldn't parse the order
+	Unhealthy             // an unhealthy worker refused the order
+	WorkerRestarted       // another incarnation of the worker answered
 	NotSent               // nothing reached the worker
 )
 
@@ -63,7 +64,7 @@
 	}[f]
 }
 
-// PollFailed is the outcome of a HoldWorker without an inventory.
+// PollFailed is the outcome of a PollWorker that returned no inventory.
 type PollFailed struct {
 	Worker      string
 	Incarnation int64
@@ -96,11 +97,12 @@
 	Fault  Fault
 }
 
-// Committed says that a Commit is durable.
+// Committed reports that a Commit is durable.
 type Committed struct{ Batch int64 }
 
-// OwnershipChecked says that the store has confirmed the ownership, or, with OK
-// false, that it is in doubt: nothing is ordered until it is confirmed.
+// OwnershipChecked reports whether the store has confirmed that this daemon
+// owns the shard. If it is in doubt, no orders are given until the next
+// confirmation.
 type OwnershipChecked struct{ Confirmed bool }
 
 func (Tick) event()             {}
@@ -117,29 +119,29 @@
 func (Committed) event()        {}
 func (OwnershipChecked) event() {}
 
-// Effect is something to be done outside the state.
+// Effect is an action that the owner of a Shard executes.
 type Effect interface{ effect() }
 
-// StartRun asks a worker to start a run. The answer is StartAnswered.
+// StartRun orders a worker to start a run. The answer is StartAnswered.
 type StartRun struct {
 	Worker     specifier.Worker
 	Task       specifier.TaskID
 	Run        int64
 	Payload    string
 	Checkpoint string
-	Ticket     string        // if the queue needs advice
-	LeaseEnd   time.Duration // by the worker's clock: its lease
+	Ticket     string        // only if the queue needs placement advice
+	LeaseEnd   time.Duration // end of the run's lease by the worker's clock
 }
 
-// StopRun asks a worker to stop a run. The answer is StopAnswered.
+// StopRun orders a worker to stop a run. The answer is StopAnswered.
 type StopRun struct {
 	Worker specifier.Worker
 	Task   specifier.TaskID
 	Run    int64
 }
 
-// PaceRun asks a worker to let a run work at a share of full speed. The answer
-// is PaceAnswered.
+// PaceRun orders a worker to throttle a run to a percentage of full speed. The
+// answer is PaceAnswered.
 type PaceRun struct {
 	Worker  specifier.Worker
 	Task    specifier.TaskID
@@ -147,34 +149,35 @@
 	Percent int
 }
 
-// PollWorker renews the lease on everything that runs on a worker, and lists
-// it. The answer is Held or HoldFailed.
+// PollWorker renews the leases of all runs on a worker and requests its
+// inventory. The worker may delay the answer until a run ends. The answer is
+// PollAnswered or PollFailed.
 type PollWorker struct {
 	Worker       specifier.Worker
-	Acknowledged int64         // ends up to this number are durable
-	LeaseEnd     time.Duration // by the worker's clock: the lease; 0 before the first answer
-	Wait         time.Duration // for an end
+	Acknowledged int64         // the worker may forget ends up to this number
+	LeaseEnd     time.Duration // end of the leases by the worker's clock; 0 to renew none
+	Wait         time.Duration // how long the worker may wait for a run to end
 }
 
-// Commit makes changes durable. The answer is Committed.
+// Commit writes changes to the store. The answer is Committed.
 type Commit struct {
 	Batch   int64
 	Changes []Change
-	Workers []string // that may have runs of this shard
+	Workers []string // ids of workers that may have runs of this shard
 }
 
-// Change is the durable part of one job.
+// Change is the new durable state of one job.
 type Change struct {
 	ID       string
 	Queue    string
 	State    specifier.State
-	Progress recorder.Progress // unless State is final
+	Progress recorder.Progress // empty if State is final
 }
 
-// Publish replaces the shard's load summary.
+// Publish replaces the shard's load summary in the store.
 type Publish struct{ Load recorder.Load }
 
-// Log is one line about a decision.
+// Log is a log line about a decision.
 type Log struct {
 	Message string
 	Job     string
@@ -182,10 +185,11 @@
 	Worker  string
 	Reason  string
 	Run     int64
-	Age     time.Duration // of the input that decided
+	Age     time.Duration // age of the information that the decision was based on
 }
 
-// Resign says that a worker has seen a higher token: the shard has another owner.
+// Resign gives up the ownership: the worker has seen a higher fencing token, so
+// another daemon owns the shard.
 type Resign struct{ Worker string }
 
 func (StartRun) effect()   {}
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -9,61 +9,61 @@
 
 const workerCPU = 4000
 
-// fakeWorker is a worker that keeps its part of the protocol and starts
-// whatever it is told to, also beyond its capacity.
+// fakeWorker follows the worker protocol but starts every run that is ordered,
+// also beyond its capacity.
 type fakeWorker struct {
-	world      *world
-	id         string
-	born       int64
-	token      int64
-	registered bool
-	dead       bool
-	draining   bool
-	hung       bool // its runs stand still
-	since      time.Time
-	lease      time.Time // when everything is killed
-	runs       map[specifier.TaskID]*fakeRun
-	highest    map[specifier.TaskID]int64 // run stopped or ended
-	ends       []specifier.End
-	last       int64
+	sim         *simulation
+	id          string
+	incarnation int64
+	token       int64
+	registered  bool
+	dead        bool
+	draining    bool
+	stalled     bool // its runs make no progress
+	startedAt   time.Time
+	leaseEnd    time.Time // when its runs are killed
+	runs        map[specifier.TaskID]*fakeRun
+	lastRun     map[specifier.TaskID]int64 // highest number of a stopped or ended run
+	pendingEnds []specifier.End
+	lastEnd     int64
 }
 
 type fakeRun struct {
-	number   int64
-	stopping bool
-	step     *specifier.Step
-	begun    time.Time
+	number    int64
+	stopping  bool
+	step      *specifier.Step
+	startedAt time.Time
 }
 
 func (m *fakeWorker) isUp() bool { return !m.dead }
 
-// bear begins a new life that knows nothing of before.
-func (m *fakeWorker) bear() {
-	m.born++
-	m.dead, m.token, m.last, m.ends = false, 0, 0, nil
-	m.since = m.world.now
+// restart begins a new incarnation without state.
+func (m *fakeWorker) restart() {
+	m.incarnation++
+	m.dead, m.token, m.lastEnd, m.pendingEnds = false, 0, 0, nil
+	m.startedAt = m.sim.now
 	m.runs = make(map[specifier.TaskID]*fakeRun)
-	m.highest = make(map[specifier.TaskID]int64)
+	m.lastRun = make(map[specifier.TaskID]int64)
 }
 
-func (m *fakeWorker) die() {
+func (m *fakeWorker) crash() {
 	m.dead = true
 	m.runs = make(map[specifier.TaskID]*fakeRun)
 }
 
 func (m *fakeWorker) registration() specifier.Worker {
 	return specifier.Worker{
-		ID: m.id, Incarnation: m.born, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
+		ID: m.id, Incarnation: m.incarnation, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
 		Capacity: describer.Resources{CPU: workerCPU, Memory: 10000},
 	}
 }
 
-// clock runs two percent slow.
+// clock is the worker's monotonic clock, which runs 2 % slow.
 func (m *fakeWorker) clock() time.Duration {
-	return time.Duration(float64(m.world.now.Sub(m.since)) * 0.98)
+	return time.Duration(float64(m.sim.now.Sub(m.startedAt)) * 0.98)
 }
 
-func (m *fakeWorker) fenced(token int64) bool {
+func (m *fakeWorker) isFenced(token int64) bool {
 	if token < m.token {
 		return true
 	}
@@ -71,128 +71,129 @@
 	return false
 }
 
-// extend takes in a lease; it never gets shorter.
-func (m *fakeWorker) extend(until time.Duration) {
-	at := m.world.now.Add(time.Duration(float64(min(until-m.clock(), 10*time.Second)) / 0.98))
-	if until == 0 || !at.After(m.lease) {
+// extendLease prolongs the lease of all runs; it never shortens it.
+func (m *fakeWorker) extendLease(leaseEnd time.Duration) {
+	expiry := m.sim.now.Add(time.Duration(float64(min(leaseEnd-m.clock(), 10*time.Second)) / 0.98))
+	if leaseEnd == 0 || !expiry.After(m.leaseEnd) {
 		return
 	}
-	m.lease = at
-	born := m.born
-	m.world.after(at.Sub(m.world.now), func() {
-		if m.born == born && !m.world.now.Before(m.lease) {
-			for _, id := range sortedFake(m.runs) {
-				m.end(id, specifier.OutcomeLeaseExpired)
+	m.leaseEnd = expiry
+	incarnation := m.incarnation
+	m.sim.schedule(expiry.Sub(m.sim.now), func() {
+		if m.incarnation == incarnation && !m.sim.now.Before(m.leaseEnd) {
+			for _, id := range sortedFakeRuns(m.runs) {
+				m.endRun(id, specifier.OutcomeLeaseExpired)
 			}
 		}
 	})
 }
 
 func (m *fakeWorker) start(token int64, e StartRun) Fault {
-	w := m.world
-	if m.fenced(token) {
+	s := m.sim
+	if m.isFenced(token) {
 		return Fenced
 	}
 	if e.LeaseEnd <= m.clock() {
 		return LeaseExpired
 	}
-	m.extend(e.LeaseEnd)
+	m.extendLease(e.LeaseEnd)
 	if r := m.runs[e.Task]; r != nil {
 		if r.number == e.Run {
 			return NoFault
 		}
 		return StaleRun
 	}
-	if e.Run <= m.highest[e.Task] {
+	if e.Run <= m.lastRun[e.Task] {
 		return StaleRun
 	}
-	step := &w.store[e.Task.Job].job.Steps[e.Task.Step]
-	w.note("%s starts %s run %d", m.id, e.Task, e.Run)
-	w.checkStart(m, e, step)
-	r := &fakeRun{number: e.Run, step: step, begun: w.now}
+	step := &s.store[e.Task.Job].job.Steps[e.Task.Step]
+	s.logf("%s starts %s run %d", m.id, e.Task, e.Run)
+	s.checkStart(m, e, step)
+	r := &fakeRun{number: e.Run, step: step, startedAt: s.now}
 	m.runs[e.Task] = r
 	if step.LongRunning {
 		return NoFault
 	}
-	w.after(step.Estimate, func() { m.work(e.Task, r) })
+	s.schedule(step.Estimate, func() { m.finishRun(e.Task, r) })
 	return NoFault
 }
 
-// work ends a run that has done its work.
-func (m *fakeWorker) work(id specifier.TaskID, r *fakeRun) {
+// finishRun ends a run after its run time.
+func (m *fakeWorker) finishRun(id specifier.TaskID, r *fakeRun) {
 	if m.dead || m.runs[id] != r || r.stopping {
 		return
 	}
-	if m.hung {
-		m.world.after(time.Second, func() { m.work(id, r) })
+	if m.stalled {
+		m.sim.schedule(time.Second, func() { m.finishRun(id, r) })
 		return
 	}
 	outcome := specifier.OutcomeDone
-	if m.world.random.Float64() < m.world.faulty {
+	if m.sim.random.Float64() < m.sim.failureRate {
 		outcome = specifier.OutcomeFailed
 	}
-	m.end(id, outcome)
+	m.endRun(id, outcome)
 }
 
-func (m *fakeWorker) end(id specifier.TaskID, outcome specifier.Outcome) {
+func (m *fakeWorker) endRun(id specifier.TaskID, outcome specifier.Outcome) {
 	r := m.runs[id]
 	delete(m.runs, id)
-	m.highest[id] = max(m.highest[id], r.number)
-	m.last++
-	m.world.note("%s ends %s run %d: %s", m.id, id, r.number, outcome)
-	m.ends = append(m.ends, specifier.End{Number: m.last, Task: id, Run: r.number, Outcome: outcome})
+	m.lastRun[id] = max(m.lastRun[id], r.number)
+	m.lastEnd++
+	m.sim.logf("%s ends %s run %d: %s", m.id, id, r.number, outcome)
+	m.pendingEnds = append(m.pendingEnds, specifier.End{Number: m.lastEnd, Task: id, Run: r.number, Outcome: outcome})
 	if outcome == specifier.OutcomeDone {
-		m.world.rules.done[id] = true
+		m.sim.invariants.completed[id] = true
 	}
 }
 
 func (m *fakeWorker) stop(token int64, id specifier.TaskID, number int64) Fault {
-	if m.fenced(token) {
+	if m.isFenced(token) {
 		return Fenced
 	}
 	r := m.runs[id]
-	m.highest[id] = max(m.highest[id], number)
+	m.lastRun[id] = max(m.lastRun[id], number)
 	if r == nil || r.number > number || r.stopping {
 		return NoFault
 	}
 	r.stopping = true
-	born := m.born
-	m.world.after(time.Duration(m.world.random.IntN(int(worldStop))), func() {
-		if m.born == born && m.runs[id] == r {
-			m.end(id, specifier.OutcomeStopped)
+	incarnation := m.incarnation
+	m.sim.schedule(time.Duration(m.sim.random.IntN(int(simStopTime))), func() {
+		if m.incarnation == incarnation && m.runs[id] == r {
+			m.endRun(id, specifier.OutcomeStopped)
 		}
 	})
 	return NoFault
 }
 
-func (m *fakeWorker) hold(token int64, e PollWorker) (specifier.Inventory, Fault) {
-	if m.fenced(token) {
+func (m *fakeWorker) poll(token int64, e PollWorker) (specifier.Inventory, Fault) {
+	if m.isFenced(token) {
 		return specifier.Inventory{}, Fenced
 	}
-	m.extend(e.LeaseEnd)
-	for len(m.ends) > 0 && m.ends[0].Number <= e.Acknowledged {
-		m.world.noteEnd(m.ends[0])
-		m.ends = m.ends[1:]
+	m.extendLease(e.LeaseEnd)
+	for len(m.pendingEnds) > 0 && m.pendingEnds[0].Number <= e.Acknowledged {
+		m.sim.recordAckedEnd(m.pendingEnds[0])
+		m.pendingEnds = m.pendingEnds[1:]
 	}
-	inventory := specifier.Inventory{Incarnation: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
-	for _, id := range sortedFake(m.runs) {
-		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.percent(m.runs[id])})
+	inventory := specifier.Inventory{Incarnation: m.incarnation, Clock: m.clock(), Ended: append([]specifier.End(nil), m.pendingEnds...)}
+	for _, id := range sortedFakeRuns(m.runs) {
+		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.progress(m.runs[id])})
 	}
 	return inventory, NoFault
 }
 
-// percent is how much of a run's work is done; it stands still on a hung worker.
-func (m *fakeWorker) percent(r *fakeRun) int {
+// progress returns a run's progress in percent; it is constant on a stalled
+// worker.
+func (m *fakeWorker) progress(r *fakeRun) int {
 	switch {
-	case m.hung:
+	case m.stalled:
 		return 50
 	case r.step.LongRunning:
 		return 100
 	}
-	return int(100 * m.world.now.Sub(r.begun) / (r.step.Estimate + 1))
+	return int(100 * m.sim.now.Sub(r.startedAt) / (r.step.Estimate + 1))
 }
 
-func sortedFake(runs map[specifier.TaskID]*fakeRun) []specifier.TaskID {
+func sortedFakeRuns(runs map[specifier.TaskID]*fakeRun) []specifier.TaskID {
 	ids := make([]specifier.TaskID, 0, len(runs))
 	for id := range runs {
 		ids = append(ids, id)
@@ -201,37 +202,37 @@
 	return ids
 }
 
-// noteEnd takes in that an end was acknowledged.
-func (w *world) noteEnd(end specifier.End) {
+// recordAckedEnd records an end that was acknowledged.
+func (s *simulation) recordAckedEnd(end specifier.End) {
 	switch end.Outcome {
 	case specifier.OutcomeDone:
-		w.rules.noted[end.Task] = true
+		s.invariants.acked[end.Task] = true
 	case specifier.OutcomeFailed:
-		w.rules.failed[end.Task]++
+		s.invariants.ackedFailures[end.Task]++
 	}
 }
 
-// checkStart holds a start against the rules.
-func (w *world) checkStart(m *fakeWorker, e StartRun, step *specifier.Step) {
-	if w.rules.noted[e.Task] {
-		w.fail("%s starts on %s after its end was acknowledged", e.Task, m.id)
+// checkStart checks the invariants when a run starts.
+func (s *simulation) checkStart(m *fakeWorker, e StartRun, step *specifier.Step) {
+	if s.invariants.acked[e.Task] {
+		s.fail("%s starts on %s after its end was acknowledged", e.Task, m.id)
 	}
-	if !step.LongRunning && w.rules.failed[e.Task] >= worldAttempts {
-		w.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, w.rules.failed[e.Task])
+	if !step.LongRunning && s.invariants.ackedFailures[e.Task] >= simAttempts {
+		s.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, s.invariants.ackedFailures[e.Task])
 	}
-	if told := w.store[e.Task.Job].told; !told.IsZero() && w.now.Sub(told) > 13*time.Second {
-		w.fail("%s starts on %s %s after its owner heard of the cancellation", e.Task, m.id, w.now.Sub(told))
+	if told := s.store[e.Task.Job].cancelHeardAt; !told.IsZero() && s.now.Sub(told) > 13*time.Second {
+		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, m.id, s.now.Sub(told))
 	}
-	for _, other := range w.workers {
+	for _, other := range s.workers {
 		if r := other.runs[e.Task]; other != m && r != nil {
-			w.fail("%s run %d starts on %s while run %d is on %s", e.Task, e.Run, m.id, r.number, other.id)
+			s.fail("%s run %d starts on %s while run %d is on %s", e.Task, e.Run, m.id, r.number, other.id)
 		}
 	}
 	for _, earlier := range step.After {
-		for i := range w.store[e.Task.Job].job.Steps[earlier].Count {
+		for i := range s.store[e.Task.Job].job.Steps[earlier].Count {
 			id := specifier.TaskID{Job: e.Task.Job, Occurrence: e.Task.Occurrence, Step: earlier, Index: i}
-			if !w.rules.done[id] {
-				w.fail("%s starts before %s has completed", e.Task, id)
+			if !s.invariants.completed[id] {
+				s.fail("%s starts before %s, which it depends on, has completed", e.Task, id)
 			}
 		}
 	}
@@ -244,9 +245,9 @@
 		}
 	}
 	if used > workerCPU {
-		w.fail("%s overfills %s: %d of %d", e.Task, m.id, used, workerCPU)
+		s.fail("%s exceeds the capacity of %s: %d of %d millicores", e.Task, m.id, used, workerCPU)
 	}
 	if step.MaxPerWorker > 0 && beside >= step.MaxPerWorker {
-		w.fail("%s is number %d of its step on %s", e.Task, beside+1, m.id)
+		s.fail("%s is task %d of its step on %s, more than allowed", e.Task, beside+1, m.id)
 	}
 }
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -6,111 +6,114 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// Times of orders and faults.
+// Delays after refused orders and failed runs.
 const (
-	orderRetry  = 250 * time.Millisecond // until a stop without an answer is ordered again
-	refusedWait = 500 * time.Millisecond // without starts, after a worker refused one
-	faultLimit  = 3                      // failed runs in a row before a worker is avoided
-	faultWait   = 2 * time.Second        // for which it is avoided, doubled with each further one
-	faultMost   = 4 * time.Second
+	orderRetryDelay   = 250 * time.Millisecond // before an order without effect is repeated
+	refusalBackoff    = 500 * time.Millisecond // a worker that refused a start gets no other for this time
+	failureThreshold  = 3                      // a worker is avoided after this many failures in a row
+	failureBackoff    = 2 * time.Second        // time to avoid it, doubled with each further failure
+	maxFailureBackoff = 4 * time.Second
 )
 
-// held takes in a worker's inventory.
-func (s *Shard) held(e PollAnswered) {
+// pollAnswered applies a worker's inventory to the state.
+func (s *Shard) pollAnswered(e PollAnswered) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.holding = false
+	w.polling = false
 	if e.Inventory.Incarnation > w.reg.Incarnation {
-		s.rebirth(w, e.Inventory.Incarnation)
-		w.holding = false
+		s.resetWorker(w, e.Inventory.Incarnation)
+		w.polling = false
 	}
 	if e.Inventory.Incarnation != 0 && e.Inventory.Incarnation < w.reg.Incarnation {
 		return
 	}
-	if w.failing > 0 {
-		s.emit(Log{Message: "worker answers again", Worker: e.Worker})
+	if w.failedPolls > 0 {
+		s.emit(Log{Message: "worker poll recovered", Worker: e.Worker})
 	}
-	w.failing = 0
-	w.synced = true
-	s.unnamed = s.unnamed || !w.named
-	w.answered = s.now
-	w.clock = e.Inventory.Clock
-	s.takeEnds(w, e.Inventory.Ended)
-	s.takeActive(w, e)
-	if _, was := s.inherited[w.reg.ID]; was {
-		delete(s.inherited, w.reg.ID)
-		s.changed = true
+	w.failedPolls = 0
+	w.reported = true
+	s.hasUnrecorded = s.hasUnrecorded || !w.recorded
+	w.polledAt = s.now
+	w.polledClock = e.Inventory.Clock
+	s.processEnds(w, e.Inventory.Ended)
+	s.reconcile(w, e)
+	if _, wasInherited := s.inheritedExpiry[w.reg.ID]; wasInherited {
+		delete(s.inheritedExpiry, w.reg.ID)
+		s.placementDue = true
 	}
 	w.acknowledge()
-	w.next = s.now
-	if len(w.ends) > 0 {
-		w.next = s.now.Add(endPause)
+	w.nextPoll = s.now
+	if len(w.pendingEnds) > 0 {
+		w.nextPoll = s.now.Add(pendingPollDelay)
 	}
-	s.pace(w)
+	s.paceFillers(w)
 	s.replaceStalled(w)
-	s.hold(w)
+	s.poll(w)
 }
 
-// takeEnds takes in the ends that are new.
-func (s *Shard) takeEnds(w *worker, ends []specifier.End) {
+// processEnds applies the ends that haven't been processed before.
+func (s *Shard) processEnds(w *worker, ends []specifier.End) {
 	for _, end := range ends {
-		if end.Number <= w.seen {
+		if end.Number <= w.lastEnd {
 			continue
 		}
-		w.seen = end.Number
-		s.takeEnd(w, end)
+		w.lastEnd = end.Number
+		s.processEnd(w, end)
 	}
 }
 
-func (s *Shard) takeEnd(w *worker, end specifier.End) {
+// processEnd applies the end of one run and queues its acknowledgement.
+func (s *Shard) processEnd(w *worker, end specifier.End) {
 	r := w.runs[end.Task]
-	t := s.find(end.Task)
+	t := s.findTask(end.Task)
 	if r != nil && r.number <= end.Run {
-		s.drop(r)
+		s.removeRun(r)
 	}
 	pending := pendingEnd{number: end.Number}
 	if t != nil {
-		t.number = max(t.number, end.Run)
+		t.lastRun = max(t.lastRun, end.Run)
 		if s.applyEnd(w, t, end) {
 			pending.job = t.step.job
-			pending.version = t.step.job.version
+			pending.jobVersion = t.step.job.version
 		}
 	}
-	w.ends = append(w.ends, pending)
+	w.pendingEnds = append(w.pendingEnds, pending)
 	s.emit(Log{
 		Message: "run ended", Task: end.Task.String(), Job: end.Task.Job, Worker: w.reg.ID,
 		Run: end.Run, Reason: string(end.Outcome),
 	})
 }
 
-// applyEnd changes the task by the end of one of its runs. It reports whether
-// the change has to be durable before the end is acknowledged.
+// applyEnd updates a task after the end of one of its runs. It reports whether
+// the job has changed, so that the end may be acknowledged only when the change
+// is durable.
 func (s *Shard) applyEnd(w *worker, t *task, end specifier.End) bool {
 	switch end.Outcome {
 	case specifier.OutcomeDone:
-		w.faults = 0
+		w.failuresInRow = 0
 		if t.step.spec.LongRunning {
 			return false
 		}
-		s.completeAll(w, t)
+		s.completeWithGang(w, t)
 		return true
 	case specifier.OutcomeFailed:
-		s.suspect(w)
-		s.fail(t, w, end.Run)
+		s.countFailure(w)
+		s.failTask(t, w, end.Run)
 		return true
 	}
 	if end.Checkpoint != "" && end.Checkpoint != t.checkpoint {
 		t.checkpoint = end.Checkpoint
-		s.touch(t.step.job)
+		s.markDirty(t.step.job)
 		return true
 	}
 	return false
 }
 
-// completeAll completes a task, and with it the other members of its gang.
-func (s *Shard) completeAll(w *worker, t *task) {
+// completeWithGang completes a task and the other tasks of its gang, and stops
+// duplicate runs on other workers.
+func (s *Shard) completeWithGang(w *worker, t *task) {
 	members := []*task{t}
 	if t.step.spec.Gang {
 		members = t.step.tasks
@@ -124,140 +127,143 @@
 				s.stopRun(r, "completed elsewhere")
 			}
 		}
-		s.complete(m)
+		s.completeTask(m)
 	}
 }
 
-// suspect avoids a worker for a while on which one run after the other fails.
-func (s *Shard) suspect(w *worker) {
-	w.faults++
-	if w.faults < faultLimit {
+// countFailure counts a failed run. A worker on which several runs in a row
+// have failed is avoided for a while.
+func (s *Shard) countFailure(w *worker) {
+	w.failuresInRow++
+	if w.failuresInRow < failureThreshold {
 		return
 	}
-	wait := min(faultWait<<min(w.faults-faultLimit, 3), faultMost)
-	w.avoided = s.now.Add(wait)
-	s.emit(Log{Message: "worker avoided: its runs fail", Worker: w.reg.ID, Age: wait})
+	wait := min(failureBackoff<<min(w.failuresInRow-failureThreshold, 3), maxFailureBackoff)
+	w.avoidUntil = s.now.Add(wait)
+	s.emit(Log{Message: "worker avoided after failed runs", Worker: w.reg.ID, Age: wait})
 }
 
-// takeActive compares the runs that a worker lists with those it should have.
-func (s *Shard) takeActive(w *worker, e PollAnswered) {
+// reconcile compares the runs that a worker lists with those that the shard
+// expects there.
+func (s *Shard) reconcile(w *worker, e PollAnswered) {
 	listed := make(map[specifier.TaskID]int64, len(e.Inventory.Active))
 	for _, a := range e.Inventory.Active {
 		listed[a.Task] = a.Number
-		s.takeRun(w, a)
+		s.reconcileRun(w, a)
 	}
 	for _, id := range sortedTasks(w.runs) {
 		r := w.runs[id]
 		if number, ok := listed[id]; ok && number >= r.number {
 			continue
 		}
-		s.takeAbsence(r, e.Sent)
+		s.handleMissingRun(r, e.Sent)
 	}
 }
 
-// takeRun takes in one run that a worker lists.
-func (s *Shard) takeRun(w *worker, a specifier.Run) {
-	r := w.runs[a.Task]
+// reconcileRun updates the state of one run that a worker lists.
+func (s *Shard) reconcileRun(w *worker, listed specifier.Run) {
+	r := w.runs[listed.Task]
 	switch {
 	case r == nil:
-		s.adopt(w, a)
+		s.adopt(w, listed)
 		return
-	case a.Number < r.number:
-		s.emit(StopRun{Worker: w.reg, Task: a.Task, Run: a.Number})
+	case listed.Number < r.number:
+		s.emit(StopRun{Worker: w.reg, Task: listed.Task, Run: listed.Number})
 		return
 	}
-	if r.phase == starting || r.phase == unsettled {
-		s.begin(r)
+	if r.phase == starting || r.phase == startUnknown {
+		s.markActive(r)
 	}
-	if r.percent != a.ProgressPercent {
-		r.moved = s.now
+	if r.progress != listed.ProgressPercent {
+		r.progressedAt = s.now
 	}
-	r.percent = a.ProgressPercent
-	r.figure = a.Metric
-	if r.task != nil && a.Checkpoint != "" {
-		r.task.checkpoint = a.Checkpoint
+	r.progress = listed.ProgressPercent
+	r.metric = listed.Metric
+	if r.task != nil && listed.Checkpoint != "" {
+		r.task.checkpoint = listed.Checkpoint
 	}
 }
 
-// begin takes in that a run is on its worker.
-func (s *Shard) begin(r *run) {
+// markActive records that the worker has the run.
+func (s *Shard) markActive(r *run) {
 	r.phase = active
-	r.settled = s.now
-	r.begun = s.now
-	r.moved = s.now
-	if j := r.task.step.job; !j.begun {
-		j.begun = true
-		s.touch(j)
+	r.answeredAt = s.now
+	r.startedAt = s.now
+	r.progressedAt = s.now
+	if j := r.task.step.job; !j.started {
+		j.started = true
+		s.markDirty(j)
 	}
 }
 
-// adopt books a run that this owner did not start, or stops it if its task
-// has no use for it.
-func (s *Shard) adopt(w *worker, a specifier.Run) {
-	t := s.find(a.Task)
-	r := &run{id: a.Task, worker: w, number: a.Number, phase: active, settled: s.now, begun: s.now, moved: s.now, percent: a.ProgressPercent, figure: a.Metric, pace: unknownPace}
+// adopt adds a run that this owner didn't start, and stops it unless its task
+// is waiting for one.
+func (s *Shard) adopt(w *worker, listed specifier.Run) {
+	t := s.findTask(listed.Task)
+	r := &run{id: listed.Task, worker: w, number: listed.Number, phase: active, answeredAt: s.now, startedAt: s.now, progressedAt: s.now, progress: listed.ProgressPercent, metric: listed.Metric, pace: unknownPace}
 	if t != nil {
 		r.needs = t.step.needs
-		t.number = max(t.number, a.Number)
-	} else if j := s.jobs[a.Task.Job]; j != nil {
-		if ended := j.task(a.Task); ended != nil {
-			r.needs = ended.step.needs
+		t.lastRun = max(t.lastRun, listed.Number)
+	} else if j := s.jobs[listed.Task.Job]; j != nil {
+		if other := j.task(listed.Task); other != nil {
+			r.needs = other.step.needs
 		}
 	} else {
-		r.strange = true
+		r.unknown = true
 	}
 	if t == nil || t.done || t.worker != nil {
-		w.add(r)
-		s.stopRun(r, "not wanted")
+		w.addRun(r)
+		s.stopRun(r, "task needs no run")
 		return
 	}
 	r.task = t
-	t.located, t.watched, t.adopted = true, true, true
+	t.allRunsKnown, t.seenActive, t.adopted = true, true, true
 	t.step.waiting--
-	t.step.job.begun = true
-	if a.Checkpoint != "" {
-		t.checkpoint = a.Checkpoint
+	t.step.job.started = true
+	if listed.Checkpoint != "" {
+		t.checkpoint = listed.Checkpoint
 	}
-	w.add(r)
-	s.emit(Log{Message: "run taken over", Task: a.Task.String(), Job: a.Task.Job, Worker: w.reg.ID, Run: a.Number})
+	w.addRun(r)
+	s.emit(Log{Message: "run adopted", Task: listed.Task.String(), Job: listed.Task.Job, Worker: w.reg.ID, Run: listed.Number})
 }
 
-// takeAbsence decides on a run that an inventory asked for at sent lacks.
-func (s *Shard) takeAbsence(r *run, sent time.Time) {
-	if r.settled.IsZero() || !sent.After(r.settled) {
+// handleMissingRun handles a run that is missing from an inventory requested at
+// sent. An inventory from before the answer to the last order says nothing.
+func (s *Shard) handleMissingRun(r *run, sent time.Time) {
+	if r.answeredAt.IsZero() || !sent.After(r.answeredAt) {
 		return
 	}
 	switch r.phase {
 	case starting:
-	case unsettled:
-		// It may still come. After the stop the worker refuses it.
-		s.stopRun(r, "start not answered")
+	case startUnknown:
+		// The start may still arrive. After a stop the worker refuses it.
+		s.stopRun(r, "start outcome unknown")
 	case active:
 		s.emit(Log{Message: "run lost", Task: r.id.String(), Job: r.id.Job, Worker: r.worker.reg.ID, Run: r.number})
-		s.drop(r)
+		s.removeRun(r)
 	case stopping:
-		s.drop(r)
+		s.removeRun(r)
 	}
 }
 
-// acknowledge moves the mark of durable ends.
+// acknowledge advances ackedEnd over the ends whose changes are durable.
 func (w *worker) acknowledge() {
 	n := 0
-	for _, end := range w.ends {
-		if end.job != nil && end.job.durable < end.version {
+	for _, end := range w.pendingEnds {
+		if end.job != nil && end.job.durable < end.jobVersion {
 			break
 		}
-		w.observed = end.number
+		w.ackedEnd = end.number
 		n++
 	}
 	if n > 0 {
-		w.ends = w.ends[n:]
+		w.pendingEnds = w.pendingEnds[n:]
 	}
 }
 
-// answeredRun returns the run that the answer to an order is about, or nil if
-// the run is no longer in the phase that it was ordered in.
-func (s *Shard) answeredRun(e StartAnswered, phase runPhase) *run {
+// orderedRun returns the run that an answer refers to, or nil if the run isn't
+// in the expected phase any more.
+func (s *Shard) orderedRun(e StartAnswered, phase runPhase) *run {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return nil
@@ -273,69 +279,75 @@
 	return r
 }
 
+// startAnswered handles the outcome of a start. After a refusal the task waits
+// for another start and the worker gets none for a while.
 func (s *Shard) startAnswered(e StartAnswered) {
-	r := s.answeredRun(e, starting)
+	r := s.orderedRun(e, starting)
 	if r == nil {
 		return
 	}
 	if e.Fault == NoFault {
-		s.begin(r)
+		s.markActive(r)
 		return
 	}
 	s.emit(Log{
-		Message: "start not done", Task: e.Task.String(), Job: e.Task.Job, Worker: e.Worker, Run: e.Run,
-		Reason: e.Fault.String(), Age: s.now.Sub(r.ordered),
+		Message: "run start failed", Task: e.Task.String(), Job: e.Task.Job, Worker: e.Worker, Run: e.Run,
+		Reason: e.Fault.String(), Age: s.now.Sub(r.orderedAt),
 	})
 	if e.Fault == OutcomeUnknown {
-		r.phase = unsettled
-		r.settled = s.now
+		r.phase = startUnknown
+		r.answeredAt = s.now
 		return
 	}
 	w := r.worker
-	r.task.later = s.now.Add(orderRetry)
-	w.avoided = s.now.Add(refusedWait)
-	s.drop(r)
+	r.task.notBefore = s.now.Add(orderRetryDelay)
+	w.avoidUntil = s.now.Add(refusalBackoff)
+	s.removeRun(r)
 	if e.Fault == WorkerRestarted {
-		w.synced = false
+		w.reported = false
 	}
 }
 
+// stopAnswered handles the outcome of a stop. The run has ended once it is
+// missing from an inventory that was requested later.
 func (s *Shard) stopAnswered(e StopAnswered) {
-	r := s.answeredRun(StartAnswered(e), stopping)
+	r := s.orderedRun(StartAnswered(e), stopping)
 	if r == nil {
 		return
 	}
 	if e.Fault == NoFault || e.Fault == StaleRun {
-		r.settled = s.now
+		r.answeredAt = s.now
 	}
 }
 
-// stopRun orders the end of a run.
+// stopRun orders the worker to stop a run.
 func (s *Shard) stopRun(r *run, reason string) {
 	if r.phase == stopping {
 		return
 	}
 	r.phase = stopping
-	r.settled = time.Time{}
-	s.emit(Log{Message: "stop ordered", Task: r.id.String(), Job: r.id.Job, Worker: r.worker.reg.ID, Run: r.number, Reason: reason})
+	r.answeredAt = time.Time{}
+	s.emit(Log{Message: "run stop ordered", Task: r.id.String(), Job: r.id.Job, Worker: r.worker.reg.ID, Run: r.number, Reason: reason})
 	s.orderStop(r)
 }
 
 func (s *Shard) orderStop(r *run) {
-	r.ordered = s.now
+	r.orderedAt = s.now
 	s.emit(StopRun{Worker: r.worker.reg, Task: r.id, Run: r.number})
 }
 
-// settleRuns repeats the stops that had no answer.
-func (s *Shard) settleRuns(w *worker) {
+// retryStops repeats stops that got no answer.
+func (s *Shard) retryStops(w *worker) {
 	for _, r := range w.runs {
-		if r.phase == stopping && r.settled.IsZero() && s.now.Sub(r.ordered) >= orderRetry && s.mayAct() {
+		if r.phase == stopping && r.answeredAt.IsZero() && s.now.Sub(r.orderedAt) >= orderRetryDelay && s.mayAct() {
 			s.orderStop(r)
 		}
 	}
 }
 
-// evacuate moves tasks off a worker that leaves, while it still runs them.
+// evacuate stops runs on a draining worker so that their tasks start elsewhere:
+// long-running ones as soon as there is room, and checkpointing ones shortly before
+// the worker leaves.
 func (s *Shard) evacuate(w *worker) {
 	if !w.reg.Draining {
 		return
@@ -346,13 +358,13 @@
 			continue
 		}
 		spec := r.task.step.spec
-		leaves := spec.Checkpoint && w.reg.Remaining > 0 && w.reg.Remaining < checkpointNotice
-		if (spec.LongRunning || leaves) && s.hasRoom(r, anyWorker) {
-			s.stopRun(r, "worker leaves")
+		leavesSoon := spec.Checkpoint && w.reg.Remaining > 0 && w.reg.Remaining < checkpointNotice
+		if (spec.LongRunning || leavesSoon) && s.hasRoom(r, anyWorker) {
+			s.stopRun(r, "worker draining")
 		}
 	}
 }
 
-// checkpointNotice is how long before a worker leaves its tasks are stopped
-// for a last checkpoint.
+// checkpointNotice is how long before a worker leaves its runs are stopped so
+// that they write a last checkpoint.
 const checkpointNotice = 2500 * time.Millisecond
--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -8,80 +8,81 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// job is an accepted job that has not ended durably.
+// job is an accepted job whose end isn't durable yet.
 type job struct {
-	spec      specifier.Job
-	queue     specifier.Queue
-	steps     []*step   // by occurrence, then step
-	left      int       // steps that have not completed
-	begun     bool      // a task has started
-	moving    bool      // on its way to another shard; starts nothing
-	arrived   time.Time // zero if it was loaded from an earlier ownership
-	objective time.Time
-	grace     time.Time // until when an end still earns something
+	spec           specifier.Job
+	queue          specifier.Queue
+	steps          []*step   // ordered by occurrence, then by step number
+	remainingSteps int       // number of steps that haven't completed
+	started        bool      // a task of the job has started
+	moving         bool      // being moved to another shard; none of its tasks may start
+	arrivedAt      time.Time // zero if the job was loaded from an earlier ownership
+	objective      time.Time // when the job should have completed
+	graceEnd       time.Time // after it, completing the job has no value any more
 
 	final   specifier.State
-	version int64 // of what would be committed
-	sent    int64 // version of the last commit
-	durable int64 // version that is committed for certain
-	dirty   bool  // version is to be committed
+	version int64 // increases with each change of the durable state
+	sent    int64 // version in the last commit
+	durable int64 // highest version known to be durable
+	dirty   bool  // listed in Shard.dirtyJobs
 }
 
-// step is one step of one occurrence.
+// step is one step of one occurrence of a job.
 type step struct {
-	job        *job
-	spec       *specifier.Step
-	occurrence int
-	number     int
-	tasks      []*task
-	done       int  // tasks that have completed
-	waiting    int  // tasks that neither run nor have completed
-	open       bool // its turn has come
-	listed     bool // in Shard.steps
-	mayExceed  bool // its tasks may start above the limit of lasting ones in this round
-	due        time.Time
-	needs      need
-	advice     advice
+	job            *job
+	spec           *specifier.Step
+	occurrence     int
+	number         int
+	tasks          []*task
+	completed      int       // number of completed tasks
+	waiting        int       // number of tasks that have no run and haven't completed
+	ready          bool      // due, and the steps that it depends on have completed
+	queued         bool      // listed in Shard.waitingSteps
+	mayExceedLimit bool      // its long-running tasks may exceed the limit in this placement round
+	due            time.Time // zero for jobs that don't repeat
+	needs          need
+	advice         advice
 }
 
-// task is one task.
+// task is one task of a step.
 type task struct {
-	step       *step
-	index      int
-	done       bool
-	worker     *worker // that has a run of it, or may have
-	number     int64   // of the last run
-	failed     []int64
-	checkpoint string
-	last       string // worker of the last failed run
-	later      time.Time
-	since      time.Time // when it last began to wait
-	located    bool      // no earlier owner can have a run of it that is not known here
-	watched    bool      // a run of it was active under this owner
-	adopted    bool      // an earlier owner started one of its runs, and others may have failed
+	step         *step
+	index        int
+	done         bool
+	worker       *worker // worker that has or may have a run of it; nil without one
+	lastRun      int64   // highest known number of its runs
+	failed       []int64 // numbers of the failed runs
+	checkpoint   string
+	lastFailedOn string    // id of the worker of the last failed or stalled run
+	notBefore    time.Time // no start before this time
+	waitingSince time.Time // when it began to wait for a run
+	allRunsKnown bool      // no run of it by an earlier owner can exist that isn't known here
+	seenActive   bool      // a run of it was active during this ownership
+	adopted      bool      // has a run of an earlier owner, of which others may have failed
 }
 
 func (t *task) id() specifier.TaskID {
 	return specifier.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.number, Index: t.index}
 }
 
-func (j *job) shown() specifier.State {
+// state returns the job's state as callers see it.
+func (j *job) state() specifier.State {
 	switch {
 	case j.final != "":
-		return specifier.Running // until the final state is durable
-	case j.begun:
+		return specifier.Running // the final state is shown only when it is durable
+	case j.started:
 		return specifier.Running
 	}
 	return specifier.Queued
 }
 
-// newJob lays out the tasks of a job.
+// newJob creates the steps and tasks of a job.
 func (s *Shard) newJob(spec specifier.Job) *job {
 	j := &job{spec: spec}
 	j.queue, _ = s.catalog.Queue(spec.Queue)
 	target := time.Duration(float64(spec.CriticalPath())*j.queue.Slack) + j.queue.Completion
 	j.objective = spec.Accepted.Add(target)
-	j.grace = spec.Accepted.Add(lateFactor * target)
+	j.graceEnd = spec.Accepted.Add(graceFactor * target)
 	for occurrence := range spec.Occurrences() {
 		for number := range spec.Steps {
 			st := &step{job: j, spec: &j.spec.Steps[number], occurrence: occurrence, number: number, due: spec.Due(occurrence)}
@@ -94,58 +95,59 @@
 			j.steps = append(j.steps, st)
 		}
 	}
-	j.left = len(j.steps)
+	j.remainingSteps = len(j.steps)
 	return j
 }
 
-// lateFactor times the objective is when a job stops earning.
-const lateFactor = 3
+// graceFactor times the target completion time is the end of the grace period.
+const graceFactor = 3
 
-func (s *Shard) arrive(spec specifier.Job) {
-	if _, ended := s.ended[spec.ID]; ended || s.jobs[spec.ID] != nil {
+// addJob adds a newly accepted job, unless it is known or has ended.
+func (s *Shard) addJob(spec specifier.Job) {
+	if _, ended := s.endedAt[spec.ID]; ended || s.jobs[spec.ID] != nil {
 		return
 	}
 	j := s.newJob(spec)
-	j.arrived = s.now
+	j.arrivedAt = s.now
 	for _, st := range j.steps {
-		st.locate()
+		st.markAllRunsKnown()
 	}
 	s.jobs[spec.ID] = j
-	s.changed = true
+	s.placementDue = true
 	s.emit(Log{Message: "job arrived", Job: spec.ID, Age: s.now.Sub(spec.Accepted)})
-	if _, early := s.early[spec.ID]; early {
-		delete(s.early, spec.ID)
-		s.cancel(spec.ID)
+	if _, early := s.earlyCancels[spec.ID]; early {
+		delete(s.earlyCancels, spec.ID)
+		s.cancelJob(spec.ID)
 		return
 	}
-	s.openSteps(j)
+	s.openReadySteps(j)
 }
 
-// load takes over a job with what an earlier owner made durable of it.
-func (s *Shard) load(e JobLoaded) {
+// loadJob adds a job of an earlier ownership with its durable progress.
+func (s *Shard) loadJob(e JobLoaded) {
 	if s.jobs[e.Job.ID] != nil {
 		return
 	}
 	j := s.newJob(e.Job)
-	j.begun = e.Begun
+	j.started = e.Begun
 	s.jobs[e.Job.ID] = j
 	for _, p := range e.Progress.Tasks {
 		t := j.task(specifier.TaskID{Occurrence: p.Occurrence, Step: p.Step, Index: p.Index})
 		if t == nil {
-			s.emit(Log{Message: "progress of an unknown task", Job: e.Job.ID})
+			s.emit(Log{Message: "progress of unknown task ignored", Job: e.Job.ID})
 			continue
 		}
 		t.failed = p.Failed
 		t.checkpoint = p.Checkpoint
 		if p.Done {
-			s.finish(t)
+			s.markDone(t)
 		}
 	}
-	s.openSteps(j)
-	s.changed = true
+	s.openReadySteps(j)
+	s.placementDue = true
 }
 
-// task finds a task by its place in the job.
+// task returns the task with an id, ignoring id.Job, or nil if there is none.
 func (j *job) task(id specifier.TaskID) *task {
 	at := id.Occurrence*len(j.spec.Steps) + id.Step
 	if id.Step >= len(j.spec.Steps) || at >= len(j.steps) || id.Index >= len(j.steps[at].tasks) {
@@ -154,73 +156,74 @@
 	return j.steps[at].tasks[id.Index]
 }
 
-// find returns the task of a job that has not ended, or nil.
-func (s *Shard) find(id specifier.TaskID) *task {
+// findTask returns a task, or nil if its job is unknown or has a final state.
+func (s *Shard) findTask(id specifier.TaskID) *task {
 	if j := s.jobs[id.Job]; j != nil && j.final == "" {
 		return j.task(id)
 	}
 	return nil
 }
 
-// openSteps lists the steps whose turn has come, and returns those for which it
-// came now.
-func (s *Shard) openSteps(j *job) []*step {
+// openReadySteps queues the job's steps that have become ready and returns them. A
+// step is ready when it is due and the steps that it depends on have completed.
+func (s *Shard) openReadySteps(j *job) []*step {
 	var opened []*step
 	for i, st := range j.steps {
-		if st.open || st.done == len(st.tasks) || !st.due.IsZero() && s.now.Before(st.due.Add(s.options.ClockError)) {
+		if st.ready || st.completed == len(st.tasks) || !st.due.IsZero() && s.now.Before(st.due.Add(s.options.ClockError)) {
 			continue
 		}
 		first := i - st.number
 		ready := !slices.ContainsFunc(st.spec.After, func(earlier int) bool {
 			e := j.steps[first+earlier]
-			return e.done < len(e.tasks)
+			return e.completed < len(e.tasks)
 		})
 		if ready {
-			st.open = true
+			st.ready = true
 			for _, t := range st.tasks {
-				t.since = s.now
+				t.waitingSince = s.now
 			}
-			s.enlist(st)
+			s.enqueue(st)
 			opened = append(opened, st)
 		}
 	}
 	return opened
 }
 
-// wake opens the steps of repeating jobs that have become due.
-func (s *Shard) wake() {
+// openDueSteps opens the steps of repeating jobs that have become due.
+func (s *Shard) openDueSteps() {
 	for _, j := range s.jobs {
 		if j.spec.Repeat > 0 && j.final == "" {
-			s.openSteps(j)
+			s.openReadySteps(j)
 		}
 	}
 }
 
-func (s *Shard) enlist(st *step) {
-	if st.open && !st.listed && st.waiting > 0 {
-		st.listed = true
-		s.steps = append(s.steps, st)
+// enqueue adds a ready step with waiting tasks to waitingSteps.
+func (s *Shard) enqueue(st *step) {
+	if st.ready && !st.queued && st.waiting > 0 {
+		st.queued = true
+		s.waitingSteps = append(s.waitingSteps, st)
 	}
 }
 
-// finish marks a task as completed.
-func (s *Shard) finish(t *task) {
+// markDone marks a task as completed.
+func (s *Shard) markDone(t *task) {
 	st := t.step
 	if t.done {
 		return
 	}
 	t.done = true
-	st.done++
+	st.completed++
 	if t.worker == nil {
 		st.waiting--
 	}
-	if st.done == len(st.tasks) {
-		st.job.left--
+	if st.completed == len(st.tasks) {
+		st.job.remainingSteps--
 	}
 }
 
-// release makes a task that has no run any more wait again.
-func (s *Shard) release(t *task) {
+// requeue makes a task wait for a new run after its run has ended.
+func (s *Shard) requeue(t *task) {
 	if t.worker == nil {
 		return
 	}
@@ -228,76 +231,79 @@
 	if t.done {
 		return
 	}
-	t.since = s.now
+	t.waitingSince = s.now
 	t.step.waiting++
-	s.enlist(t.step)
-	s.changed = true
+	s.enqueue(t.step)
+	s.placementDue = true
 }
 
-// complete takes in that a task has completed.
-func (s *Shard) complete(t *task) {
+// completeTask marks a task as completed and opens the steps that depend on it,
+// or ends the job.
+func (s *Shard) completeTask(t *task) {
 	j := t.step.job
-	s.finish(t)
-	s.touch(j)
-	if j.left == 0 {
-		s.end(j, specifier.Succeeded, "all tasks completed")
+	s.markDone(t)
+	s.markDirty(j)
+	if j.remainingSteps == 0 {
+		s.endJob(j, specifier.Succeeded, "all tasks completed")
 		return
 	}
-	for _, st := range s.openSteps(j) {
-		if t.watched {
-			// No earlier owner can have known that this step's turn has come.
-			st.locate()
+	for _, st := range s.openReadySteps(j) {
+		if t.seenActive {
+			// No earlier owner can have known that this step is ready.
+			st.markAllRunsKnown()
 		}
 	}
-	s.changed = true
+	s.placementDue = true
 }
 
-// locate notes that no earlier owner can have started tasks of the step.
-func (st *step) locate() {
+// markAllRunsKnown records that no earlier owner can have started tasks of the step.
+func (st *step) markAllRunsKnown() {
 	for _, t := range st.tasks {
-		t.located = true
+		t.allRunsKnown = true
 	}
 }
 
-// fail takes in that a run failed by its own fault or its worker's.
-func (s *Shard) fail(t *task, w *worker, run int64) {
+// failTask counts a failed run of a task and ends the job after too many.
+// Failed runs of long-running tasks aren't counted.
+func (s *Shard) failTask(t *task, w *worker, run int64) {
 	if slices.Contains(t.failed, run) {
 		return
 	}
-	if t.adopted && !t.step.spec.LongRunning && !s.isSettled() {
-		// Workers that have not answered may tell of more failures.
-		t.located = false
+	if t.adopted && !t.step.spec.LongRunning && !s.knowsInheritedRuns() {
+		// Workers that haven't answered yet may report more failures.
+		t.allRunsKnown = false
 	}
 	j := t.step.job
-	t.last = w.reg.ID
+	t.lastFailedOn = w.reg.ID
 	if t.step.spec.LongRunning {
 		return
 	}
 	t.failed = append(t.failed, run)
-	s.touch(j)
+	s.markDirty(j)
 	if j.queue.Attempts > 0 && len(t.failed) >= j.queue.Attempts {
-		s.end(j, specifier.Failed, "a task failed too often")
+		s.endJob(j, specifier.Failed, "task failed too often")
 	}
 }
 
-// cancel ends a job on its caller's order.
-func (s *Shard) cancel(id string) {
+// cancelJob ends a job because its caller cancelled it.
+func (s *Shard) cancelJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
-		// A list names cancellations before jobs, and a watch may overtake another.
-		s.early[id] = s.now
+		// The cancellation may come before the job: a list contains it first,
+		// and two watches aren't ordered.
+		s.earlyCancels[id] = s.now
 		return
 	}
 	if j.final == "" {
-		s.end(j, specifier.Cancelled, "cancelled")
+		s.endJob(j, specifier.Cancelled, "cancelled")
 	}
-	s.touch(j)
+	s.markDirty(j)
 }
 
-// end gives a job its final state and stops what still runs of it.
-func (s *Shard) end(j *job, final specifier.State, reason string) {
+// endJob gives a job its final state and stops its runs.
+func (s *Shard) endJob(j *job, final specifier.State, reason string) {
 	j.final = final
-	s.touch(j)
+	s.markDirty(j)
 	s.emit(Log{Message: "job ended", Job: j.spec.ID, Reason: reason + ": " + string(final), Age: s.now.Sub(j.spec.Accepted)})
 	for _, st := range j.steps {
 		for _, t := range st.tasks {
@@ -309,19 +315,19 @@
 			}
 		}
 	}
-	s.changed = true
+	s.placementDue = true
 }
 
-// touch marks that a job has something to be made durable.
-func (s *Shard) touch(j *job) {
+// markDirty schedules a commit of the job's state.
+func (s *Shard) markDirty(j *job) {
 	j.version++
 	if !j.dirty {
 		j.dirty = true
-		s.dirty = append(s.dirty, j)
+		s.dirtyJobs = append(s.dirtyJobs, j)
 	}
 }
 
-// progress is the durable part of a job.
+// progress returns the job's state for the store.
 func (j *job) progress() recorder.Progress {
 	var p recorder.Progress
 	for _, st := range j.steps {
--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -8,21 +8,21 @@
 	"dotterelcart.dev/dotterelcart/internal/job/recorder"
 )
 
-// summarize reports the shard's load to other entry hosts.
+// summarize returns the shard's load summary for admission on other hosts.
 func (s *Shard) summarize() recorder.Load {
 	l := recorder.Load{Service: s.options.Service, Domain: s.options.Domain, MadeAt: s.now}
-	for _, w := range s.roster {
+	for _, w := range s.sortedWorkers {
 		if !w.isUsable(s.now) {
 			continue
 		}
-		room := w.room()
+		candidate := w.candidate()
 		l.Workers++
 		l.Capacity = l.Capacity.Add(w.reg.Capacity)
-		l.Free = l.Free.Add(room.Free)
-		l.FiniteCPU += w.used.counted.CPU - w.used.lasting
-		l.LongRunningCPU += w.used.lasting
-		l.UnusedCPU += max(room.UnusedCPU, 0)
-		l.FillerCPU += w.used.filler
+		l.Free = l.Free.Add(candidate.Free)
+		l.FiniteCPU += w.allocated.reserved.CPU - w.allocated.longRunning
+		l.LongRunningCPU += w.allocated.longRunning
+		l.UnusedCPU += max(candidate.UnusedCPU, 0)
+		l.FillerCPU += w.allocated.filler
 		l.MaxCapacity.CPU = max(l.MaxCapacity.CPU, w.reg.Capacity.CPU)
 		l.MaxCapacity.Memory = max(l.MaxCapacity.Memory, w.reg.Capacity.Memory)
 		l.MaxCapacity.Accelerators = max(l.MaxCapacity.Accelerators, w.reg.Capacity.Accelerators)
@@ -32,28 +32,29 @@
 			}
 		}
 	}
-	l.LongRunningLimit = s.lastingLimit(l.Capacity.CPU)
-	s.countJobs(&l)
+	l.LongRunningLimit = s.longRunningLimit(l.Capacity.CPU)
+	s.addJobs(&l)
 	return l
 }
 
-func (s *Shard) countJobs(l *recorder.Load) {
+// addJobs adds the pending jobs and the waiting work to a load summary.
+func (s *Shard) addJobs(l *recorder.Load) {
 	queues := make(map[string]int)
 	backlog := make(map[int]recorder.Backlog)
 	for _, j := range s.jobs {
 		if j.final != "" {
 			continue
 		}
-		if !j.begun {
+		if !j.started {
 			queues[j.spec.Queue]++
 		}
 		b := backlog[j.queue.Priority]
 		for _, st := range j.steps {
-			counted, filler := st.waitingWork()
-			b.ReservedWork += counted
+			finite, filler := st.waitingWork()
+			b.ReservedWork += finite
 			b.FillerWork += filler
 			if st.spec.LongRunning {
-				l.LongRunningCPU += int64(st.waiting) * st.needs.counted.CPU
+				l.LongRunningCPU += int64(st.waiting) * st.needs.reserved.CPU
 			}
 		}
 		backlog[j.queue.Priority] = b
@@ -68,13 +69,14 @@
 	slices.SortFunc(l.Backlog, func(a, b recorder.Backlog) int { return cmp.Compare(a.Priority, b.Priority) })
 }
 
-// waitingWork is the estimated work of tasks that have no run, in millicore-seconds.
-func (st *step) waitingWork() (counted, filler int64) {
+// waitingWork returns the estimated work of the step's waiting tasks, in
+// millicore-seconds. Long-running tasks count as none.
+func (st *step) waitingWork() (finite, filler int64) {
 	if st.spec.LongRunning {
 		return 0, 0
 	}
 	scale := func(cpu int64) int64 {
 		return cpu * int64(st.waiting) * int64(st.spec.Estimate) / int64(time.Second)
 	}
-	return scale(st.needs.counted.CPU), scale(st.needs.filler)
+	return scale(st.needs.reserved.CPU), scale(st.needs.filler)
 }
--- /dev/null
+++ b/internal/job/dispatcher/longrunning.go
@@ -0,0 +1,71 @@
+package dispatcher
+
+import (
+	"slices"
+	"time"
+)
+
+// Limits of long-running tasks. Finite tasks are those that aren't long-running.
+const (
+	longRunningShare = 0.9             // fraction of all CPU that long-running tasks may reserve; the rest is for finite tasks
+	finiteMemory     = time.Minute     // the limit applies for this time after a finite task started, as bursts recur
+	deferralLimit    = 4 * time.Second // a deferred task may exceed the limit after this time; users notice longer gaps
+	minFreeSlots     = 2               // it may do so only if this many such tasks fit, so that room for others remains
+)
+
+// longRunningLimit returns how much of capacity long-running tasks may reserve, both in
+// millicores. It is all of it if no finite task has started lately; a new owner
+// assumes that one has.
+func (s *Shard) longRunningLimit(capacity int64) int64 {
+	last := s.claimedAt
+	if s.lastFiniteStart.After(last) {
+		last = s.lastFiniteStart
+	}
+	if s.now.Sub(last) > finiteMemory {
+		return capacity
+	}
+	return int64(longRunningShare * float64(capacity))
+}
+
+// isDeferred reports whether the step's tasks must not start now, because its
+// job is being moved or because long-running tasks would exceed their limit. If the
+// service has several shards, only jobs that may still be moved are deferred:
+// the others can't run elsewhere.
+func (p *placement) isDeferred(st *step) bool {
+	switch {
+	case st.job.moving:
+		return true
+	case !st.spec.LongRunning || st.mayExceedLimit:
+		return false
+	case p.s.options.Domain != "":
+		return p.isMovePending(st.job)
+	}
+	return p.longRunningCPU+st.needs.longRunning > p.longRunningLimit
+}
+
+// mayExceedLimit reports whether long-running tasks of the step may start above the
+// limit: they have waited for deferralLimit and there is room for several.
+func (p *placement) mayExceedLimit(st *step) bool {
+	if !st.spec.LongRunning || p.longRunningCPU+st.needs.longRunning <= p.longRunningLimit {
+		return false
+	}
+	t := st.oldestWaiting()
+	return t != nil && p.s.now.Sub(t.waitingSince) >= deferralLimit && p.countSlots(st, t) >= minFreeSlots
+}
+
+// countSlots returns how many tasks like t would fit now, at most minFreeSlots.
+func (p *placement) countSlots(st *step, t *task) int {
+	saved := slices.Clone(p.candidates)
+	defer func() { p.candidates = saved }()
+	request := st.request()
+	n := 0
+	for n < minFreeSlots {
+		i := p.chooseWorker(st, t, request)
+		if i < 0 {
+			break
+		}
+		p.candidates[i].Reserve(&request)
+		n++
+	}
+	return n
+}
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -7,31 +7,32 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// MoveJob hands a job of which nothing has run to another shard of the service
-// that has room for its lasting tasks.
+// MoveJob moves a job that has never run to another shard of the service with
+// room for its long-running tasks. The answer is JobMoved.
 type MoveJob struct {
-	Job        specifier.Job
-	LongRunningCPU int64 // CPU that its tasks reserve, millicores
+	Job            specifier.Job
+	LongRunningCPU int64 // CPU that its long-running tasks reserve, millicores
 }
 
-// JobMoved tells whether another shard has the job now.
+// JobMoved is the outcome of MoveJob.
 type JobMoved struct {
 	ID string
-	OK bool
+	OK bool // another shard has the job now
 }
 
 func (MoveJob) effect() {}
 func (JobMoved) event() {}
 
-// movedAtOnce is how many jobs are on their way to other shards at once. Each
-// takes a write through the fence, for which the ends of tasks wait too.
-const movedAtOnce = 16
+// maxConcurrentMoves limits the jobs that are moved at the same time. Each move
+// is a fenced write, and commits of ended tasks queue behind it.
+const maxConcurrentMoves = 16
 
-// moveExcess hands on lasting jobs that many hosts have accepted for this shard
-// by the same summary, until the rest is within the limit.
+// moveExcess moves jobs with long-running tasks to other shards until the rest is
+// within the limit. Several hosts may have accepted such jobs for this shard
+// based on the same load summary.
 func (s *Shard) moveExcess(l *recorder.Load) {
 	excess := l.LongRunningCPU - l.LongRunningLimit
-	if s.options.Domain == "" || excess <= 0 || !s.isConfirmed() {
+	if s.options.Domain == "" || excess <= 0 || !s.isOwnershipConfirmed() {
 		return
 	}
 	moving := 0
@@ -41,70 +42,73 @@
 		}
 	}
 	for _, id := range sortedKeys(s.jobs) {
-		if excess <= 0 || moving >= movedAtOnce {
+		if excess <= 0 || moving >= maxConcurrentMoves {
 			return
 		}
 		j := s.jobs[id]
-		lasting := j.lasting()
-		if lasting == 0 || !j.isMovable() || s.now.Sub(j.arrived) < publishInterval {
+		cpu := j.longRunningCPU()
+		if cpu == 0 || !j.isMovable() || s.now.Sub(j.arrivedAt) < publishInterval {
 			continue
 		}
 		j.moving = true
 		moving++
-		excess -= lasting
-		s.emit(MoveJob{Job: j.spec, LongRunningCPU: lasting})
+		excess -= cpu
+		s.emit(MoveJob{Job: j.spec, LongRunningCPU: cpu})
 	}
 }
 
-// lasting is the CPU that the job's lasting tasks reserve, in millicores.
-func (j *job) lasting() int64 {
+// longRunningCPU returns the CPU that the job's long-running tasks reserve, in
+// millicores, whether they run or not.
+func (j *job) longRunningCPU() int64 {
 	total := int64(0)
 	for _, st := range j.steps {
-		total += st.needs.lasting * int64(len(st.tasks))
+		total += st.needs.longRunning * int64(len(st.tasks))
 	}
 	return total
 }
 
-// isToMove reports whether the job waits for a move: its tasks would take more
-// than the limit, and it arrived just now.
-func (p *placement) isToMove(j *job) bool {
-	return p.promised+j.lasting() > p.limit && j.isMovable() && p.s.now.Sub(j.arrived) < moveTime
+// isMovePending reports whether the job has to wait because it may be moved:
+// its long-running tasks would exceed the limit and it has arrived recently.
+func (p *placement) isMovePending(j *job) bool {
+	return p.pinnedCPU+j.longRunningCPU() > p.longRunningLimit && j.isMovable() && p.s.now.Sub(j.arrivedAt) < moveWait
 }
 
-// moveTime is how long a job that may be moved starts nothing above the limit;
-// other shards may open a few seconds later than this one.
-const moveTime = 4 * time.Second
+// moveWait is how long a movable job above the limit waits for a move. Other
+// shards may get an owner a few seconds later than this one.
+const moveWait = 4 * time.Second
 
-// promise is the CPU that the lasting tasks of a job that can't be moved any
-// more reserve or wait for, in millicores.
-func (j *job) promise() int64 {
-	lasting := j.lasting()
-	if lasting == 0 || j.isMovable() {
+// pinnedCPU returns the job's longRunningCPU if it can't be moved any more,
+// otherwise 0.
+func (j *job) pinnedCPU() int64 {
+	cpu := j.longRunningCPU()
+	if cpu == 0 || j.isMovable() {
 		return 0
 	}
-	return lasting
+	return cpu
 }
 
-// promiseOf is the promise of the step's job, where shards hand jobs on.
-func (p *placement) promiseOf(st *step) int64 {
+// pinnedCPUOf returns that of the step's job if the service has several
+// shards, between which jobs move, otherwise 0.
+func (p *placement) pinnedCPUOf(st *step) int64 {
 	if p.s.options.Domain == "" || !st.spec.LongRunning {
 		return 0
 	}
-	return st.job.promise()
+	return st.job.pinnedCPU()
 }
 
-// maxMoves is how often a job is moved. It never returns to a shard, which
-// would take it for a late delivery.
+// maxMoves is how often a job may be moved. It never returns to a former shard,
+// which would ignore it as a repeated delivery of the old job.
 const maxMoves = 3
 
-// isMovable reports whether nothing of the job can have run anywhere.
+// isMovable reports whether no task of the job can have run anywhere, and the
+// job may be moved once more.
 func (j *job) isMovable() bool {
-	if j.begun || j.moving || j.final != "" || len(j.spec.FormerShards) >= maxMoves || j.arrived.IsZero() {
+	if j.started || j.moving || j.final != "" || len(j.spec.FormerShards) >= maxMoves || j.arrivedAt.IsZero() {
 		return false
 	}
 	for _, st := range j.steps {
 		for _, t := range st.tasks {
-			if t.number > 0 || t.worker != nil {
+			if t.lastRun > 0 || t.worker != nil {
 				return false
 			}
 		}
@@ -112,17 +116,17 @@
 	return true
 }
 
-// moved takes in the outcome of a move.
-func (s *Shard) moved(e JobMoved) {
+// jobMoved removes a job that was moved, or keeps it if the move failed.
+func (s *Shard) jobMoved(e JobMoved) {
 	j := s.jobs[e.ID]
 	if j == nil || !j.moving {
 		return
 	}
 	if !e.OK {
 		j.moving = false
-		s.changed = true
+		s.placementDue = true
 		return
 	}
 	delete(s.jobs, e.ID)
-	s.ended[e.ID] = s.now // a watch may deliver it once more
+	s.endedAt[e.ID] = s.now // a delayed watch may deliver the job once more
 }
--- a/internal/job/dispatcher/move_test.go
+++ b/internal/job/dispatcher/move_test.go
@@ -10,65 +10,65 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-var _ = Describe("a shard with too many lasting jobs", func() {
+var _ = Describe("a shard with more long-running tasks than its limit", func() {
 	queue := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2}
-	lasting := func(n int) specifier.Job {
+	longRunningJob := func(n int) specifier.Job {
 		job := oneStep(2, func(s *specifier.Step) { s.LongRunning, s.Needs = true, resources(1000) })
 		job.ID = fmt.Sprintf("%016x", n)
 		return job
 	}
 
-	var d *desk
+	var h *harness
 	BeforeEach(func() {
-		d = newDesk(queue, "w1", "w2") // 8,000 millicores, 7,200 of them for lasting tasks
-		d.options.Domain = "bne"
-		for n := range 6 { // 12,000
-			d.do(JobArrived{Job: lasting(n)})
+		h = newHarness(queue, "w1", "w2") // 8,000 millicores in all, 7,200 for long-running tasks
+		h.options.Domain = "bne"
+		for n := range 6 { // 12,000 millicores in all
+			h.feed(JobArrived{Job: longRunningJob(n)})
 		}
-		Expect(taken[StartRun](d)).To(HaveLen(6), "three jobs of 2,000")
+		Expect(takeEffects[StartRun](h)).To(HaveLen(6), "three jobs of 2,000")
 	})
 
-	It("hands on those of which nothing has run, until the rest is within the limit", func() {
-		d.pass(publishInterval)
-		moves := taken[MoveJob](d)
+	It("moves jobs that have never run, until the rest is within the limit", func() {
+		h.advance(publishInterval)
+		moves := takeEffects[MoveJob](h)
 		Expect(moves).To(HaveLen(3))
 		for _, m := range moves {
 			Expect(m.LongRunningCPU).To(Equal(int64(2000)))
-			d.do(JobMoved{ID: m.Job.ID, OK: true})
-			Expect(d.jobs).NotTo(HaveKey(m.Job.ID))
-			d.do(JobArrived{Job: m.Job}) // a watch that lags delivers it again
-			Expect(d.jobs).NotTo(HaveKey(m.Job.ID))
+			h.feed(JobMoved{ID: m.Job.ID, OK: true})
+			Expect(h.jobs).NotTo(HaveKey(m.Job.ID))
+			h.feed(JobArrived{Job: m.Job}) // a delayed watch delivers it again
+			Expect(h.jobs).NotTo(HaveKey(m.Job.ID))
 		}
-		d.pass(publishInterval)
-		Expect(taken[MoveJob](d)).To(BeEmpty())
+		h.advance(publishInterval)
+		Expect(takeEffects[MoveJob](h)).To(BeEmpty())
 	})
 
-	It("starts nothing of a job on its way, and keeps one that no shard has room for", func() {
-		d.pass(publishInterval)
-		move := taken[MoveJob](d)[0]
-		d.dropRuns(d.workers["w1"])
-		d.pass(100 * time.Millisecond)
-		for _, start := range taken[StartRun](d) {
+	It("starts no task of a job that is being moved, and keeps a job that no shard has room for", func() {
+		h.advance(publishInterval)
+		move := takeEffects[MoveJob](h)[0]
+		h.removeRuns(h.workers["w1"])
+		h.advance(100 * time.Millisecond)
+		for _, start := range takeEffects[StartRun](h) {
 			Expect(start.Task.Job).NotTo(Equal(move.Job.ID))
 		}
-		d.do(JobMoved{ID: move.Job.ID})
-		Expect(d.jobs).To(HaveKey(move.Job.ID))
-		d.pass(moveTime)
-		for _, m := range taken[MoveJob](d) {
-			d.do(JobMoved{ID: m.Job.ID})
+		h.feed(JobMoved{ID: move.Job.ID})
+		Expect(h.jobs).To(HaveKey(move.Job.ID))
+		h.advance(moveWait)
+		for _, m := range takeEffects[MoveJob](h) {
+			h.feed(JobMoved{ID: m.Job.ID})
 		}
-		Expect(taken[StartRun](d)).NotTo(BeEmpty(), "it starts here after all")
+		Expect(takeEffects[StartRun](h)).NotTo(BeEmpty(), "it starts here after a failed move")
 	})
 
-	It("does not hand on what was handed on often, nor in the only shard of a service", func() {
-		d.options.Domain = ""
-		d.pass(publishInterval)
-		Expect(taken[MoveJob](d)).To(BeEmpty())
-		d.options.Domain = "bne"
-		for _, j := range d.jobs {
+	It("moves no job that has been moved maxMoves times, and none if the service has one shard", func() {
+		h.options.Domain = ""
+		h.advance(publishInterval)
+		Expect(takeEffects[MoveJob](h)).To(BeEmpty())
+		h.options.Domain = "bne"
+		for _, j := range h.jobs {
 			j.spec.FormerShards = []string{"a", "b", "c"}
 		}
-		d.pass(publishInterval)
-		Expect(taken[MoveJob](d)).To(BeEmpty())
+		h.advance(publishInterval)
+		Expect(takeEffects[MoveJob](h)).To(BeEmpty())
 	})
 })
--- a/internal/job/dispatcher/need.go
+++ b/internal/job/dispatcher/need.go
@@ -5,29 +5,30 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// need is what a task, or all runs of a worker, take of a worker.
+// need is the resources that a task asks for, or the sum over a worker's runs.
 type need struct {
-	counted describer.Resources // against the worker's capacity
-	filler  int64               // CPU asked for by fillers, which is not counted; millicores
-	lasting int64               // part of counted.CPU that lasting tasks reserve, millicores
+	reserved    describer.Resources // reserved out of the worker's capacity
+	filler      int64               // CPU that fillers may use, not reserved, in millicores
+	longRunning int64               // the part of reserved.CPU for long-running tasks, in millicores
 }
 
+// needOf returns the resources that each task of a step needs.
 func needOf(s *specifier.Step) need {
-	n := need{counted: s.Needs}
+	n := need{reserved: s.Needs}
 	if s.Filler {
 		n.filler = s.Needs.CPU
-		n.counted.CPU = 0
+		n.reserved.CPU = 0
 	}
 	if s.LongRunning {
-		n.lasting = n.counted.CPU
+		n.longRunning = n.reserved.CPU
 	}
 	return n
 }
 
 func (n need) add(o need) need {
-	return need{n.counted.Add(o.counted), n.filler + o.filler, n.lasting + o.lasting}
+	return need{n.reserved.Add(o.reserved), n.filler + o.filler, n.longRunning + o.longRunning}
 }
 
 func (n need) sub(o need) need {
-	return need{n.counted.Sub(o.counted), n.filler - o.filler, n.lasting - o.lasting}
+	return need{n.reserved.Sub(o.reserved), n.filler - o.filler, n.longRunning - o.longRunning}
 }
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -8,72 +8,74 @@
 	"dotterelcart.dev/dotterelcart/internal/control/ranker"
 )
 
-// servingShare is the part of its reservation that a serving task is expected to use.
-const servingShare = 0.5
+// servingUsage is the fraction of its reserved CPU that a long-running task is
+// expected to use.
+const servingUsage = 0.5
 
-// placement is one round of choosing workers.
+// placement is one round of choosing workers for the waiting tasks.
 type placement struct {
-	s        *Shard
-	settled  bool // see isSettled
-	workers  []*worker
-	rooms    []fitter.Candidate
-	reserved int              // workers kept free for work that has waited for long
-	largest  fitter.Candidate // the most that any worker has of each kind, when the round began
-	lasting  int64            // CPU that lasting tasks reserve, millicores
-	limit    int64            // the most of it while other tasks need room
-	promised int64            // CPU of all lasting tasks of jobs that stay in the shard, millicores
+	s                *Shard
+	inheritedKnown   bool      // see isSettled
+	workers          []*worker // usable workers
+	candidates       []fitter.Candidate
+	reservations     int              // number of workers kept free for tasks that have waited long
+	largest          fitter.Candidate // maximum of each resource over all workers at the start of the round
+	longRunningCPU   int64            // CPU reserved by running long-running tasks, millicores
+	longRunningLimit int64            // see Shard.longRunningLimit
+	pinnedCPU        int64            // CPU for the long-running tasks of all jobs that can't be moved, millicores
 }
 
-// place starts waiting tasks, in their order, where there is room.
-func (s *Shard) place() {
-	s.steps = slices.DeleteFunc(s.steps, func(st *step) bool {
-		st.listed = st.waiting > 0 && st.job.final == "" && s.jobs[st.job.spec.ID] == st.job
-		return !st.listed
+// placeSteps starts waiting tasks, best-ranked steps first, where there is room.
+func (s *Shard) placeSteps() {
+	s.waitingSteps = slices.DeleteFunc(s.waitingSteps, func(st *step) bool {
+		st.queued = st.waiting > 0 && st.job.final == "" && s.jobs[st.job.spec.ID] == st.job
+		return !st.queued
 	})
-	if len(s.steps) == 0 || !s.mayAct() || !s.listed {
+	if len(s.waitingSteps) == 0 || !s.mayAct() || !s.workersListed {
 		return
 	}
 	p := s.newPlacement()
 	if len(p.workers) == 0 {
 		return
 	}
-	p.rank()
-	for _, st := range s.steps {
+	p.rankSteps()
+	for _, st := range s.waitingSteps {
 		p.seekAdvice(st)
-		before := p.promiseOf(st)
+		before := p.pinnedCPUOf(st)
 		switch {
-		case p.isYielding(st):
+		case p.isDeferred(st):
 		case st.spec.Gang:
 			p.placeGang(st)
 		default:
 			p.placeStep(st)
 		}
-		p.promised += p.promiseOf(st) - before
+		p.pinnedCPU += p.pinnedCPUOf(st) - before
 	}
 }
 
-// rank orders the waiting steps.
-func (p *placement) rank() {
+// rankSteps sorts the waiting steps.
+func (p *placement) rankSteps() {
 	s := p.s
 	type ranked struct {
 		step *step
 		work ranker.Work
 	}
-	list := make([]ranked, len(s.steps))
-	for i, st := range s.steps {
-		st.mayExceed = p.mayExceedLimit(st)
+	list := make([]ranked, len(s.waitingSteps))
+	for i, st := range s.waitingSteps {
+		st.mayExceedLimit = p.mayExceedLimit(st)
 		list[i] = ranked{st, st.work()}
 	}
 	slices.SortFunc(list, func(a, b ranked) int { return ranker.Compare(s.now, &a.work, &b.work) })
 	for i := range list {
-		s.steps[i] = list[i].step
+		s.waitingSteps[i] = list[i].step
 	}
 }
 
+// work returns what the ranking of the step depends on.
 func (st *step) work() ranker.Work {
 	j := st.job
 	w := ranker.Work{
-		Priority: j.queue.Priority, Objective: j.objective, GraceEnd: j.grace,
+		Priority: j.queue.Priority, Objective: j.objective, GraceEnd: j.graceEnd,
 		Remaining: st.spec.Estimate, Accepted: j.spec.Accepted, ID: j.spec.ID,
 	}
 	if !st.due.IsZero() {
@@ -82,205 +84,212 @@
 		w.GraceEnd = w.GraceEnd.Add(shift)
 	}
 	if st.spec.LongRunning {
-		// A lasting task earns for as long as it runs, however late it begins.
+		// A long-running task has value for as long as it runs, however late it starts.
 		w.NoDeadline = true
-		w.Objective = st.waitingSince().Add(lastingWait)
+		w.Objective = st.oldestWaitingSince().Add(longRunningWait)
 	}
 	return w
 }
 
-// lastingWait is how long a lasting task may wait beside other work of its
-// priority.
-const lastingWait = time.Second
+// longRunningWait is the target for how long a long-running task waits. It ranks
+// such tasks among other work of the same priority.
+const longRunningWait = time.Second
 
-// waitingSince is when the first of the waiting tasks began to wait.
-func (st *step) waitingSince() time.Time {
-	if t := st.firstWaiting(); t != nil {
-		return t.since
+// oldestWaitingSince returns when the step's longest waiting task began to wait.
+func (st *step) oldestWaitingSince() time.Time {
+	if t := st.oldestWaiting(); t != nil {
+		return t.waitingSince
 	}
 	return time.Time{}
 }
 
-// firstWaiting is the task that has waited for longest, or nil.
-func (st *step) firstWaiting() *task {
+// oldestWaiting returns the task that has waited longest, or nil.
+func (st *step) oldestWaiting() *task {
 	var first *task
 	for _, t := range st.tasks {
-		if !t.done && t.worker == nil && (first == nil || t.since.Before(first.since)) {
+		if !t.done && t.worker == nil && (first == nil || t.waitingSince.Before(first.waitingSince)) {
 			first = t
 		}
 	}
 	return first
 }
 
+// newPlacement returns a placement round over the workers that are usable now.
 func (s *Shard) newPlacement() *placement {
-	p := &placement{s: s, settled: s.isSettled(), workers: make([]*worker, 0, len(s.roster)), rooms: make([]fitter.Candidate, 0, len(s.roster))}
+	p := &placement{s: s, inheritedKnown: s.knowsInheritedRuns(), workers: make([]*worker, 0, len(s.sortedWorkers)), candidates: make([]fitter.Candidate, 0, len(s.sortedWorkers))}
 	capacity := int64(0)
-	for _, w := range s.roster {
+	for _, w := range s.sortedWorkers {
 		if !w.isUsable(s.now) {
 			continue
 		}
-		room := w.room()
+		candidate := w.candidate()
 		capacity += w.reg.Capacity.CPU
-		p.lasting += w.used.lasting
+		p.longRunningCPU += w.allocated.longRunning
 		p.workers = append(p.workers, w)
-		p.rooms = append(p.rooms, room)
-		p.largest.Free.CPU = max(p.largest.Free.CPU, room.Free.CPU)
-		p.largest.Free.Memory = max(p.largest.Free.Memory, room.Free.Memory)
-		p.largest.Free.Accelerators = max(p.largest.Free.Accelerators, room.Free.Accelerators)
-		p.largest.UnusedCPU = max(p.largest.UnusedCPU, room.UnusedCPU)
+		p.candidates = append(p.candidates, candidate)
+		p.largest.Free.CPU = max(p.largest.Free.CPU, candidate.Free.CPU)
+		p.largest.Free.Memory = max(p.largest.Free.Memory, candidate.Free.Memory)
+		p.largest.Free.Accelerators = max(p.largest.Free.Accelerators, candidate.Free.Accelerators)
+		p.largest.UnusedCPU = max(p.largest.UnusedCPU, candidate.UnusedCPU)
 	}
-	p.limit = s.lastingLimit(capacity)
+	p.longRunningLimit = s.longRunningLimit(capacity)
 	if s.options.Domain != "" {
 		for _, j := range s.jobs {
-			p.promised += j.promise()
+			p.pinnedCPU += j.pinnedCPU()
 		}
 	}
 	return p
 }
 
-// servingOf is how much of its serving tasks are of the image, 0 to 1.
-func (w *worker) servingOf(image string) float64 {
+// shareOfServing returns the fraction of the worker's serving runs that are of
+// the image, 0 to 1.
+func (w *worker) shareOfServing(image string) float64 {
 	total := 0
-	for _, n := range w.serving {
+	for _, n := range w.servingRuns {
 		total += n
 	}
 	if total == 0 || image == "" {
 		return 0
 	}
-	return float64(w.serving[image]) / float64(total)
+	return float64(w.servingRuns[image]) / float64(total)
 }
 
-// room is what the worker has left.
-func (w *worker) room() fitter.Candidate {
-	expected := w.used.counted.CPU - w.used.lasting + int64(servingShare*float64(w.used.lasting))
+// candidate returns the worker's free and unused resources.
+func (w *worker) candidate() fitter.Candidate {
+	expected := w.allocated.reserved.CPU - w.allocated.longRunning + int64(servingUsage*float64(w.allocated.longRunning))
 	return fitter.Candidate{
-		Free:      w.reg.Capacity.Sub(w.used.counted),
+		Free:      w.reg.Capacity.Sub(w.allocated.reserved),
 		Capacity:  w.reg.Capacity,
-		UnusedCPU: w.reg.Capacity.CPU - expected - w.fillerUse(),
+		UnusedCPU: w.reg.Capacity.CPU - expected - w.expectedFillerCPU(),
 		Rack:      w.rack,
 	}
 }
 
-// fillerUse is the CPU that fillers may use at their present pace.
-func (w *worker) fillerUse() int64 {
-	if w.use >= 0 {
-		return w.use
+// expectedFillerCPU returns the CPU that the worker's fillers use at their
+// current pace, in millicores.
+func (w *worker) expectedFillerCPU() int64 {
+	if w.fillerCPU >= 0 {
+		return w.fillerCPU
 	}
-	w.use = 0
+	w.fillerCPU = 0
 	for _, r := range w.runs {
 		if r.isFiller() {
-			w.use += r.needs.filler * int64(max(r.pace, 0)) / full
+			w.fillerCPU += r.needs.filler * int64(max(r.pace, 0)) / full
 		}
 	}
-	return w.use
+	return w.fillerCPU
 }
 
-func (st *step) fitterNeed() fitter.Request {
-	return fitter.Request{Reserved: st.needs.counted, FillerCPU: st.needs.filler, Rack: st.spec.PreferredRack}
+// request returns what placing one task of the step requires.
+func (st *step) request() fitter.Request {
+	return fitter.Request{Reserved: st.needs.reserved, FillerCPU: st.needs.filler, Rack: st.spec.PreferredRack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
 func (p *placement) placeStep(st *step) {
-	need := st.fitterNeed()
-	if !need.Fits(&p.largest) {
-		p.reserve(st, st.firstWaiting())
+	request := st.request()
+	if !request.Fits(&p.largest) {
+		p.reserveRoom(st, st.oldestWaiting())
 		return
 	}
-	p.relate(st)
+	p.setAffinity(st)
 	for _, t := range st.tasks {
 		if st.waiting == 0 {
 			return
 		}
-		if t.done || t.worker != nil || p.s.now.Before(t.later) || !p.settled && !t.located {
+		if t.done || t.worker != nil || p.s.now.Before(t.notBefore) || !p.inheritedKnown && !t.allRunsKnown {
 			continue
 		}
-		i := p.choose(st, t, need)
+		i := p.chooseWorker(st, t, request)
 		if i < 0 {
-			p.reserve(st, t)
+			p.reserveRoom(st, t)
 			return
 		}
-		if st.spec.TightlyCoupled && need.Rack == "" {
-			need.Rack = p.workers[i].rack
+		if st.spec.TightlyCoupled && request.Rack == "" {
+			request.Rack = p.workers[i].rack
 		}
-		p.rooms[i].Reserve(&need)
-		p.lasting += st.needs.lasting
-		p.s.start(t, p.workers[i], t.nextRun(p.s.options.Epoch))
-		if p.isYielding(st) {
+		p.candidates[i].Reserve(&request)
+		p.longRunningCPU += st.needs.longRunning
+		p.s.startRun(t, p.workers[i], t.nextRun(p.s.options.Epoch))
+		if p.isDeferred(st) {
 			return
 		}
 	}
 }
 
-// Bounds of reservations.
+// Limits of room reservations.
 const (
-	reserveAfter = 700 * time.Millisecond // of waiting
-	maxReserved  = 4                      // workers at once
+	reservationDelay = 700 * time.Millisecond // waiting time after which room is reserved
+	maxReservations  = 4                      // workers reserved in one round
 )
 
-// reserve keeps what becomes free on one worker for a task that has waited for
-// long. Otherwise smaller tasks behind it would take the room each time.
-func (p *placement) reserve(st *step, t *task) {
-	if t == nil || st.spec.Filler || p.reserved >= maxReserved || p.s.now.Sub(t.since) < reserveAfter {
+// reserveRoom keeps the free CPU of one worker for a task that has waited long.
+// Otherwise smaller tasks that rank lower would take any room that becomes free.
+func (p *placement) reserveRoom(st *step, t *task) {
+	if t == nil || st.spec.Filler || p.reservations >= maxReservations || p.s.now.Sub(t.waitingSince) < reservationDelay {
 		return
 	}
 	best := -1
 	for i, w := range p.workers {
-		ends := w.reg.Capacity.CPU - w.used.lasting // once the tasks that end have ended
-		fits := st.needs.counted.CPU <= ends && st.needs.counted.Memory <= w.reg.Capacity.Memory
+		finiteRoom := w.reg.Capacity.CPU - w.allocated.longRunning // CPU after all finite tasks have ended
+		fits := st.needs.reserved.CPU <= finiteRoom && st.needs.reserved.Memory <= w.reg.Capacity.Memory
 		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.MaxPerWorker > 0 && w.perStep[st] >= st.spec.MaxPerWorker {
 			continue
 		}
-		if best < 0 || p.rooms[i].Free.CPU > p.rooms[best].Free.CPU {
+		if best < 0 || p.candidates[i].Free.CPU > p.candidates[best].Free.CPU {
 			best = i
 		}
 	}
 	if best >= 0 {
-		p.reserved++
-		p.rooms[best].Free.CPU = 0
+		p.reservations++
+		p.candidates[best].Free.CPU = 0
 	}
 }
 
-// relate fills in what the workers' tasks mean for those of the step.
-func (p *placement) relate(st *step) {
+// setAffinity sets what makes each worker better or worse for the step: the
+// interference for fillers, the share of the same image for serving tasks.
+func (p *placement) setAffinity(st *step) {
 	for i, w := range p.workers {
-		p.rooms[i].SameImage, p.rooms[i].Interference = 0, 0
+		p.candidates[i].SameImage, p.candidates[i].Interference = 0, 0
 		switch {
 		case st.spec.Filler:
-			p.rooms[i].Interference = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
+			p.candidates[i].Interference = p.s.interferenceOn(w, st.spec.Image, st.spec.Needs.CPU)
 		case st.spec.LatencyTarget > 0:
-			p.rooms[i].SameImage = w.servingOf(st.spec.Image)
+			p.candidates[i].SameImage = w.shareOfServing(st.spec.Image)
 		}
 	}
 }
 
-// choose finds a worker for a task, preferably not the one where it failed last.
-func (p *placement) choose(st *step, t *task, need fitter.Request) int {
+// chooseWorker returns the index of the best worker for a task, or -1. For a
+// while it avoids the worker where the task last failed.
+func (p *placement) chooseWorker(st *step, t *task, request fitter.Request) int {
 	allowed := func(i int) bool {
 		w := p.workers[i]
 		if !w.reg.HasLabel(st.spec.Label) || w.runs[t.id()] != nil {
 			return false
 		}
-		if st.spec.Filler && w.wouldHarm(p.rooms[i].Interference) || !p.isAdvised(st, w) {
+		if st.spec.Filler && w.wouldNearTarget(p.candidates[i].Interference) || !p.hasTicket(st, w) {
 			return false
 		}
 		return st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker
 	}
-	if t.last == "" {
-		return fitter.Choose(p.rooms, need, allowed)
+	if t.lastFailedOn == "" {
+		return fitter.Choose(p.candidates, request, allowed)
 	}
-	i := fitter.Choose(p.rooms, need, func(i int) bool { return p.workers[i].reg.ID != t.last && allowed(i) })
-	if i < 0 && p.s.now.Sub(t.since) >= elsewhereWait {
-		return fitter.Choose(p.rooms, need, allowed)
+	i := fitter.Choose(p.candidates, request, func(i int) bool { return p.workers[i].reg.ID != t.lastFailedOn && allowed(i) })
+	if i < 0 && p.s.now.Sub(t.waitingSince) >= otherWorkerWait {
+		return fitter.Choose(p.candidates, request, allowed)
 	}
 	return i
 }
 
-// elsewhereWait is how long a task that failed waits for another worker than
-// that where it failed; its room there may be the only one.
-const elsewhereWait = 300 * time.Millisecond
+// otherWorkerWait is how long a failed task waits for a different worker. After
+// that it may return to the same one, which may have the only room.
+const otherWorkerWait = 300 * time.Millisecond
 
-// isAdvised reports whether the step may start on the worker now.
-func (p *placement) isAdvised(st *step, w *worker) bool {
+// hasTicket reports whether the worker may run the step now: the queue needs no
+// advice, or there is a valid ticket.
+func (p *placement) hasTicket(st *step, w *worker) bool {
 	if !st.job.queue.Advice.Needed {
 		return true
 	}
@@ -290,54 +299,55 @@
 
 // placeGang starts all tasks of a step together, or none.
 func (p *placement) placeGang(st *step) {
-	unknown := func(t *task) bool { return !p.settled && !t.located }
+	unknown := func(t *task) bool { return !p.inheritedKnown && !t.allRunsKnown }
 	if st.waiting < len(st.tasks) || slices.ContainsFunc(st.tasks, unknown) {
 		return
 	}
-	rooms := slices.Clone(p.rooms)
-	need := st.fitterNeed()
+	candidates := slices.Clone(p.candidates)
+	request := st.request()
 	chosen := make([]int, 0, len(st.tasks))
 	count := make(map[int]int)
 	for _, t := range st.tasks {
-		i := fitter.Choose(rooms, need, func(i int) bool {
+		i := fitter.Choose(candidates, request, func(i int) bool {
 			w := p.workers[i]
 			free := st.spec.MaxPerWorker == 0 || w.perStep[st]+count[i] < st.spec.MaxPerWorker
-			return free && w.reg.HasLabel(st.spec.Label) && w.runs[t.id()] == nil && p.isAdvised(st, w)
+			return free && w.reg.HasLabel(st.spec.Label) && w.runs[t.id()] == nil && p.hasTicket(st, w)
 		})
 		if i < 0 {
 			return
 		}
-		if st.spec.TightlyCoupled && need.Rack == "" {
-			need.Rack = p.workers[i].rack
+		if st.spec.TightlyCoupled && request.Rack == "" {
+			request.Rack = p.workers[i].rack
 		}
-		rooms[i].Reserve(&need)
+		candidates[i].Reserve(&request)
 		count[i]++
 		chosen = append(chosen, i)
 	}
-	p.rooms = rooms
+	p.candidates = candidates
 	var number int64
 	for _, t := range st.tasks {
 		number = max(number, t.nextRun(p.s.options.Epoch))
 	}
 	for k, t := range st.tasks {
-		p.s.start(t, p.workers[chosen[k]], number)
+		p.s.startRun(t, p.workers[chosen[k]], number)
 	}
 }
 
-// nextRun is the number of the task's next run, higher than any before it.
-func (t *task) nextRun(epoch int64) int64 { return max(t.number, epoch*runsOfEpoch) + 1 }
+// nextRun returns the number of the task's next run. It is higher than that of
+// any earlier run, also under earlier owners.
+func (t *task) nextRun(epoch int64) int64 { return max(t.lastRun, epoch*runsPerEpoch) + 1 }
 
-// start orders a run on a worker.
-func (s *Shard) start(t *task, w *worker, number int64) {
-	t.number = number
-	t.located, t.watched = true, true
+// startRun orders a worker to start a run of a task.
+func (s *Shard) startRun(t *task, w *worker, number int64) {
+	t.lastRun = number
+	t.allRunsKnown, t.seenActive = true, true
 	t.step.waiting--
-	if !t.step.spec.LongRunning && t.step.needs.counted.CPU > 0 {
-		s.ending = s.now
+	if !t.step.spec.LongRunning && t.step.needs.reserved.CPU > 0 {
+		s.lastFiniteStart = s.now
 	}
-	w.add(&run{task: t, id: t.id(), worker: w, number: number, phase: starting, ordered: s.now, needs: t.step.needs, pace: full})
+	w.addRun(&run{task: t, id: t.id(), worker: w, number: number, phase: starting, orderedAt: s.now, needs: t.step.needs, pace: full})
 	order := StartRun{
-		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, LeaseEnd: s.until(w),
+		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, LeaseEnd: s.newLeaseEnd(w),
 	}
 	if t.step.spec.Checkpoint {
 		order.Checkpoint = t.checkpoint
@@ -345,21 +355,21 @@
 	order.Ticket, _ = t.step.ticketFor(w, s.now)
 	s.emit(order)
 	s.emit(Log{
-		Message: "start ordered", Task: order.Task.String(), Job: order.Task.Job, Worker: w.reg.ID, Run: number,
-		Age: s.now.Sub(w.answered),
+		Message: "run start ordered", Task: order.Task.String(), Job: order.Task.Job, Worker: w.reg.ID, Run: number,
+		Age: s.now.Sub(w.polledAt),
 	})
 }
 
-// hasRoom reports whether another worker that is allowed could take the run's task.
+// hasRoom reports whether another allowed worker has room for the run's task.
 func (s *Shard) hasRoom(r *run, allowed func(*worker) bool) bool {
 	st := r.task.step
-	need := st.fitterNeed()
-	for _, w := range s.roster {
+	request := st.request()
+	for _, w := range s.sortedWorkers {
 		if w == r.worker || !w.isUsable(s.now) || !w.reg.HasLabel(st.spec.Label) {
 			continue
 		}
-		room := w.room()
-		if need.Fits(&room) && (st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker) && allowed(w) {
+		candidate := w.candidate()
+		if request.Fits(&candidate) && (st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker) && allowed(w) {
 			return true
 		}
 	}
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -13,19 +13,20 @@
 
 func sortTasks(ids []specifier.TaskID) { slices.SortFunc(ids, compareTasks) }
 
-// TestInvariants interleaves kills, freezes, cuts, outages, lost and late
-// answers. -rapid.seed and -rapid.checks ask for other and more schedules.
+// TestInvariants interleaves crashes, pauses, network partitions, store outages
+// and lost and late calls. The flags -rapid.seed and -rapid.checks choose other
+// and more schedules.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "workers"))
-		w.pass(time.Second)
+		s := newSimulation(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 5).Draw(t, "workers"))
+		s.advance(time.Second)
 		for i := range rapid.IntRange(5, 40).Draw(t, "steps") {
-			w.step(t, i)
-			w.pass(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pass")) * time.Millisecond)
+			s.randomStep(t, i)
+			s.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pass")) * time.Millisecond)
 		}
-		w.heal()
-		w.pass(3 * time.Minute)
-		w.checkEnded()
+		s.endFaults()
+		s.advance(3 * time.Minute)
+		s.checkEnded()
 	})
 }
 
@@ -38,7 +39,7 @@
 			Estimate:     time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond,
 			Checkpoint:   rapid.Bool().Draw(t, "checkpoint"),
 			MaxPerWorker: rapid.IntRange(0, 2).Draw(t, "spread"),
-			LongRunning:      rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
+			LongRunning:  rapid.IntRange(0, 9).Draw(t, "lasting") == 0,
 		}
 		if i > 0 && !job.Steps[i-1].LongRunning {
 			step.After = []int{i - 1}
@@ -48,123 +49,124 @@
 	return job
 }
 
-// step does one thing at random, most often something ordinary.
-func (w *world) step(t *rapid.T, i int) {
+// randomStep submits a job, or with a lower probability causes a fault.
+func (s *simulation) randomStep(t *rapid.T, i int) {
 	length := time.Duration(rapid.IntRange(200, 14000).Draw(t, "length")) * time.Millisecond
-	m := w.workers[rapid.IntRange(0, len(w.workers)-1).Draw(t, "worker")]
-	o := w.owner
+	m := s.workers[rapid.IntRange(0, len(s.workers)-1).Draw(t, "worker")]
+	o := s.owner
 	switch rapid.IntRange(0, 16).Draw(t, "what") {
 	case 0, 1, 2, 3, 4:
-		w.submit(drawJob(t, fmt.Sprintf("%016x", i)))
+		s.submit(drawJob(t, fmt.Sprintf("%016x", i)))
 	case 5:
-		w.cancel(fmt.Sprintf("%016x", max(i-2, 0)))
+		s.cancel(fmt.Sprintf("%016x", max(i-2, 0)))
 	case 6:
-		w.note("owner %d is killed", o.token)
+		s.logf("owner %d crashes", o.token)
 		o.alive = false
-		w.after(length/8, w.claim)
+		s.schedule(length/8, s.claim)
 	case 7:
-		w.note("owner %d freezes for %s", o.token, length)
-		o.frozen = true
-		w.after(min(length, 3*time.Second), w.claimFrom(o))
-		w.after(length, o.thaw)
+		s.logf("owner %d pauses for %s", o.token, length)
+		o.paused = true
+		s.schedule(min(length, 3*time.Second), s.claimFrom(o))
+		s.schedule(length, o.resume)
 	case 8:
-		w.note("owner %d is cut off from %s for %s", o.token, m.id, length)
-		o.cut[m] = true
-		w.after(length, func() { delete(o.cut, m) })
+		s.logf("owner %d is cut off from %s for %s", o.token, m.id, length)
+		o.unreachable[m] = true
+		s.schedule(length, func() { delete(o.unreachable, m) })
 	case 9:
-		w.note("owner %d is cut off from the store for %s", o.token, length)
-		o.store = false
+		s.logf("owner %d is cut off from the store for %s", o.token, length)
+		o.reachesStore = false
 		if rapid.Bool().Draw(t, "replaced") {
-			w.after(3*time.Second, w.claimFrom(o))
+			s.schedule(3*time.Second, s.claimFrom(o))
 		}
-		w.after(length, func() { o.store = true })
+		s.schedule(length, func() { o.reachesStore = true })
 	case 10:
-		w.note("%s crashes for %s", m.id, length)
-		m.die()
-		w.after(length, m.bear)
+		s.logf("%s crashes for %s", m.id, length)
+		m.crash()
+		s.schedule(length, m.restart)
 	case 11:
-		w.note("%s is not registered for %s", m.id, length)
+		s.logf("%s is unregistered for %s", m.id, length)
 		m.registered = false
-		w.after(length, func() { m.registered = true })
+		s.schedule(length, func() { m.registered = true })
 	case 12:
-		w.lose, w.late = 0.2, 0.1
-		w.after(length, func() { w.lose, w.late = 0, 0 })
+		s.lostAnswerRate, s.lateCallRate = 0.2, 0.1
+		s.schedule(length, func() { s.lostAnswerRate, s.lateCallRate = 0, 0 })
 	case 13:
-		w.faulty = 0.3
-		w.after(length, func() { w.faulty = 0 })
+		s.failureRate = 0.3
+		s.schedule(length, func() { s.failureRate = 0 })
 	case 15:
-		w.note("%s hangs for %s", m.id, length)
-		m.hung = true
-		w.after(length, func() { m.hung = false })
+		s.logf("%s stalls for %s", m.id, length)
+		m.stalled = true
+		s.schedule(length, func() { m.stalled = false })
 	case 16:
-		w.release()
+		s.release()
 	case 14:
-		w.note("all are cut off from %s for %s", m.id, length)
+		s.logf("%s is unregistered and cut off from the owner for %s", m.id, length)
 		m.registered = false
-		o.cut[m] = true
-		w.after(length, func() { m.registered = true; delete(o.cut, m) })
+		o.unreachable[m] = true
+		s.schedule(length, func() { m.registered = true; delete(o.unreachable, m) })
 	}
 }
 
-// claimFrom claims the shard if the owner is still the present one.
-func (w *world) claimFrom(o *owner) func() {
+// claimFrom returns a function that claims the shard if o still owns it.
+func (s *simulation) claimFrom(o *owner) func() {
 	return func() {
-		if w.owner == o {
-			w.claim()
+		if s.owner == o {
+			s.claim()
 		}
 	}
 }
 
-// heal ends every fault.
-func (w *world) heal() {
-	w.pass(15 * time.Second)
-	w.lose, w.late, w.faulty = 0, 0, 0
-	for _, m := range w.workers {
-		m.registered, m.hung = true, false
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
+	s.advance(15 * time.Second)
+	s.lostAnswerRate, s.lateCallRate, s.failureRate = 0, 0, 0
+	for _, m := range s.workers {
+		m.registered, m.stalled = true, false
 		if m.dead {
-			m.bear()
+			m.restart()
 		}
 	}
-	if !w.owner.alive {
-		w.claim()
+	if !s.owner.alive {
+		s.claim()
 	}
-	w.owner.store, w.owner.frozen = true, false
-	clear(w.owner.cut)
-	w.cancelLasting()
+	s.owner.reachesStore, s.owner.paused = true, false
+	clear(s.owner.unreachable)
+	s.cancelLongRunning()
 }
 
-// cancelLasting cancels the jobs that would not end, and so leaves room for
-// all others.
-func (w *world) cancelLasting() {
-	for _, id := range sortedKeys(w.store) {
-		if slices.ContainsFunc(w.store[id].job.Steps, func(s specifier.Step) bool { return s.LongRunning }) {
-			w.cancel(id)
+// cancelLongRunning cancels the jobs with long-running tasks, which would never end, so
+// that there is room for all others.
+func (s *simulation) cancelLongRunning() {
+	for _, id := range sortedKeys(s.store) {
+		if slices.ContainsFunc(s.store[id].job.Steps, func(s specifier.Step) bool { return s.LongRunning }) {
+			s.cancel(id)
 		}
 	}
 }
 
-// checkEnded asserts that every job has its final state and that it is true.
-func (w *world) checkEnded() {
-	for _, id := range sortedKeys(w.store) {
-		r := w.store[id]
+// checkEnded checks that every job has a final state, and that the tasks of
+// succeeded jobs have completed.
+func (s *simulation) checkEnded() {
+	for _, id := range sortedKeys(s.store) {
+		r := s.store[id]
 		switch {
 		case r.cancelled && !r.state.IsFinal():
-			w.fail("job %s is %s after its cancellation", id, r.state)
+			s.fail("job %s is %s after its cancellation", id, r.state)
 		case r.cancelled:
 		case !r.state.IsFinal():
-			w.fail("job %s is still %s", id, r.state)
+			s.fail("job %s is still %s", id, r.state)
 		case r.state == specifier.Succeeded:
-			w.checkDone(r)
+			s.checkDone(r)
 		}
 	}
 }
 
-func (w *world) checkDone(r *record) {
+func (s *simulation) checkDone(r *storedJob) {
 	for number, step := range r.job.Steps {
 		for i := range step.Count {
 			id := specifier.TaskID{Job: r.job.ID, Step: number, Index: i}
-			if !w.rules.done[id] {
-				w.fail("job %s has succeeded, but %s has not completed", r.job.ID, id)
+			if !s.invariants.completed[id] {
+				s.fail("job %s has succeeded, but %s has not completed", r.job.ID, id)
 			}
 		}
 	}
--- a/internal/job/dispatcher/stall.go
+++ b/internal/job/dispatcher/stall.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// Bounds of runs that stand still.
+// Limits for the detection of stalled runs.
 const (
-	stallLimit     = 2500 * time.Millisecond // without progress, a run stands still
-	stallPercents  = 4                       // times what a percent took so far, if that is more
-	stallEstimates = 0.1                     // of the estimate, before the first percent
-	stallSuspects  = 2                       // stalled runs at once, from which the worker is avoided
-	stallAvoid     = 4 * time.Second
+	minStallTime        = 2500 * time.Millisecond // minimum time without progress
+	stallPercentFactor  = 4                       // multiple of the average time for one percent so far
+	stallEstimateFactor = 0.1                     // fraction of the estimated run time, before the first percent
+	stalledRunsLimit    = 2                       // with this many stalled runs a worker is avoided
+	stallAvoidTime      = 4 * time.Second         // how long it is avoided
 )
 
-// isStalled reports whether a run makes no progress although nothing holds it
-// back.
+// isStalled reports whether a run makes no progress although it isn't throttled.
 func (s *Shard) isStalled(r *run) bool {
 	if r.phase != active || r.task == nil || r.isFiller() && r.pace < full {
 		return false
 	}
 	spec := r.task.step.spec
-	if spec.LongRunning && r.percent >= full {
+	if spec.LongRunning && r.progress >= full {
 		return false
 	}
-	return s.now.Sub(r.moved) > max(stallLimit, r.patience())
+	return s.now.Sub(r.progressedAt) > max(minStallTime, r.percentTimeout())
 }
 
-// patience is how long a run may need for one percent of its work.
-func (r *run) patience() time.Duration {
-	if r.percent <= 0 {
-		return time.Duration(stallEstimates * float64(r.task.step.spec.Estimate))
+// percentTimeout returns how long a run may take for one percent of its work.
+func (r *run) percentTimeout() time.Duration {
+	if r.progress <= 0 {
+		return time.Duration(stallEstimateFactor * float64(r.task.step.spec.Estimate))
 	}
-	return stallPercents * r.moved.Sub(r.begun) / time.Duration(r.percent)
+	return stallPercentFactor * r.progressedAt.Sub(r.startedAt) / time.Duration(r.progress)
 }
 
-// replaceStalled moves runs that stand still to other workers. A worker with
-// several of them takes no new runs for a while.
+// replaceStalled stops stalled runs if another worker has room for their tasks.
+// A worker with several stalled runs is avoided for a while.
 func (s *Shard) replaceStalled(w *worker) {
 	stalled := 0
 	for _, id := range sortedTasks(w.runs) {
@@ -43,12 +42,12 @@
 		}
 		stalled++
 		if s.hasRoom(r, anyWorker) {
-			r.task.last = w.reg.ID
+			r.task.lastFailedOn = w.reg.ID
 			s.stopRun(r, "no progress")
 		}
 	}
-	if stalled >= stallSuspects {
-		w.avoided = s.now.Add(stallAvoid)
-		s.emit(Log{Message: "worker avoided: its runs stand still", Worker: w.reg.ID, Age: stallAvoid})
+	if stalled >= stalledRunsLimit {
+		w.avoidUntil = s.now.Add(stallAvoidTime)
+		s.emit(Log{Message: "worker avoided after stalled runs", Worker: w.reg.ID, Age: stallAvoidTime})
 	}
 }
--- a/internal/job/dispatcher/suite_test.go
+++ b/internal/job/dispatcher/suite_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestMain fixes the seed and the number of schedules of the property test
-// unless the command line names others.
+// TestMain sets the default seed and number of schedules of the property test.
+// Flags on the command line take precedence.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "25")
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -15,273 +15,273 @@
 	queue := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2}
 	first := specifier.TaskID{Job: "5c0e7a21d94b36f8"}
 
-	It("starts nothing on a worker before a commit names it", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage}, epoch)
+	It("starts nothing on a worker before a durable worker list contains it", func() {
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: simOutageLimit}, epoch)
 		effects := s.Reduce(epoch, CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		held := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}}
+		answer := PollAnswered{Worker: "w1", Sent: epoch, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}}
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1"}))))
-		effects = s.Reduce(epoch.Add(time.Second), held, JobArrived{Job: oneStep(1, nil)})
+		effects = s.Reduce(epoch.Add(time.Second), answer, JobArrived{Job: oneStep(1, nil)})
 		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})))
 		effects = s.Reduce(epoch.Add(time.Second), Committed{Batch: 1})
 		Expect(effects).To(ContainElement(BeAssignableToTypeOf(StartRun{})))
 	})
 
-	It("starts nothing inherited before the workers of its predecessor have answered", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"gone"}}, epoch)
-		d := &desk{Shard: s}
-		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
+	It("starts no inherited task before the earlier owner's workers have answered or their leases have expired", func() {
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: simOutageLimit, Epoch: 1, Workers: []string{"gone"}}, epoch)
+		h := &harness{Shard: s}
+		h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
-		d.pass(time.Second)
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.pass(worldOutage + 2*worldLease)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
-		starts := taken[StartRun](d)
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
+		h.advance(time.Second)
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.advance(simOutageLimit + 2*simLease)
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
+		starts := takeEffects[StartRun](h)
 		Expect(starts).To(HaveLen(1))
-		Expect(starts[0].Run).To(Equal(int64(runsOfEpoch + 1)))
+		Expect(starts[0].Run).To(Equal(int64(runsPerEpoch + 1)))
 	})
 
-	It("does not name a silent worker once its leases have lapsed", func() {
-		d := newDesk(queue, "w1", "w2")
+	It("leaves a silent worker out of the worker list after its leases have expired", func() {
+		h := newHarness(queue, "w1", "w2")
 		answers := func(id string) {
-			d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
+			h.feed(PollAnswered{Worker: id, Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
 		}
 		for range 40 {
-			d.pass(250 * time.Millisecond)
-			for _, h := range taken[PollWorker](d) {
-				if h.Worker.ID == "w2" {
-					d.do(PollFailed{Worker: "w2", Incarnation: 1, Fault: OutcomeUnknown})
+			h.advance(250 * time.Millisecond)
+			for _, pollOrder := range takeEffects[PollWorker](h) {
+				if pollOrder.Worker.ID == "w2" {
+					h.feed(PollFailed{Worker: "w2", Incarnation: 1, Fault: OutcomeUnknown})
 				}
 			}
 			answers("w1")
 		}
-		taken[Commit](d)
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: start.Task, Run: start.Run})
-		d.pass(100 * time.Millisecond)
-		commits := taken[Commit](d)
+		takeEffects[Commit](h)
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		start := takeEffects[StartRun](h)[0]
+		h.feed(StartAnswered{Worker: "w1", Incarnation: 1, Task: start.Task, Run: start.Run})
+		h.advance(100 * time.Millisecond)
+		commits := takeEffects[Commit](h)
 		Expect(commits).NotTo(BeEmpty())
 		Expect(commits[0].Workers).To(Equal([]string{"w1"}))
 
-		d.do(PollFailed{Worker: "w1", Incarnation: 1, Fault: OutcomeUnknown})
+		h.feed(PollFailed{Worker: "w1", Incarnation: 1, Fault: OutcomeUnknown})
 		second := oneStep(1, nil)
 		second.ID = "0000000000000001"
-		effects := d.Reduce(d.now.Add(100*time.Millisecond), JobArrived{Job: second},
-			PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
-		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})), "no commit names it any more")
+		effects := h.Reduce(h.now.Add(100*time.Millisecond), JobArrived{Job: second},
+			PollAnswered{Worker: "w2", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
+		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})), "not in the durable worker list any more")
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1", "w2"}))))
-		effects = d.Reduce(d.now, Committed{Batch: d.Shard.batch})
+		effects = h.Reduce(h.now, Committed{Batch: h.Shard.lastBatch})
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(StartRun{}), HaveField("Worker.ID", "w2"))))
 	})
 
-	It("waits for a predecessor that stopped as planned only until its leases have lapsed", func() {
-		before := newDesk(queue, "w1", "gone")
-		before.pass(time.Second)
-		before.do(PollAnswered{Worker: "w1", Sent: before.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
-		left := before.WorkerLeases(before.now)
-		Expect(left).To(HaveLen(2))
-		Expect(left[0].Worker).To(Equal("gone"))
-		lapse := left[0].Remaining
-		Expect(lapse).To(BeNumerically("<", left[1].Remaining), "renewed later")
-		Expect(left[1].Remaining).To(BeNumerically("<=", stretch(worldLease)+lapseMargin))
+	It("waits after a planned shutdown only until the earlier owner's leases have expired", func() {
+		before := newHarness(queue, "w1", "gone")
+		before.advance(time.Second)
+		before.feed(PollAnswered{Worker: "w1", Sent: before.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
+		leases := before.WorkerLeases(before.now)
+		Expect(leases).To(HaveLen(2))
+		Expect(leases[0].Worker).To(Equal("gone"))
+		remaining := leases[0].Remaining
+		Expect(remaining).To(BeNumerically("<", leases[1].Remaining), "renewed later")
+		Expect(leases[1].Remaining).To(BeNumerically("<=", withDrift(simLease)+expiryMargin))
 		s := New(Options{
-			Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1,
-			Released: true, WorkerLeases: left,
+			Name: "desk", Lease: simLease, OutageLimit: simOutageLimit, Epoch: 1,
+			Released: true, WorkerLeases: leases,
 		}, epoch)
-		d := &desk{Shard: s}
-		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
+		h := &harness{Shard: s}
+		h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}},
 			JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
-		d.pass(lapse)
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.pass(time.Millisecond)
-		Expect(taken[StartRun](d)).To(HaveLen(1))
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
+		h.advance(remaining)
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.advance(time.Millisecond)
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("leaves behind how long its own predecessor may go on", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"gone"}}, epoch)
-		left := s.WorkerLeases(epoch.Add(time.Second))
-		Expect(left).To(HaveLen(1))
-		Expect(left[0].Worker).To(Equal("gone"))
-		Expect(left[0].Remaining).To(BeNumerically(">", worldOutage))
+	It("releases with the leases that an even earlier owner may still renew", func() {
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: simOutageLimit, Epoch: 1, Workers: []string{"gone"}}, epoch)
+		leases := s.WorkerLeases(epoch.Add(time.Second))
+		Expect(leases).To(HaveLen(1))
+		Expect(leases[0].Worker).To(Equal("gone"))
+		Expect(leases[0].Remaining).To(BeNumerically(">", simOutageLimit))
 	})
 
-	It("does not wait for other workers with a task that it has seen running", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"gone", "w1"}}, epoch)
-		d := &desk{Shard: s}
+	It("restarts a task that it has seen running without waiting for other workers", func() {
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: simOutageLimit, Epoch: 1, Workers: []string{"gone", "w1"}}, epoch)
+		h := &harness{Shard: s}
 		job := oneStep(1, nil)
 		job.Steps = append(job.Steps, specifier.Step{Count: 1, Needs: resources(1000), Estimate: time.Second, After: []int{0}})
-		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
+		h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: job},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{
 			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 1}},
 		}})
-		d.pass(time.Second)
+		h.advance(time.Second)
 		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.OutcomeStopped}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
-		again := taken[StartRun](d)
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
+		again := takeEffects[StartRun](h)
 		Expect(again).To(HaveLen(1), "its only run is known")
-		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: first, Run: again[0].Run})
-		d.pass(time.Second)
+		h.feed(StartAnswered{Worker: "w1", Incarnation: 1, Task: first, Run: again[0].Run})
+		h.advance(time.Second)
 		end = specifier.End{Number: 2, Task: first, Run: again[0].Run, Outcome: specifier.OutcomeDone}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
-		Expect(taken[StartRun](d)).To(HaveLen(1), "nobody can have started the step after it")
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 3 * time.Minute, Ended: []specifier.End{end}}})
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1), "no earlier owner can have started the dependent step")
 	})
 
-	It("starts a task that failed under it only when it knows of all earlier failures", func() {
+	It("starts an adopted task again only after it knows all earlier failures", func() {
 		two := specifier.Queue{Name: "menus", Slack: 2, Attempts: 2}
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: worldOutage, Epoch: 1, Workers: []string{"w1", "w2"}}, epoch)
-		d := &desk{Shard: s}
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: simOutageLimit, Epoch: 1, Workers: []string{"w1", "w2"}}, epoch)
+		h := &harness{Shard: s}
 		room := describer.Resources{CPU: 4000, Memory: 1000}
-		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
+		h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{two}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: room}, {ID: "w2", Incarnation: 1, Capacity: room}, {ID: "w3", Incarnation: 1, Capacity: room}}})
-		d.do(PollAnswered{Worker: "w3", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
-		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: specifier.Inventory{
+		h.feed(PollAnswered{Worker: "w3", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
+		h.feed(PollAnswered{Worker: "w2", Sent: h.now, Inventory: specifier.Inventory{
 			Incarnation: 1, Clock: time.Minute, Active: []specifier.Run{{Task: first, Number: 2}},
 		}})
-		d.pass(time.Second)
+		h.advance(time.Second)
 		failed := func(number, run int64) specifier.Inventory {
 			return specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{
 				{Number: number, Task: first, Run: run, Outcome: specifier.OutcomeFailed},
 			}}
 		}
-		d.do(PollAnswered{Worker: "w2", Sent: d.now, Inventory: failed(1, 2)})
-		d.pass(time.Second)
-		Expect(taken[StartRun](d)).To(BeEmpty(), "w1 may tell of the first failure")
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: failed(1, 1)})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		Expect(d.ended).To(HaveKey(first.Job), "it has failed too often")
+		h.feed(PollAnswered{Worker: "w2", Sent: h.now, Inventory: failed(1, 2)})
+		h.advance(time.Second)
+		Expect(takeEffects[StartRun](h)).To(BeEmpty(), "w1 may report an earlier failure")
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: failed(1, 1)})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		Expect(h.endedAt).To(HaveKey(first.Job), "the job has failed after two failed runs")
 	})
 
-	It("counts a failure once, also when its end is listed again", func() {
-		d := newDesk(queue, "w1")
-		d.do(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.TaskProgress{{Failed: []int64{1}}}}})
+	It("counts a failed run once if its end is listed again", func() {
+		h := newHarness(queue, "w1")
+		h.feed(JobLoaded{Job: oneStep(1, nil), Progress: recorder.Progress{Tasks: []recorder.TaskProgress{{Failed: []int64{1}}}}})
 		end := specifier.End{Number: 1, Task: first, Run: 1, Outcome: specifier.OutcomeFailed}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
-		Expect(d.jobs).To(HaveKey(first.Job))
-		Expect(d.jobs[first.Job].final).To(BeEmpty())
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Ended: []specifier.End{end}}})
+		Expect(h.jobs).To(HaveKey(first.Job))
+		Expect(h.jobs[first.Job].final).To(BeEmpty())
 	})
 
-	It("closes a worker that has runs of unknown needs", func() {
-		d := newDesk(queue, "w1")
-		strange := specifier.Run{Task: specifier.TaskID{Job: "0000000000000000"}, Number: 1}
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Active: []specifier.Run{strange}}})
-		Expect(taken[StopRun](d)).To(HaveLen(1))
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(StopAnswered{Worker: "w1", Incarnation: 1, Task: strange.Task, Run: 1})
-		d.now = d.now.Add(time.Second)
-		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
-		Expect(taken[StartRun](d)).To(HaveLen(1))
+	It("starts nothing on a worker that has runs with unknown needs", func() {
+		h := newHarness(queue, "w1")
+		unknownRun := specifier.Run{Task: specifier.TaskID{Job: "0000000000000000"}, Number: 1}
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute, Active: []specifier.Run{unknownRun}}})
+		Expect(takeEffects[StopRun](h)).To(HaveLen(1))
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.feed(StopAnswered{Worker: "w1", Incarnation: 1, Task: unknownRun.Task, Run: 1})
+		h.now = h.now.Add(time.Second)
+		h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("lets the leases of a silent worker lapse, then starts its tasks elsewhere", func() {
-		d := newDesk(queue, "w1", "w2")
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
+	It("starts a silent worker's tasks elsewhere after its leases have expired", func() {
+		h := newHarness(queue, "w1", "w2")
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		start := takeEffects[StartRun](h)[0]
+		h.feed(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
 		for range 40 {
-			d.pass(250 * time.Millisecond)
-			for _, h := range taken[PollWorker](d) {
-				if h.Worker.ID == start.Worker.ID {
-					d.do(PollFailed{Worker: h.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
+			h.advance(250 * time.Millisecond)
+			for _, pollOrder := range takeEffects[PollWorker](h) {
+				if pollOrder.Worker.ID == start.Worker.ID {
+					h.feed(PollFailed{Worker: pollOrder.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
 				}
 			}
-			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
+			h.feed(PollAnswered{Worker: other, Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
 		}
-		again := taken[StartRun](d)
+		again := takeEffects[StartRun](h)
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Worker.ID).To(Equal(other))
 	})
 
 	It("starts a silent worker's tasks elsewhere only while the store confirms the ownership", func() {
-		// A successor may have reached the worker, taken in the end of the run
+		// Another owner may have reached the worker, processed the end of the run
 		// and acknowledged it.
-		d := newDesk(queue, "w1", "w2")
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		start := taken[StartRun](d)[0]
-		d.do(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
+		h := newHarness(queue, "w1", "w2")
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		start := takeEffects[StartRun](h)[0]
+		h.feed(StartAnswered{Worker: start.Worker.ID, Incarnation: 1, Task: start.Task, Run: 1})
 		other := map[string]string{"w1": "w2", "w2": "w1"}[start.Worker.ID]
-		for range 28 { // 7 s, less than worldOutage
-			d.now = d.now.Add(250 * time.Millisecond)
-			d.do(Tick{}, PollFailed{Worker: start.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
-			d.do(PollAnswered{Worker: other, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: d.now.Sub(epoch)}})
+		for range 28 { // 7 s, less than simOutageLimit
+			h.now = h.now.Add(250 * time.Millisecond)
+			h.feed(Tick{}, PollFailed{Worker: start.Worker.ID, Incarnation: 1, Fault: OutcomeUnknown})
+			h.feed(PollAnswered{Worker: other, Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
 		}
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(OwnershipChecked{Confirmed: true}, Tick{})
-		Expect(taken[StartRun](d)).To(HaveLen(1))
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.feed(OwnershipChecked{Confirmed: true}, Tick{})
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("gives up waiting for inherited runs only while the store confirms the ownership", func() {
-		s := New(Options{Name: "desk", Lease: worldLease, OutageLimit: 3 * worldOutage, Epoch: 1, Released: true, WorkerLeases: []recorder.WorkerLease{{Worker: "gone"}}}, epoch)
-		d := &desk{Shard: s}
-		d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
+	It("stops waiting for inherited runs only while the store confirms the ownership", func() {
+		s := New(Options{Name: "desk", Lease: simLease, OutageLimit: 3 * simOutageLimit, Epoch: 1, Released: true, WorkerLeases: []recorder.WorkerLease{{Worker: "gone"}}}, epoch)
+		h := &harness{Shard: s}
+		h.feed(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, JobLoaded{Job: oneStep(1, nil)},
 			WorkersListed{Workers: []specifier.Worker{{ID: "w1", Incarnation: 1, Capacity: describer.Resources{CPU: 4000, Memory: 1000}}}})
-		d.now = d.now.Add(2 * time.Second)
-		d.do(Tick{}, PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.do(OwnershipChecked{Confirmed: true}, Tick{})
-		Expect(taken[StartRun](d)).To(HaveLen(1))
+		h.now = h.now.Add(2 * time.Second)
+		h.feed(Tick{}, PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.feed(OwnershipChecked{Confirmed: true}, Tick{})
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("starts a failed task again where it failed, if there is no room elsewhere", func() {
-		d := newDesk(queue, "w1", "w2")
-		whole := func(s *specifier.Step) { s.LongRunning, s.Needs = true, resources(lastingShare*workerCPU) }
+	It("starts a failed task on the same worker again if there is no room elsewhere", func() {
+		h := newHarness(queue, "w1", "w2")
+		whole := func(s *specifier.Step) { s.LongRunning, s.Needs = true, resources(longRunningShare*workerCPU) }
 		other := oneStep(1, whole)
 		other.ID = "0000000000000001"
-		d.do(JobArrived{Job: oneStep(1, whole)}, JobArrived{Job: other})
-		starts := taken[StartRun](d)
+		h.feed(JobArrived{Job: oneStep(1, whole)}, JobArrived{Job: other})
+		starts := takeEffects[StartRun](h)
 		Expect(starts).To(HaveLen(2))
 		for _, s := range starts {
-			d.do(StartAnswered{Worker: s.Worker.ID, Incarnation: 1, Task: s.Task, Run: 1})
+			h.feed(StartAnswered{Worker: s.Worker.ID, Incarnation: 1, Task: s.Task, Run: 1})
 		}
-		d.now = d.now.Add(time.Second)
-		d.do(PollAnswered{Worker: starts[0].Worker.ID, Sent: d.now, Inventory: specifier.Inventory{
+		h.now = h.now.Add(time.Second)
+		h.feed(PollAnswered{Worker: starts[0].Worker.ID, Sent: h.now, Inventory: specifier.Inventory{
 			Incarnation: 1, Clock: 2 * time.Minute,
 			Ended: []specifier.End{{Number: 1, Task: starts[0].Task, Run: 1, Outcome: specifier.OutcomeFailed}},
 		}})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.pass(elsewhereWait)
-		again := taken[StartRun](d)
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.advance(otherWorkerWait)
+		again := takeEffects[StartRun](h)
 		Expect(again).To(HaveLen(1))
 		Expect(again[0].Worker.ID).To(Equal(starts[0].Worker.ID))
 	})
 
-	It("tries a worker whose runs failed again within seconds", func() {
-		d := newDesk(queue, "w1")
+	It("uses a worker with failed runs again after some seconds", func() {
+		h := newHarness(queue, "w1")
 		for range 8 {
-			d.now = d.now.Add(time.Second)
-			d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{
-				Incarnation: 1, Clock: d.now.Sub(epoch),
+			h.now = h.now.Add(time.Second)
+			h.feed(PollAnswered{Worker: "w1", Sent: h.now, Inventory: specifier.Inventory{
+				Incarnation: 1, Clock: h.now.Sub(epoch),
 			}})
-			d.suspect(d.workers["w1"])
+			h.countFailure(h.workers["w1"])
 		}
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		Expect(taken[StartRun](d)).To(BeEmpty())
-		d.pass(4 * time.Second)
-		Expect(taken[StartRun](d)).To(HaveLen(1))
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
+		h.advance(4 * time.Second)
+		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("stops when a worker has seen a later owner", func() {
-		d := newDesk(queue, "w1")
-		d.do(PollFailed{Worker: "w1", Incarnation: 1, Fault: Fenced})
-		Expect(taken[Resign](d)).To(HaveLen(1))
-		d.do(JobArrived{Job: oneStep(1, nil)})
-		Expect(taken[StartRun](d)).To(BeEmpty())
+	It("resigns when a worker has seen a higher fencing token", func() {
+		h := newHarness(queue, "w1")
+		h.feed(PollFailed{Worker: "w1", Incarnation: 1, Fault: Fenced})
+		Expect(takeEffects[Resign](h)).To(HaveLen(1))
+		h.feed(JobArrived{Job: oneStep(1, nil)})
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
 	})
 
-	It("does not go on without the store for longer than a successor counts on", func() {
-		d := newDesk(queue, "w1")
-		taken[PollWorker](d)
-		d.do(OwnershipChecked{Confirmed: false})
-		d.now = d.now.Add(worldOutage + time.Second)
-		d.do(Tick{}, JobArrived{Job: oneStep(1, nil)})
-		Expect(taken[PollWorker](d)).To(BeEmpty())
-		Expect(taken[StartRun](d)).To(BeEmpty())
+	It("gives no orders after the outage limit without the store", func() {
+		h := newHarness(queue, "w1")
+		takeEffects[PollWorker](h)
+		h.feed(OwnershipChecked{Confirmed: false})
+		h.now = h.now.Add(simOutageLimit + time.Second)
+		h.feed(Tick{}, JobArrived{Job: oneStep(1, nil)})
+		Expect(takeEffects[PollWorker](h)).To(BeEmpty())
+		Expect(takeEffects[StartRun](h)).To(BeEmpty())
 	})
 })
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -9,80 +9,81 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// worker is one life of a registered worker.
+// worker is one incarnation of a registered worker.
 type worker struct {
-	reg     specifier.Worker
-	rack    string
-	runs    map[specifier.TaskID]*run
-	used    need
-	use     int64         // CPU of fillers at their pace, millicores; unknownUse after a change
-	perStep map[*step]int // runs of each step
-
-	missing time.Time // when it was first not listed; zero while it is
-	synced  bool      // it has answered in this life
-	named   bool      // the last commit names it, and is durable
-	holding bool      // an inventory is on its way
-	next    time.Time // when to ask for the next
-	failing int       // unanswered inventories in a row
-
-	answered time.Time     // when the last inventory came
-	clock    time.Duration // its steady clock, read before answered
-	lapsed   time.Time     // when every lease given here has lapsed
-
-	seen     int64 // ends taken in up to this number
-	ends     []pendingEnd
-	observed int64 // ends up to this number are durable
-
-	faults  int            // failed runs in a row
-	avoided time.Time      // no starts before this time
-	serving map[string]int // runs of each image with a target
-	tail    float64        // worst tail as a share of its target; 0 without such tasks
-	strange int            // runs whose needs are not known
-	over    time.Time      // since when a tail is over its target; zero if none is
-	paced   time.Time
+	reg       specifier.Worker
+	rack      string
+	runs      map[specifier.TaskID]*run
+	allocated need
+	fillerCPU int64         // cached by expectedFillerCPU, millicores; unknownCPU if outdated
+	perStep   map[*step]int // number of runs, by step
+
+	unregisteredAt time.Time // when it disappeared from the registered workers; zero if it is registered
+	reported       bool      // this incarnation has answered a poll
+	recorded       bool      // the durable worker list contains it
+	polling        bool      // a poll is in progress
+	nextPoll       time.Time // earliest time of the next poll
+	failedPolls    int       // failed polls in a row
+
+	polledAt    time.Time     // when the last inventory arrived
+	polledClock time.Duration // the worker's monotonic clock in the last inventory
+	leaseExpiry time.Time     // when every lease granted here has expired for certain
+
+	lastEnd     int64 // highest processed number of an end
+	pendingEnds []pendingEnd
+	ackedEnd    int64 // changes by ends up to this number are durable
+
+	failuresInRow   int            // runs that failed in a row
+	avoidUntil      time.Time      // no runs are started before this time
+	servingRuns     map[string]int // number of runs with a latency target, by image
+	latencyRatio    float64        // highest ratio of a tail latency to its target; 0 without serving runs
+	unknownRuns     int            // number of runs whose reservations aren't known
+	overTargetSince time.Time      // since when latencyRatio is at least 1; zero if it isn't
+	pacedAt         time.Time      // when a pace was last ordered
 }
 
-const unknownUse = -1
+// unknownCPU marks worker.fillerCPU as outdated.
+const unknownCPU = -1
 
-// pendingEnd is an end whose change is not durable yet.
+// pendingEnd is the end of a run that isn't acknowledged to the worker yet.
 type pendingEnd struct {
-	number  int64
-	job     *job // nil: nothing has to be durable
-	version int64
+	number     int64
+	job        *job  // the job that the end changed, or nil if it changed none
+	jobVersion int64 // version of the job that has to be durable first
 }
 
-// runPhase is how far a run is.
+// runPhase is the state of a run as the owner knows it.
 type runPhase uint8
 
 const (
-	starting  runPhase = iota // ordered, not answered
-	unsettled                 // the start had no answer
-	active                    // on the worker
-	stopping                  // a stop is ordered
+	starting     runPhase = iota // start ordered, no answer yet
+	startUnknown                 // the start failed with an unknown outcome
+	active                       // the worker has the run
+	stopping                     // stop ordered
 )
 
-// run is a run on a worker, or one that may be there.
+// run is a run that a worker has or may have.
 type run struct {
-	task    *task // nil: of a job that is not here
-	id      specifier.TaskID
-	worker  *worker
-	number  int64
-	phase   runPhase
-	ordered time.Time // when the last order was given
-	settled time.Time // when the last order was answered
-	needs   need
-	strange bool      // needs are not known
-	percent int       // as listed: see specifier.Run
-	figure  float64   // as listed: see specifier.Run
-	pace    int       // percent of full speed, as ordered
-	slowed  time.Time // when the pace became 0
-	begun   time.Time
-	moved   time.Time // when percent last changed
+	task         *task // nil if the shard doesn't have the job
+	id           specifier.TaskID
+	worker       *worker
+	number       int64
+	phase        runPhase
+	orderedAt    time.Time // time of the last start or stop order
+	answeredAt   time.Time // when that order was answered; zero before
+	needs        need
+	unknown      bool      // needs aren't known
+	progress     int       // see specifier.Run.ProgressPercent
+	metric       float64   // see specifier.Run.Metric
+	pace         int       // ordered percentage of full speed, or unknownPace
+	pausedAt     time.Time // when the pace was last set to 0
+	startedAt    time.Time
+	progressedAt time.Time // when progress last changed
 }
 
-// listWorkers takes in the registered workers of the shard.
+// listWorkers updates the workers from the current registrations.
 func (s *Shard) listWorkers(list []specifier.Worker) {
-	s.listed = true
+	s.workersListed = true
 	listed := make(map[string]bool, len(list))
 	for _, reg := range list {
 		listed[reg.ID] = true
@@ -92,96 +93,98 @@
 		if listed[id] {
 			continue
 		}
-		if w.missing.IsZero() {
-			w.missing = s.now
-			s.emit(Log{Message: "worker no longer registered", Worker: id})
+		if w.unregisteredAt.IsZero() {
+			w.unregisteredAt = s.now
+			s.emit(Log{Message: "worker unregistered", Worker: id})
 		}
 	}
-	s.changed = true
+	s.placementDue = true
 }
 
+// register adds a worker or updates its registration.
 func (s *Shard) register(reg specifier.Worker) {
 	w := s.workers[reg.ID]
 	if w == nil {
-		w = &worker{reg: reg, runs: make(map[specifier.TaskID]*run), perStep: make(map[*step]int), serving: make(map[string]int)}
+		w = &worker{reg: reg, runs: make(map[specifier.TaskID]*run), perStep: make(map[*step]int), servingRuns: make(map[string]int)}
 		w.rack = reg.Rack()
-		s.admit(w)
+		s.addWorker(w)
 		s.emit(Log{Message: "worker registered", Worker: reg.ID})
-		s.hold(w)
+		s.poll(w)
 		return
 	}
 	if reg.Incarnation > w.reg.Incarnation {
-		s.rebirth(w, reg.Incarnation)
+		s.resetWorker(w, reg.Incarnation)
 	}
 	if reg.Draining && !w.reg.Draining {
-		s.emit(Log{Message: "worker drains", Worker: reg.ID})
+		s.emit(Log{Message: "worker drain started", Worker: reg.ID})
 	}
-	born := w.reg.Incarnation
+	incarnation := w.reg.Incarnation
 	w.reg = reg
-	w.reg.Incarnation = max(born, reg.Incarnation)
+	w.reg.Incarnation = max(incarnation, reg.Incarnation)
 	w.rack = reg.Rack()
-	w.missing = time.Time{}
+	w.unregisteredAt = time.Time{}
 }
 
-// admit adds a worker to the shard.
-func (s *Shard) admit(w *worker) {
+// addWorker adds a worker to the shard.
+func (s *Shard) addWorker(w *worker) {
 	s.workers[w.reg.ID] = w
-	s.unnamed = true
-	at, _ := slices.BinarySearchFunc(s.roster, w, compareWorkers)
-	s.roster = slices.Insert(s.roster, at, w)
+	s.hasUnrecorded = true
+	at, _ := slices.BinarySearchFunc(s.sortedWorkers, w, compareWorkers)
+	s.sortedWorkers = slices.Insert(s.sortedWorkers, at, w)
 }
 
-// dismiss removes a worker that is gone.
-func (s *Shard) dismiss(w *worker) {
+// removeWorker removes a worker that has no runs.
+func (s *Shard) removeWorker(w *worker) {
 	delete(s.workers, w.reg.ID)
-	if at, ok := slices.BinarySearchFunc(s.roster, w, compareWorkers); ok {
-		s.roster = slices.Delete(s.roster, at, at+1)
+	if at, ok := slices.BinarySearchFunc(s.sortedWorkers, w, compareWorkers); ok {
+		s.sortedWorkers = slices.Delete(s.sortedWorkers, at, at+1)
 	}
 }
 
 func compareWorkers(a, b *worker) int { return strings.Compare(a.reg.ID, b.reg.ID) }
 
-// rebirth forgets what ran in an earlier life of the worker.
-func (s *Shard) rebirth(w *worker, born int64) {
-	s.emit(Log{Message: "worker born again", Worker: w.reg.ID})
-	s.dropRuns(w)
-	w.reg.Incarnation = born
-	w.synced, w.answered, w.clock, w.lapsed = false, time.Time{}, 0, time.Time{}
-	w.seen, w.observed, w.ends = 0, 0, nil
-	w.faults, w.avoided, w.tail = 0, time.Time{}, 0
-	w.next = s.now
-	s.hold(w)
+// resetWorker starts over with a new incarnation of a worker: the runs of the
+// old one have ended.
+func (s *Shard) resetWorker(w *worker, incarnation int64) {
+	s.emit(Log{Message: "worker restarted", Worker: w.reg.ID})
+	s.removeRuns(w)
+	w.reg.Incarnation = incarnation
+	w.reported, w.polledAt, w.polledClock, w.leaseExpiry = false, time.Time{}, 0, time.Time{}
+	w.lastEnd, w.ackedEnd, w.pendingEnds = 0, 0, nil
+	w.failuresInRow, w.avoidUntil, w.latencyRatio = 0, time.Time{}, 0
+	w.nextPoll = s.now
+	s.poll(w)
 }
 
-// dropRuns releases every task of a worker whose runs are over.
-func (s *Shard) dropRuns(w *worker) {
+// removeRuns removes all runs of a worker and requeues their tasks.
+func (s *Shard) removeRuns(w *worker) {
 	for _, id := range sortedTasks(w.runs) {
-		s.drop(w.runs[id])
+		s.removeRun(w.runs[id])
 	}
 }
 
-// drop forgets a run that is over.
-func (s *Shard) drop(r *run) {
+// removeRun forgets a run that has ended and requeues its task.
+func (s *Shard) removeRun(r *run) {
 	w := r.worker
 	if w.runs[r.id] != r {
 		return
 	}
 	delete(w.runs, r.id)
-	w.used = w.used.sub(r.needs)
-	w.use = unknownUse
-	s.changed = true
-	if r.strange {
-		w.strange--
+	w.allocated = w.allocated.sub(r.needs)
+	w.fillerCPU = unknownCPU
+	s.placementDue = true
+	if r.unknown {
+		w.unknownRuns--
 	}
 	if r.task == nil {
 		return
 	}
 	decrement(w.perStep, r.task.step)
 	if r.isServing() {
-		decrement(w.serving, r.task.step.spec.Image)
+		decrement(w.servingRuns, r.task.step.spec.Image)
 	}
 	if r.task.worker == w {
-		s.release(r.task)
+		s.requeue(r.task)
 	}
 }
 
@@ -192,119 +195,125 @@
 	}
 }
 
-// add books a run.
-func (w *worker) add(r *run) {
+// addRun adds a run and its reservations.
+func (w *worker) addRun(r *run) {
 	w.runs[r.id] = r
-	w.used = w.used.add(r.needs)
-	w.use = unknownUse
-	if r.strange {
-		w.strange++
+	w.allocated = w.allocated.add(r.needs)
+	w.fillerCPU = unknownCPU
+	if r.unknown {
+		w.unknownRuns++
 	}
 	if r.task != nil {
 		w.perStep[r.task.step]++
 		if r.isServing() {
-			w.serving[r.task.step.spec.Image]++
+			w.servingRuns[r.task.step.spec.Image]++
 		}
 		r.task.worker = w
 	}
 }
 
-// reviewWorker asks for the next inventory and gives up a worker that is gone.
+// reviewWorker does what is due for a worker: it polls it, repeats stops, and
+// gives up its runs, or the worker itself, when the leases have expired.
 func (s *Shard) reviewWorker(w *worker) {
-	s.settleRuns(w)
-	_, inherited := s.inherited[w.reg.ID]
-	if !w.missing.IsZero() && !w.holding && !inherited && (len(w.runs) == 0 || s.hasLapsed(w)) {
-		s.dropRuns(w)
-		s.dismiss(w)
-		s.emit(Log{Message: "worker is gone", Worker: w.reg.ID})
+	s.retryStops(w)
+	_, inherited := s.inheritedExpiry[w.reg.ID]
+	if !w.unregisteredAt.IsZero() && !w.polling && !inherited && (len(w.runs) == 0 || s.haveLeasesExpired(w)) {
+		s.removeRuns(w)
+		s.removeWorker(w)
+		s.emit(Log{Message: "worker removed", Worker: w.reg.ID})
 		return
 	}
-	if w.failing > 0 && len(w.runs) > 0 && s.hasLapsed(w) {
-		s.emit(Log{Message: "leases on a silent worker lapsed", Worker: w.reg.ID})
-		s.dropRuns(w)
+	if w.failedPolls > 0 && len(w.runs) > 0 && s.haveLeasesExpired(w) {
+		s.emit(Log{Message: "worker leases expired", Worker: w.reg.ID})
+		s.removeRuns(w)
 	}
 	s.evacuate(w)
-	s.hold(w)
+	s.poll(w)
 }
 
-// hasLapsed reports whether every lease on the worker has lapsed for certain.
-// An owner that the store has not confirmed may have a successor that reaches
-// the worker and renews them.
-func (s *Shard) hasLapsed(w *worker) bool {
-	return s.isConfirmed() && !w.lapsed.IsZero() && s.now.After(w.lapsed)
+// haveLeasesExpired reports whether every lease on the worker has certainly
+// expired. Without a recent confirmation by the store the answer is false:
+// another owner may reach the worker and renew them.
+func (s *Shard) haveLeasesExpired(w *worker) bool {
+	return s.isOwnershipConfirmed() && !w.leaseExpiry.IsZero() && s.now.After(w.leaseExpiry)
 }
 
-func (s *Shard) isConfirmed() bool { return s.now.Sub(s.contact) < confirmTime }
+func (s *Shard) isOwnershipConfirmed() bool { return s.now.Sub(s.confirmedAt) < confirmationTime }
 
-// confirmTime is how long nobody else can own the shard after the store has
-// confirmed the ownership; it is shorter than the lease of the owner's record.
-const confirmTime = 1500 * time.Millisecond
+// confirmationTime is how long no other daemon can own the shard after the
+// store has confirmed the ownership. It is shorter than the lease of the
+// owner's record.
+const confirmationTime = 1500 * time.Millisecond
 
-// hold asks a worker for its inventory and renews its leases.
-func (s *Shard) hold(w *worker) {
-	if w.holding || s.now.Before(w.next) || !s.mayAct() {
+// poll requests a worker's inventory and renews its leases, if a poll is due.
+func (s *Shard) poll(w *worker) {
+	if w.polling || s.now.Before(w.nextPoll) || !s.mayAct() {
 		return
 	}
-	h := PollWorker{Worker: w.reg, Acknowledged: w.observed}
-	if w.failing == 0 {
-		// A silent worker is not renewed, so that its leases lapse at a known time.
-		h.LeaseEnd = s.until(w)
+	order := PollWorker{Worker: w.reg, Acknowledged: w.ackedEnd}
+	if w.failedPolls == 0 {
+		// The leases of a worker that doesn't answer aren't renewed, so that
+		// they expire at a known time.
+		order.LeaseEnd = s.newLeaseEnd(w)
 	}
-	if w.synced && len(w.ends) == 0 && w.failing == 0 {
-		h.Wait = s.options.PollWait
-		if w.tail > watchedTail && w.used.filler > 0 {
-			h.Wait = paceInterval
+	if w.reported && len(w.pendingEnds) == 0 && w.failedPolls == 0 {
+		order.Wait = s.options.PollWait
+		if w.latencyRatio > closeWatchRatio && w.allocated.filler > 0 {
+			order.Wait = paceInterval
 		}
 	}
-	w.holding = true
-	s.emit(h)
+	w.polling = true
+	s.emit(order)
 }
 
-// until is the end of a lease given now, by the worker's clock, and notes when
-// it has lapsed for certain.
-func (s *Shard) until(w *worker) time.Duration {
-	if w.answered.IsZero() {
+// newLeaseEnd returns the end of a lease granted now, by the worker's clock.
+// It updates leaseExpiry.
+func (s *Shard) newLeaseEnd(w *worker) time.Duration {
+	if w.polledAt.IsZero() {
 		return 0
 	}
-	until := w.clock + s.now.Sub(w.answered) + s.options.Lease
-	lapsed := w.answered.Add(stretch(until-w.clock) + lapseMargin)
-	if lapsed.After(w.lapsed) {
-		w.lapsed = lapsed
+	leaseEnd := w.polledClock + s.now.Sub(w.polledAt) + s.options.Lease
+	expiry := w.polledAt.Add(withDrift(leaseEnd-w.polledClock) + expiryMargin)
+	if expiry.After(w.leaseExpiry) {
+		w.leaseExpiry = expiry
 	}
-	return until
+	return leaseEnd
 }
 
-func (s *Shard) holdFailed(e PollFailed) {
+// pollFailed schedules the next poll of a worker that returned no inventory.
+func (s *Shard) pollFailed(e PollFailed) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.holding = false
-	w.failing++
-	w.next = s.now.Add(failedPause)
+	w.polling = false
+	w.failedPolls++
+	w.nextPoll = s.now.Add(pollRetryDelay)
 	switch e.Fault {
 	case Fenced:
 		s.resign(w)
 	case WorkerRestarted:
-		// The registration tells the time of birth; until then nothing is known.
-		w.synced = false
+		// The incarnation follows with the next registration.
+		w.reported = false
 	}
-	if w.failing == 1 {
-		s.emit(Log{Message: "worker does not answer", Worker: e.Worker, Reason: e.Fault.String()})
+	if w.failedPolls == 1 {
+		s.emit(Log{Message: "worker poll failed", Worker: e.Worker, Reason: e.Fault.String()})
 	}
 }
 
+// resign ends the ownership after a worker has seen a higher fencing token.
 func (s *Shard) resign(w *worker) {
 	s.resigned = true
 	s.emit(Resign{Worker: w.reg.ID})
 }
 
-// watchedTail is the share of its target from which a tail is looked at more often.
-const watchedTail = 0.6
+// closeWatchRatio is the latency ratio above which a worker with fillers is polled
+// more often.
+const closeWatchRatio = 0.6
 
 // isUsable reports whether runs may be started on the worker.
 func (w *worker) isUsable(now time.Time) bool {
-	return w.synced && w.named && w.failing == 0 && w.strange == 0 && w.missing.IsZero() && !w.reg.Draining && !now.Before(w.avoided)
+	return w.reported && w.recorded && w.failedPolls == 0 && w.unknownRuns == 0 && w.unregisteredAt.IsZero() && !w.reg.Draining && !now.Before(w.avoidUntil)
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
