--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/world_test.go
@@ -15,62 +15,62 @@
 var epoch = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
 
 const (
-	worldLease    = 6 * time.Second
-	worldStop     = 400 * time.Millisecond
-	worldOutage   = 8 * time.Second
-	worldAttempts = 2
+	simLease       = 6 * time.Second
+	simStopTime    = 400 * time.Millisecond
+	simOutageLimit = 8 * time.Second
+	simAttempts    = 2
 )
 
 type reporter interface {
 	Fatalf(format string, args ...any)
 }
 
-// world is one shard's owners, workers and store in virtual time. Calls to
-// workers are delayed, lost, and carried out late as its faults say.
-type world struct {
-	t       reporter
-	random  *rand.Rand
-	now     time.Time
-	events  timeline
-	number  int
-	workers []*fakeWorker
-	owner   *owner
-	epoch   int64
-	token   int64
-	catalog *specifier.Catalog
-
-	store    map[string]*record     // jobs by id
-	used     []string               // workers named by the last commit
-	released bool                   // the last owner has stopped as planned
-	left     []recorder.WorkerLease // by it
-	lose     float64                // share of calls whose answer is lost
-	late     float64                // share of calls that are carried out seconds later, unanswered
-	faulty   float64                // share of runs that fail
-	rules    rules
-	history  []string
+// simulation runs the owners, workers and store of one shard in virtual time.
+// Calls to workers are delayed, lost or executed late, as its rates say.
+type simulation struct {
+	t          reporter
+	random     *rand.Rand
+	now        time.Time
+	timeline   timeline
+	eventCount int
+	workers    []*fakeWorker
+	owner      *owner
+	epoch      int64
+	token      int64
+	catalog    *specifier.Catalog
+
+	store           map[string]*storedJob  // jobs by id
+	recordedWorkers []string               // workers named by the last commit
+	released        bool                   // the last owner shut down in order
+	workerLeases    []recorder.WorkerLease // left by the last owner if released
+	lostAnswerRate  float64                // fraction of calls whose answer is lost
+	lateCallRate    float64                // fraction of calls that are executed seconds later, unanswered
+	failureRate     float64                // fraction of runs that fail
+	invariants      invariants
+	history         []string
 }
 
-// record is a job in the store.
-type record struct {
-	job       specifier.Job
-	progress  recorder.Progress
-	begun     bool
-	state     specifier.State
-	cancelled bool
-	told      time.Time // when the owner heard of the cancellation
+// storedJob is a job in the store.
+type storedJob struct {
+	job           specifier.Job
+	progress      recorder.Progress
+	started       bool
+	state         specifier.State
+	cancelled     bool
+	cancelHeardAt time.Time // when the owner received the cancellation
 }
 
-// rules are what must hold, kept from what the workers see.
-type rules struct {
-	noted  map[specifier.TaskID]bool // completed, and the end was acknowledged
-	done   map[specifier.TaskID]bool
-	failed map[specifier.TaskID]int // acknowledged failures
+// invariants tracks what the workers did, to check each start against it.
+type invariants struct {
+	acked         map[specifier.TaskID]bool // completed and acknowledged
+	completed     map[specifier.TaskID]bool // completed, acknowledged or not
+	ackedFailures map[specifier.TaskID]int  // number of acknowledged failures
 }
 
 type timelineEvent struct {
-	at     time.Time
-	number int
-	do     func()
+	at       time.Time
+	sequence int
+	do       func()
 }
 
 type timeline []timelineEvent
@@ -81,7 +81,7 @@
 	if !l[i].at.Equal(l[j].at) {
 		return l[i].at.Before(l[j].at)
 	}
-	return l[i].number < l[j].number
+	return l[i].sequence < l[j].sequence
 }
 func (l timeline) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 func (l *timeline) Push(e any)   { *l = append(*l, e.(timelineEvent)) }
@@ -93,118 +93,118 @@
 	return e
 }
 
-func newWorld(t reporter, seed uint64, workers int) *world {
-	w := &world{
-		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: epoch, store: make(map[string]*record),
+func newSimulation(t reporter, seed uint64, workers int) *simulation {
+	s := &simulation{
+		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: epoch, store: make(map[string]*storedJob),
 		catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{
-			{Name: "menus", Service: "desk", Attempts: worldAttempts, Slack: 2, Completion: time.Second},
+			{Name: "menus", Service: "desk", Attempts: simAttempts, Slack: 2, Completion: time.Second},
 		}},
-		rules: rules{
-			noted: make(map[specifier.TaskID]bool), done: make(map[specifier.TaskID]bool), failed: make(map[specifier.TaskID]int),
+		invariants: invariants{
+			acked: make(map[specifier.TaskID]bool), completed: make(map[specifier.TaskID]bool), ackedFailures: make(map[specifier.TaskID]int),
 		},
 	}
 	for i := range workers {
-		m := &fakeWorker{world: w, id: fmt.Sprintf("w%d", i), registered: true}
-		m.bear()
-		w.workers = append(w.workers, m)
+		m := &fakeWorker{sim: s, id: fmt.Sprintf("w%d", i), registered: true}
+		m.restart()
+		s.workers = append(s.workers, m)
 	}
-	w.claim()
-	return w
+	s.claim()
+	return s
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.number++
-	heap.Push(&w.events, timelineEvent{w.now.Add(d), w.number, do})
+func (s *simulation) schedule(d time.Duration, do func()) {
+	s.eventCount++
+	heap.Push(&s.timeline, timelineEvent{s.now.Add(d), s.eventCount, do})
 }
 
-// pass lets virtual time go by.
-func (w *world) pass(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(timelineEvent)
-		w.now = e.at
+// advance runs everything scheduled within d.
+func (s *simulation) advance(d time.Duration) {
+	end := s.now.Add(d)
+	for len(s.timeline) > 0 && !s.timeline[0].at.After(end) {
+		e := heap.Pop(&s.timeline).(timelineEvent)
+		s.now = e.at
 		e.do()
 	}
-	w.now = end
+	s.now = end
 }
 
-func (w *world) note(format string, args ...any) {
-	line := fmt.Sprintf("%8.3f ", w.now.Sub(epoch).Seconds()) + fmt.Sprintf(format, args...)
-	w.history = append(w.history, line)
+func (s *simulation) logf(format string, args ...any) {
+	line := fmt.Sprintf("%8.3f ", s.now.Sub(epoch).Seconds()) + fmt.Sprintf(format, args...)
+	s.history = append(s.history, line)
 }
 
-func (w *world) fail(format string, args ...any) {
-	tail := w.history[max(0, len(w.history)-60):]
+func (s *simulation) fail(format string, args ...any) {
+	tail := s.history[max(0, len(s.history)-60):]
 	for _, line := range tail {
 		fmt.Println(line)
 	}
-	w.t.Fatalf(format, args...)
+	s.t.Fatalf(format, args...)
 }
 
-func (w *world) delay() time.Duration {
-	return time.Duration(1+w.random.IntN(20)) * time.Millisecond
+func (s *simulation) delay() time.Duration {
+	return time.Duration(1+s.random.IntN(20)) * time.Millisecond
 }
 
 // owner is one ownership of the shard.
 type owner struct {
-	world  *world
-	shard  *Shard
-	token  int64
-	alive  bool
-	frozen bool
-	cut    map[*fakeWorker]bool
-	store  bool // reaches the store
-	held   []Event
+	sim          *simulation
+	shard        *Shard
+	token        int64
+	alive        bool
+	paused       bool
+	unreachable  map[*fakeWorker]bool
+	reachesStore bool // can reach the store
+	queuedEvents []Event
 }
 
-// claim makes a new owner, which loads what is durable.
-func (w *world) claim() {
-	w.token++
-	o := &owner{world: w, token: w.token, alive: true, store: true, cut: make(map[*fakeWorker]bool)}
+// claim creates a new owner, which loads the durable state.
+func (s *simulation) claim() {
+	s.token++
+	o := &owner{sim: s, token: s.token, alive: true, reachesStore: true, unreachable: make(map[*fakeWorker]bool)}
 	o.shard = New(Options{
-		Name: "desk", Service: "desk", Epoch: w.epoch, Workers: slices.Clone(w.used),
-		Released: w.released, WorkerLeases: w.left,
-		Lease: worldLease, OutageLimit: worldOutage, PollWait: 500 * time.Millisecond,
-	}, w.now)
-	w.epoch++
-	w.released, w.left = false, nil
-	w.owner = o
-	w.note("claim %d", o.token)
-	events := []Event{CatalogUpdated{Catalog: w.catalog}}
-	ids := sortedKeys(w.store)
+		Name: "desk", Service: "desk", Epoch: s.epoch, Workers: slices.Clone(s.recordedWorkers),
+		Released: s.released, WorkerLeases: s.workerLeases,
+		Lease: simLease, OutageLimit: simOutageLimit, PollWait: 500 * time.Millisecond,
+	}, s.now)
+	s.epoch++
+	s.released, s.workerLeases = false, nil
+	s.owner = o
+	s.logf("claim %d", o.token)
+	events := []Event{CatalogUpdated{Catalog: s.catalog}}
+	ids := sortedKeys(s.store)
 	for _, id := range ids {
-		if r := w.store[id]; !r.state.IsFinal() {
-			events = append(events, JobLoaded{Job: r.job, Progress: r.progress, Begun: r.begun})
+		if r := s.store[id]; !r.state.IsFinal() {
+			events = append(events, JobLoaded{Job: r.job, Progress: r.progress, Begun: r.started})
 		}
 	}
 	for _, id := range ids {
-		if r := w.store[id]; r.cancelled && !r.state.IsFinal() {
+		if r := s.store[id]; r.cancelled && !r.state.IsFinal() {
 			events = append(events, JobCancelled{ID: id})
 		}
 	}
-	o.reduce(append(events, WorkersListed{Workers: w.list()})...)
+	o.reduce(append(events, WorkersListed{Workers: s.registrations()})...)
 	o.tick()
 }
 
-// release ends the present ownership as a planned stop does.
-func (w *world) release() {
-	o := w.owner
-	if !o.alive || o.frozen || !o.store {
+// release ends the current ownership by a planned shutdown.
+func (s *simulation) release() {
+	o := s.owner
+	if !o.alive || o.paused || !o.reachesStore {
 		return
 	}
-	w.note("owner %d stops as planned", o.token)
+	s.logf("owner %d shuts down", o.token)
 	o.alive = false
-	w.left, w.released = o.shard.WorkerLeases(w.now), true
-	w.used = nil
-	for _, left := range w.left {
-		w.used = append(w.used, left.Worker)
+	s.workerLeases, s.released = o.shard.WorkerLeases(s.now), true
+	s.recordedWorkers = nil
+	for _, lease := range s.workerLeases {
+		s.recordedWorkers = append(s.recordedWorkers, lease.Worker)
 	}
-	w.after(w.delay(), w.claim)
+	s.schedule(s.delay(), s.claim)
 }
 
-func (w *world) list() []specifier.Worker {
+func (s *simulation) registrations() []specifier.Worker {
 	var out []specifier.Worker
-	for _, m := range w.workers {
+	for _, m := range s.workers {
 		if m.registered {
 			out = append(out, m.registration())
 		}
@@ -216,63 +216,63 @@
 	if !o.alive {
 		return
 	}
-	if !o.frozen {
-		if o.store && o.world.owner == o {
-			o.reduce(OwnershipChecked{Confirmed: true}, WorkersListed{Workers: o.world.list()})
+	if !o.paused {
+		if o.reachesStore && o.sim.owner == o {
+			o.reduce(OwnershipChecked{Confirmed: true}, WorkersListed{Workers: o.sim.registrations()})
 		}
 		o.reduce(Tick{})
 	}
-	o.world.after(50*time.Millisecond, o.tick)
+	o.sim.schedule(50*time.Millisecond, o.tick)
 }
 
 func (o *owner) post(event Event) {
 	switch {
 	case !o.alive:
-	case o.frozen:
-		o.held = append(o.held, event)
+	case o.paused:
+		o.queuedEvents = append(o.queuedEvents, event)
 	default:
 		o.reduce(event)
 	}
 }
 
-func (o *owner) thaw() {
+func (o *owner) resume() {
 	if !o.alive {
 		return
 	}
-	o.frozen = false
-	events := o.held
-	o.held = nil
+	o.paused = false
+	events := o.queuedEvents
+	o.queuedEvents = nil
 	o.reduce(events...)
 }
 
 func (o *owner) reduce(events ...Event) {
-	for _, effect := range o.shard.Reduce(o.world.now, events...) {
-		o.carryOut(effect)
+	for _, effect := range o.shard.Reduce(o.sim.now, events...) {
+		o.execute(effect)
 	}
 }
 
-func (o *owner) carryOut(effect Effect) {
-	w := o.world
+func (o *owner) execute(effect Effect) {
+	s := o.sim
 	switch e := effect.(type) {
 	case Log:
-		w.note("owner %d: %s %s %s run %d %s", o.token, e.Message, e.Task+e.Job, e.Worker, e.Run, e.Reason)
+		s.logf("owner %d: %s %s %s run %d %s", o.token, e.Message, e.Task+e.Job, e.Worker, e.Run, e.Reason)
 	case Resign:
 		o.alive = false
 	case Commit:
-		w.after(w.delay(), func() { o.commit(e) })
+		s.schedule(s.delay(), func() { o.commit(e) })
 	case StartRun:
-		o.call(e.Worker, func(m *fakeWorker) Event {
+		o.callWorker(e.Worker, func(m *fakeWorker) Event {
 			return StartAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
 		}, StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
-		o.call(e.Worker, func(m *fakeWorker) Event {
+		o.callWorker(e.Worker, func(m *fakeWorker) Event {
 			return StopAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
 		}, StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
 	case PollWorker:
-		sent := w.now
-		o.call(e.Worker, func(m *fakeWorker) Event {
-			inventory, fault := m.hold(o.token, e)
+		sent := s.now
+		o.callWorker(e.Worker, func(m *fakeWorker) Event {
+			inventory, fault := m.poll(o.token, e)
 			if fault != NoFault {
 				return PollFailed{Worker: m.id, Incarnation: e.Worker.Incarnation, Fault: fault}
 			}
@@ -281,41 +281,42 @@
 	}
 }
 
-// call carries out an order at a worker and posts its answer, or lost.
-func (o *owner) call(reg specifier.Worker, do func(*fakeWorker) Event, lost Event) {
-	w := o.world
-	m := w.worker(reg.ID)
+// callWorker executes an order at a worker and posts its answer, or lost if
+// there is none.
+func (o *owner) callWorker(reg specifier.Worker, do func(*fakeWorker) Event, lost Event) {
+	s := o.sim
+	m := s.worker(reg.ID)
 	timeout := time.Second
-	roll := w.random.Float64()
+	roll := s.random.Float64()
 	switch {
-	case roll < w.late:
-		w.after(time.Duration(2000+w.random.IntN(10000))*time.Millisecond, func() {
-			if m.isUp() && m.born == reg.Incarnation {
+	case roll < s.lateCallRate:
+		s.schedule(time.Duration(2000+s.random.IntN(10000))*time.Millisecond, func() {
+			if m.isUp() && m.incarnation == reg.Incarnation {
 				do(m)
 			}
 		})
-		w.after(timeout, func() { o.post(lost) })
-	case roll < w.late+w.lose:
-		w.after(w.delay(), func() {
-			if m.isUp() && !o.cut[m] && m.born == reg.Incarnation {
+		s.schedule(timeout, func() { o.post(lost) })
+	case roll < s.lateCallRate+s.lostAnswerRate:
+		s.schedule(s.delay(), func() {
+			if m.isUp() && !o.unreachable[m] && m.incarnation == reg.Incarnation {
 				do(m)
 			}
 		})
-		w.after(timeout, func() { o.post(lost) })
+		s.schedule(timeout, func() { o.post(lost) })
 	default:
-		w.after(w.delay(), func() {
-			if !m.isUp() || o.cut[m] || m.born != reg.Incarnation {
-				w.after(timeout, func() { o.post(lost) })
+		s.schedule(s.delay(), func() {
+			if !m.isUp() || o.unreachable[m] || m.incarnation != reg.Incarnation {
+				s.schedule(timeout, func() { o.post(lost) })
 				return
 			}
 			answer := do(m)
-			w.after(w.delay(), func() { o.post(answer) })
+			s.schedule(s.delay(), func() { o.post(answer) })
 		})
 	}
 }
 
-func (w *world) worker(id string) *fakeWorker {
-	for _, m := range w.workers {
+func (s *simulation) worker(id string) *fakeWorker {
+	for _, m := range s.workers {
 		if m.id == id {
 			return m
 		}
@@ -323,57 +324,57 @@
 	return nil
 }
 
-// commit makes changes durable, unless another owner has claimed.
+// commit makes changes durable, unless another owner has claimed the shard.
 func (o *owner) commit(e Commit) {
-	w := o.world
+	s := o.sim
 	if !o.alive {
 		return
 	}
-	if !o.store {
-		w.after(200*time.Millisecond, func() { o.commit(e) })
+	if !o.reachesStore {
+		s.schedule(200*time.Millisecond, func() { o.commit(e) })
 		return
 	}
-	if w.owner != o {
+	if s.owner != o {
 		o.alive = false
 		return
 	}
 	for _, change := range e.Changes {
-		r := w.store[change.ID]
+		r := s.store[change.ID]
 		if r.state.IsFinal() {
 			continue
 		}
 		r.state = change.State
 		if !change.State.IsFinal() {
-			r.progress, r.begun = change.Progress, true
+			r.progress, r.started = change.Progress, true
 		}
 	}
-	w.used = e.Workers
-	w.after(w.delay(), func() { o.post(Committed{Batch: e.Batch}) })
+	s.recordedWorkers = e.Workers
+	s.schedule(s.delay(), func() { o.post(Committed{Batch: e.Batch}) })
 }
 
-// submit accepts a job.
-func (w *world) submit(job specifier.Job) {
+// submit stores a job and delivers it to the owner twice.
+func (s *simulation) submit(job specifier.Job) {
 	job.Queue = "menus"
-	job.Accepted = w.now
-	w.store[job.ID] = &record{job: job, state: specifier.Queued}
-	o := w.owner
-	// A watch that is cut is read again by a list, in any order.
-	w.after(time.Duration(w.random.IntN(1500))*time.Millisecond, func() { o.post(JobArrived{Job: job}) })
-	// A watch that lags delivers it again.
-	w.after(time.Duration(w.random.IntN(4000))*time.Millisecond, func() { o.post(JobArrived{Job: job}) })
+	job.Accepted = s.now
+	s.store[job.ID] = &storedJob{job: job, state: specifier.Queued}
+	o := s.owner
+	// After an interrupted watch, a list delivers jobs in any order.
+	s.schedule(time.Duration(s.random.IntN(1500))*time.Millisecond, func() { o.post(JobArrived{Job: job}) })
+	// A delayed watch delivers the job again.
+	s.schedule(time.Duration(s.random.IntN(4000))*time.Millisecond, func() { o.post(JobArrived{Job: job}) })
 }
 
-func (w *world) cancel(id string) {
-	r := w.store[id]
+func (s *simulation) cancel(id string) {
+	r := s.store[id]
 	if r == nil || r.state.IsFinal() {
 		return
 	}
 	r.cancelled = true
-	o := w.owner
-	w.after(w.delay(), func() {
+	o := s.owner
+	s.schedule(s.delay(), func() {
 		o.post(JobCancelled{ID: id})
-		if o.alive && !o.frozen {
-			r.told = w.now
+		if o.alive && !o.paused {
+			r.cancelHeardAt = s.now
 		}
 	})
 }
