--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// Catalog is one version of the operators' configuration: the queues that
-// take jobs and the services whose workers run them. The zero value knows
-// nothing.
+// Catalog is one version of the operators' configuration. The zero value has
+// version 0 and no queues.
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
@@ -15,44 +14,46 @@
 	Limits   Limits
 }
 
-// Queue takes the jobs of one host name and path prefix.
+// Queue accepts the jobs that are submitted to one host name and path prefix.
 type Queue struct {
 	Name       string
 	Hostname   string
-	Prefix     string // of the path
-	Service    string // whose workers run its tasks
-	Priority   int    // 0 goes first
-	Attempts   int    // failed runs of a task after which its job has failed
-	Slack      float64
-	Completion time.Duration // added to Slack times the longest chain: the objective
-	Timeout    time.Duration // of a call
-	Advice     Advice        // zero: every worker may run its steps
+	Prefix     string        // path prefix
+	Service    string        // service whose workers run the tasks
+	Priority   int           // 0 is the most urgent
+	Attempts   int           // failed runs of a task after which its job fails; 0 is no limit
+	Slack      float64       // factor on the critical path in the completion target
+	Completion time.Duration // constant part of the completion target
+	Timeout    time.Duration // limit for a caller's request
+	Advice     Advice        // zero if every worker may run its steps
 }
 
-// Advice is how the service answers that knows which workers may run a step.
+// Advice describes the service that decides which workers may run a step, and
+// issues tickets for them.
 type Advice struct {
-	Needed        bool
-	RequestTime   time.Duration // of one call
-	PerWorkerTime time.Duration // more for each worker named
-	Validity      time.Duration // of a ticket
+	Needed        bool          // a start needs a ticket
+	RequestTime   time.Duration // constant duration of a request
+	PerWorkerTime time.Duration // additional duration for each worker in a request
+	Validity      time.Duration // lifetime of a ticket
 }
 
-// Service is a pool of workers.
+// Service is a pool of workers that run the same kind of tasks.
 type Service struct {
 	Name            string
-	RejectsOverload bool // its workers refuse what exceeds their capacity
-	Standby         bool // its hosts are off
+	RejectsOverload bool // its workers refuse runs beyond their capacity
+	Standby         bool // its hosts are switched off
 }
 
-// Limits bound callers' connections. Zero is no limit.
+// Limits apply to callers' connections. Zero is no limit.
 type Limits struct {
 	Header     int           // bytes
 	Body       int           // bytes
-	HeaderTime time.Duration // to send the header
-	IdleTime   time.Duration // between requests
+	HeaderTime time.Duration // maximum time to send the header
+	IdleTime   time.Duration // maximum time between requests
 }
 
-// Match finds the queue with the longest prefix for a request.
+// Match returns the queue for a request: of those that match the host name and
+// path, the one with the longest prefix.
 func (c *Catalog) Match(hostname, path string) (Queue, bool) {
 	best := -1
 	for i, q := range c.Queues {
@@ -69,7 +70,7 @@
 	return c.Queues[best], true
 }
 
-// Queue finds a queue by name.
+// Queue returns the queue with a name.
 func (c *Catalog) Queue(name string) (Queue, bool) {
 	for _, q := range c.Queues {
 		if q.Name == name {
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -9,50 +9,50 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Limits of a submission.
+// Limits on submitted jobs.
 const (
 	MaxPayload = 4000  // bytes
-	MaxSteps   = 200   // of a job
-	MaxTasks   = 10000 // of one occurrence
-	idDigits   = 16    // hexadecimal
+	MaxSteps   = 200   // steps in a job
+	MaxTasks   = 10000 // tasks in one occurrence
+	idDigits   = 16    // hexadecimal digits in a job id
 )
 
-// Job is a unit of submission. ID is chosen by the caller and makes the
-// submission idempotent.
+// Job is what a caller submits. ID is chosen by the caller and makes the
+// submission idempotent. The JSON form is stored.
 type Job struct {
 	ID           string        `json:"id"`
 	Queue        string        `json:"queue"`
-	Payload      string        `json:"payload,omitempty"` // handed to every task
+	Payload      string        `json:"payload,omitempty"` // passed to every task
 	Steps        []Step        `json:"steps"`
-	Repeat       int           `json:"repeat,omitempty"` // occurrences; 0 is once, at once
+	Repeat       int           `json:"repeat,omitempty"` // number of occurrences; 0 is one that starts at once
 	First        time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
-	Every        time.Duration `json:"every,omitempty"`  // between due times
+	Every        time.Duration `json:"every,omitempty"`  // interval between due times
 	Accepted     time.Time     `json:"accepted,omitzero"`
-	FormerShards []string      `json:"former,omitempty"` // shards that have handed it on
+	FormerShards []string      `json:"former,omitempty"` // shards that the job was moved away from
 }
 
-// Step is a number of equal tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count           int                 `json:"count"`
-	Needs           describer.Resources `json:"needs"` // of each task
+	Needs           describer.Resources `json:"needs"` // resources for each task
 	Estimate        time.Duration       `json:"estimate,omitempty"`
-	After           []int               `json:"after,omitempty"` // earlier steps that must have completed
+	After           []int               `json:"after,omitempty"` // indices of earlier steps that must have completed
 	Checkpoint      bool                `json:"checkpoint,omitempty"`
-	Gang            bool                `json:"gang,omitempty"`       // tasks run only together and end together
-	TightlyCoupled  bool                `json:"tight,omitempty"`      // slower on more than one rack
-	Label           string              `json:"label,omitempty"`      // that the worker must have
-	PreferredRack   string              `json:"rack,omitempty"`       // where the data is; slower elsewhere
-	MaxPerWorker    int                 `json:"spread,omitempty"`     // most tasks on one worker; 0 is no limit
-	AllowDuplicates bool                `json:"duplicates,omitempty"` // copies may run; the first to complete counts
-	LongRunning         bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
-	Image           string              `json:"image,omitempty"`      // tasks of one image behave alike
-	LatencyTarget   time.Duration       `json:"target,omitempty"`     // bound on the tail latency of the task's own users
-	Filler          bool                `json:"filler,omitempty"`     // runs on processor time that others leave unused
-	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that may be unavailable at once by our doing; see Budgeted
-	Budgeted        bool                `json:"budgeted,omitempty"`   // Away is in force
+	Gang            bool                `json:"gang,omitempty"`       // the tasks start together and complete together
+	TightlyCoupled  bool                `json:"tight,omitempty"`      // the tasks are slower on different racks
+	Label           string              `json:"label,omitempty"`      // label that the worker must have
+	PreferredRack   string              `json:"rack,omitempty"`       // rack of the data; tasks are slower elsewhere
+	MaxPerWorker    int                 `json:"spread,omitempty"`     // maximum number of its tasks on a worker; 0 is no limit
+	AllowDuplicates bool                `json:"duplicates,omitempty"` // several runs of a task may coexist; the first to complete counts
+	LongRunning     bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
+	Image           string              `json:"image,omitempty"`      // tasks of the same image have similar behaviour
+	LatencyTarget   time.Duration       `json:"target,omitempty"`     // target for the tail latency of the task's users; 0 is none
+	Filler          bool                `json:"filler,omitempty"`     // uses only CPU time that others leave idle
+	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that the scheduler may make unavailable at the same time, if Budgeted
+	Budgeted        bool                `json:"budgeted,omitempty"`   // MaxUnavailable applies
 }
 
-// State is a job's state as callers see it.
+// State is the state of a job as callers see it. It is stored and sent.
 type State string
 
 // States of a job.
@@ -64,18 +64,18 @@
 	Cancelled State = "cancelled"
 )
 
-// IsFinal reports whether the state no longer changes.
+// IsFinal reports whether the state can't change any more.
 func (s State) IsFinal() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// FieldError is a fault of a submission.
+// FieldError reports an invalid field of a submitted job.
 type FieldError struct {
-	Field  string // such as "steps[2].after"
-	Reason string
+	Field  string // path of the field, such as "steps[2].after"
+	Reason string // what is wrong with it
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// ValidateID reports an id that is not 16 hexadecimal digits.
+// ValidateID returns a *FieldError unless id consists of 16 hexadecimal digits.
 func ValidateID(id string) error {
 	if len(id) != idDigits {
 		return &FieldError{Field: "id", Reason: fmt.Sprintf("has %d characters, wants %d hexadecimal digits", len(id), idDigits)}
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Validate reports the first fault of a job as a *FieldError.
+// Validate returns a *FieldError for the first invalid field of the job.
 func (j *Job) Validate() error {
 	if err := ValidateID(j.ID); err != nil {
 		return err
@@ -113,6 +113,8 @@
 	return nil
 }
 
+// validate returns a *FieldError for the first invalid field of the step, which
+// has this index in its job.
 func (s *Step) validate(number int) error {
 	fault := func(field, reason string) error {
 		return &FieldError{Field: fmt.Sprintf("steps[%d].%s", number, field), Reason: reason}
@@ -128,7 +130,7 @@
 		return fault("gang", "is too wide to be spread")
 	}
 	for _, earlier := range s.After {
-		// A step may only wait for earlier ones, so there is no cycle.
+		// Dependencies on earlier steps only exclude cycles.
 		if earlier < 0 || earlier >= number {
 			return fault("after", fmt.Sprintf("names step %d, wants an earlier step", earlier))
 		}
@@ -136,10 +138,11 @@
 	return nil
 }
 
-// Occurrences is how often the job's steps run.
+// Occurrences returns how often the job's steps run, at least 1.
 func (j *Job) Occurrences() int { return max(j.Repeat, 1) }
 
-// Due is when an occurrence may begin, by the time of day. The zero time is at once.
+// Due returns when an occurrence may start, by the wall clock. The zero time
+// means at once.
 func (j *Job) Due(occurrence int) time.Time {
 	if j.Repeat == 0 {
 		return time.Time{}
@@ -147,7 +150,8 @@
 	return j.First.Add(time.Duration(occurrence) * j.Every)
 }
 
-// CriticalPath is the longest chain of estimated run times through the steps.
+// CriticalPath returns the longest sum of estimated run times along dependent
+// steps.
 func (j *Job) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
@@ -161,7 +165,7 @@
 	return longest
 }
 
-// TaskID names one task.
+// TaskID identifies a task. Occurrence, Step and Index count from 0.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -169,17 +173,17 @@
 	Index      int
 }
 
-// String is the form JOB.OCCURRENCE.STEP.INDEX.
+// String returns the form JOB.OCCURRENCE.STEP.INDEX, which ParseTaskID reads.
 func (t TaskID) String() string {
 	return t.StepID() + "." + strconv.Itoa(t.Index)
 }
 
-// StepID is the form JOB.OCCURRENCE.STEP.
+// StepID returns the form JOB.OCCURRENCE.STEP.
 func (t TaskID) StepID() string {
 	return t.Job + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step)
 }
 
-// ParseTaskID reads the text form.
+// ParseTaskID parses the form that String returns.
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
--- a/internal/job/specifier/specifier_test.go
+++ b/internal/job/specifier/specifier_test.go
@@ -11,6 +11,7 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
+// valid returns a valid job with two steps.
 func valid() specifier.Job {
 	return specifier.Job{ID: "5c0e7a21d94b36f8", Steps: []specifier.Step{
 		{Count: 2, Needs: describer.Resources{CPU: 500}, Estimate: time.Second},
@@ -18,6 +19,7 @@
 	}}
 }
 
+// fieldOf returns the field of a *specifier.FieldError, or "".
 func fieldOf(err error) string {
 	var field *specifier.FieldError
 	if !errors.As(err, &field) {
@@ -27,13 +29,13 @@
 }
 
 var _ = Describe("Validate", func() {
-	It("takes a job in order", func() {
+	It("accepts a valid job", func() {
 		job := valid()
 		Expect(job.Validate()).To(Succeed())
 		Expect(job.CriticalPath()).To(Equal(3 * time.Second))
 	})
 
-	DescribeTable("names the field of a fault", func(change func(*specifier.Job), field string) {
+	DescribeTable("reports the invalid field", func(change func(*specifier.Job), field string) {
 		job := valid()
 		change(&job)
 		Expect(fieldOf(job.Validate())).To(Equal(field))
@@ -42,8 +44,8 @@
 		Entry("id with other characters", func(j *specifier.Job) { j.ID = "5c0e7a21d94b36fz" }, "id"),
 		Entry("no steps", func(j *specifier.Job) { j.Steps = nil }, "steps"),
 		Entry("long payload", func(j *specifier.Job) { j.Payload = string(make([]byte, specifier.MaxPayload+1)) }, "payload"),
-		Entry("a step after itself", func(j *specifier.Job) { j.Steps[1].After = []int{1} }, "steps[1].after"),
-		Entry("a step after a later one, which could be a cycle", func(j *specifier.Job) { j.Steps[0].After = []int{1} }, "steps[0].after"),
+		Entry("a step that depends on itself", func(j *specifier.Job) { j.Steps[1].After = []int{1} }, "steps[1].after"),
+		Entry("a step that depends on a later one, which could be a cycle", func(j *specifier.Job) { j.Steps[0].After = []int{1} }, "steps[0].after"),
 		Entry("an unknown step", func(j *specifier.Job) { j.Steps[1].After = []int{7} }, "steps[1].after"),
 		Entry("no tasks", func(j *specifier.Job) { j.Steps[0].Count = 0 }, "steps[0].count"),
 		Entry("negative needs", func(j *specifier.Job) { j.Steps[0].Needs.CPU = -1 }, "steps[0].needs"),
@@ -52,13 +54,13 @@
 })
 
 var _ = Describe("TaskID", func() {
-	It("is read back from its text", func() {
+	It("is parsed from its text form", func() {
 		id := specifier.TaskID{Job: "5c0e7a21d94b36f8", Occurrence: 1, Step: 2, Index: 17}
 		Expect(id.String()).To(Equal("5c0e7a21d94b36f8.1.2.17"))
 		Expect(specifier.ParseTaskID(id.String())).To(Equal(id))
 	})
 
-	It("is refused when malformed", func() {
+	It("isn't parsed if malformed", func() {
 		for _, text := range []string{"", "a.1.2", "a.1.2.x", "a.1.2.-3", "a.1.2.3.4"} {
 			_, err := specifier.ParseTaskID(text)
 			Expect(err).To(HaveOccurred(), text)
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -8,26 +8,28 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Worker is one life of a host that runs tasks, as it registered itself.
+// Worker is the registration of one incarnation of a worker.
 type Worker struct {
 	ID          string
-	Incarnation int64 // start of this life, Unix milliseconds; an id may be born again
+	Incarnation int64 // start time, Unix milliseconds; increases when the worker restarts
 	Address     string
 	Domain      string // failure domain
 	Service     string
-	Host        string // that it is a life of
+	Host        string // host machine
 	Capacity    describer.Resources
 	Labels      []string
 	Draining    bool
-	Remaining   time.Duration // while draining: least time before it leaves
+	Remaining   time.Duration // while draining: minimum time until the worker leaves
 }
 
-// HasLabel reports whether the worker has the label; the empty label is always there.
+// HasLabel reports whether the worker has the label. Every worker has the empty
+// label.
 func (w *Worker) HasLabel(label string) bool {
 	return label == "" || slices.Contains(w.Labels, label)
 }
 
-// Rack is the worker's rack label, or empty.
+// Rack returns the worker's rack label, or "" without one. Rack labels start
+// with "r" and contain "-".
 func (w *Worker) Rack() string {
 	for _, label := range w.Labels {
 		if strings.HasPrefix(label, "r") && strings.Contains(label, "-") {
@@ -37,29 +39,30 @@
 	return ""
 }
 
-// Outcome is how a run ended.
+// Outcome is how a run ended. The values are sent by workers.
 type Outcome string
 
 // Outcomes of runs.
 const (
 	OutcomeDone           Outcome = "done"
-	OutcomeFailed         Outcome = "failed"  // by its own fault or the worker's
-	OutcomeStopped        Outcome = "stopped" // on our order
-	OutcomeLeaseExpired   Outcome = "lapsed"  // its lease ended
-	OutcomeGangBroken     Outcome = "broken"  // another member of its gang ended
-	OutcomeGangIncomplete Outcome = "alone"   // the other members of its gang did not come
+	OutcomeFailed         Outcome = "failed"  // the task or its worker failed
+	OutcomeStopped        Outcome = "stopped" // stopped by order of the shard's owner
+	OutcomeLeaseExpired   Outcome = "lapsed"  // the lease of the run expired
+	OutcomeGangBroken     Outcome = "broken"  // another run of its gang ended
+	OutcomeGangIncomplete Outcome = "alone"   // the other runs of its gang didn't start
 )
 
-// Run is a run that a worker lists as active.
+// Run is one execution of a task, as its worker lists it while it is active.
 type Run struct {
 	Task            TaskID
-	Number          int64
-	Checkpoint      string
-	ProgressPercent int     // of the work that is done; of a lasting task 100 when it is at work
-	Metric          float64 // last half second: tail latency in ms of a task with a target, otherwise CPU in use, in thousandths of a core
+	Number          int64   // increases with each run of the task
+	Checkpoint      string  // last checkpoint, empty without one
+	ProgressPercent int     // percentage of the work that is done; 100 for a long-running task that is ready
+	Metric          float64 // over the last half second: tail latency in ms of a task with a latency target, otherwise CPU usage in millicores
 }
 
-// End is a run that has ended. Numbers rise within one life of the worker.
+// End reports that a run has ended. Number increases within one incarnation of
+// the worker; the worker lists the end until that number is acknowledged.
 type End struct {
 	Number     int64
 	Task       TaskID
@@ -68,11 +71,11 @@
 	Checkpoint string
 }
 
-// Inventory is what a worker lists: its runs, and the ends that were not yet
-// acknowledged.
+// Inventory is a worker's list of its active runs and of the ends that haven't
+// been acknowledged.
 type Inventory struct {
 	Incarnation int64
-	Clock       time.Duration // worker's steady clock
+	Clock       time.Duration // reading of the worker's monotonic clock
 	Active      []Run
 	Ended       []End
 }
