--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -1,26 +1,26 @@
-// Package recorder says how jobs and the ownership of shards are kept in the
-// platform's store.
+// Package recorder defines the keys and records under which jobs and the
+// ownership of shards are kept in the platform's key-value store.
 //
 // # Model
 //
-// A job is accepted by one conditional write that creates its index entry,
-// under its id alone, and its record below its shard. The index entry makes a
-// submission idempotent through every entry host; the record is what the
-// shard's owner watches. An owner writes progress and final states with
-// [Change] values, several in one [storer.Transaction] that also replaces the
-// shard's [Fence]. Each such write expects the revision of the fence that the
-// last one left behind, so a former owner cannot write, and of two writes with
-// a lost answer at most one takes effect.
+// A job is accepted by one conditional transaction. It creates the job's index
+// entry, whose key contains only the job's id, and the job's record below its
+// shard. The index entry makes a submission idempotent on every entry host; the
+// record is what the shard's owner watches. An owner writes progress and final
+// states in transactions that also replace the shard's [Fence]. Each is
+// conditional on the fence's revision after the owner's last write, so an earlier
+// owner can't write, and a write that is repeated after a lost answer takes
+// effect at most once.
 //
-//	JobIndex(id)          Entry     which shard has the job, its state
-//	shard/NAME/job/ID     Job       while the job has not ended
-//	shard/NAME/cancel/ID            a cancellation that the owner has yet to act on
-//	shard/NAME/claim      Claim     the last claim, where an owner that was replaced sees it
-//	progress/NAME/ID      Progress  what has completed so far
+//	index/ID              IndexEntry  shard and state of the job
+//	shard/NAME/job/ID     Job       until the job has ended
+//	shard/NAME/cancel/ID            cancellation that the owner hasn't processed yet
+//	shard/NAME/claim      Claim     last claim, by which a replaced owner notices it
+//	progress/NAME/ID      Progress  progress of an unfinished job
 //	fence/NAME            Fence     epoch and last write of the owner
-//	view/owner/NAME       Owner     leased: who owns the shard now
-//	view/load/NAME        Load      the owner's summary, seconds old
-//	view/layout/SERVICE   Layout    into which shards the service's workers are divided
+//	view/owner/NAME       Owner     current owner; expires with the owner's lease
+//	view/load/NAME        Load      load summary, up to a few seconds old
+//	view/layout/SERVICE   Layout    how the service's workers are divided into shards
 package recorder
 
 import (
@@ -34,7 +34,7 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// Prefixes of keys that are watched.
+// Prefixes of the keys that every daemon watches.
 const (
 	ViewPrefix   = "view/"
 	ownerPrefix  = ViewPrefix + "owner/"
@@ -42,41 +42,43 @@
 	layoutPrefix = ViewPrefix + "layout/"
 )
 
-// IndexKey is the key of a job's index entry.
+// IndexKey returns the key of a job's index entry.
 func IndexKey(id string) string { return "index/" + id }
 
-// ShardPrefix is what an owner watches for new jobs and cancellations.
+// ShardPrefix returns the prefix that an owner watches for new jobs,
+// cancellations and claims.
 func ShardPrefix(shard string) string { return "shard/" + shard + "/" }
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(shard, id string) string { return ShardPrefix(shard) + "job/" + id }
 
-// CancelKey is the key of a cancellation.
+// CancelKey returns the key of a job's cancellation.
 func CancelKey(shard, id string) string { return ShardPrefix(shard) + "cancel/" + id }
 
-// ClaimKey is the key of a shard's last claim. It is below ShardPrefix, so that
-// an owner that was replaced reads of it before any job that came after.
+// ClaimKey returns the key of a shard's last claim. It is below ShardPrefix, so
+// that a replaced owner sees the claim before any job that was accepted later.
 func ClaimKey(shard string) string { return ShardPrefix(shard) + "claim" }
 
-// ProgressPrefix is the prefix of the shard's progress records.
+// ProgressPrefix returns the prefix of a shard's progress records.
 func ProgressPrefix(shard string) string { return "progress/" + shard + "/" }
 
-// ProgressKey is the key of a job's progress record.
+// ProgressKey returns the key of a job's progress record.
 func ProgressKey(shard, id string) string { return ProgressPrefix(shard) + id }
 
-// FenceKey is the key of a shard's fence.
+// FenceKey returns the key of a shard's fence.
 func FenceKey(shard string) string { return "fence/" + shard }
 
-// OwnerKey is the key of the leased record of a shard's owner.
+// OwnerKey returns the key of a shard's owner record. The record is attached to
+// the owner's lease in the store.
 func OwnerKey(shard string) string { return ownerPrefix + shard }
 
-// LoadKey is the key of a shard's load summary.
+// LoadKey returns the key of a shard's load summary.
 func LoadKey(shard string) string { return loadPrefix + shard }
 
-// LayoutKey is the key of a service's layout.
+// LayoutKey returns the key of a service's layout.
 func LayoutKey(service string) string { return layoutPrefix + service }
 
-// ViewKind is what a key below ViewPrefix holds.
+// ViewKind is the type of record that a key below ViewPrefix holds.
 type ViewKind uint8
 
 // Kinds of keys below ViewPrefix.
@@ -91,8 +93,8 @@
 	return [...]string{"other", "owner", "load", "layout"}[k]
 }
 
-// ParseViewKey splits a key below ViewPrefix into its kind and the name of its
-// shard, or of its service.
+// ParseViewKey returns the kind of a key below ViewPrefix and the name of its
+// shard, for a layout of its service.
 func ParseViewKey(key string) (ViewKind, string) {
 	for _, kind := range [...]struct {
 		prefix string
@@ -105,8 +107,8 @@
 	return OtherView, ""
 }
 
-// ParseShardKey splits a key below ShardPrefix into the job and whether the key
-// is a cancellation.
+// ParseShardKey returns the job id in a key below ShardPrefix and whether the
+// key is that of a cancellation. It returns ok false for other keys.
 func ParseShardKey(shard, key string) (id string, isCancel, ok bool) {
 	rest, ok := strings.CutPrefix(key, ShardPrefix(shard))
 	if !ok {
@@ -119,7 +121,7 @@
 	return id, true, ok
 }
 
-// IndexEntry is a job's index entry.
+// IndexEntry maps a job's id to its shard and state.
 type IndexEntry struct {
 	Shard string          `json:"shard"`
 	Queue string          `json:"queue"`
@@ -127,99 +129,102 @@
 	Ended time.Time       `json:"ended,omitzero"`
 }
 
-// Progress is what of a job has to survive its shard's owner.
+// Progress is the part of a job's state that a new owner needs.
 type Progress struct {
 	Tasks []TaskProgress `json:"tasks"`
 }
 
-// TaskProgress is the progress of one task. Tasks that never ended are left out.
+// TaskProgress is the progress of one task. Tasks without any are left out.
 type TaskProgress struct {
 	Occurrence int     `json:"occurrence,omitempty"`
 	Step       int     `json:"step,omitempty"`
 	Index      int     `json:"index,omitempty"`
 	Done       bool    `json:"done,omitempty"`
-	Failed     []int64 `json:"failed,omitempty"`     // runs that failed
-	Checkpoint string  `json:"checkpoint,omitempty"` // to resume from
+	Failed     []int64 `json:"failed,omitempty"`     // numbers of the failed runs
+	Checkpoint string  `json:"checkpoint,omitempty"` // checkpoint to resume from
 }
 
-// Fence orders the writes of a shard's owners.
+// Fence is replaced by every write of a shard's owner, so that only the current
+// owner can write.
 type Fence struct {
 	Owner   string   `json:"owner"`
-	Epoch   int64    `json:"epoch"`             // number of claims before this one
-	WriteID string   `json:"write"`             // identifies the write; a random id
-	Workers []string `json:"workers,omitempty"` // that may have runs of this shard
+	Epoch   int64    `json:"epoch"`             // number of earlier claims
+	WriteID string   `json:"write"`             // random id of the write
+	Workers []string `json:"workers,omitempty"` // ids of workers that may have runs of this shard
 
-	// Released is that the owner has stopped as planned; Leftovers then stand
-	// in place of Workers.
+	// Released is set when the owner has shut down in order. WorkerLeases then
+	// replaces Workers.
 	Released     bool          `json:"released,omitempty"`
 	WorkerLeases []WorkerLease `json:"leftovers,omitempty"`
 }
 
-// WorkerLease is a worker that may have runs of an owner that has stopped as planned.
+// WorkerLease is a worker that may have runs of an owner that shut down.
 type WorkerLease struct {
 	Worker    string        `json:"worker"`
-	Remaining time.Duration `json:"lapse"` // after which all leases there have lapsed, from the stop
+	Remaining time.Duration `json:"lapse"` // time from the shutdown until all leases there have expired
 }
 
-// Claim identifies an ownership.
+// Claim identifies one ownership of a shard.
 type Claim struct {
 	Daemon string `json:"daemon"`
 	Epoch  int64  `json:"epoch"`
 }
 
-// Owner says who owns a shard.
+// Owner is the current owner of a shard.
 type Owner struct {
 	Daemon string `json:"daemon"`
 }
 
-// Layout says how the workers of a service are divided into shards. It is
-// written once.
+// Layout tells how the workers of a service are divided into shards. It is
+// written once and never changes.
 type Layout struct {
-	Divided bool `json:"divided"` // a shard for each failure domain, otherwise one for all
+	Divided bool `json:"divided"` // one shard for each failure domain, otherwise one for all
 }
 
-// Load is an owner's summary of its shard for other entry hosts.
+// Load is an owner's summary of its shard. All hosts use it to decide on
+// submissions.
 type Load struct {
-	Service      string              `json:"service"`
-	Domain       string              `json:"domain,omitempty"` // empty: of all failure domains
-	MadeAt       time.Time           `json:"made"`
-	Workers      int                 `json:"workers"`
-	Capacity     describer.Resources `json:"capacity"`
-	Free         describer.Resources `json:"free"`
-	MaxCapacity  describer.Resources `json:"largest"` // most that any worker has of each kind
-	FiniteCPU    int64               `json:"turning"` // CPU of counted tasks that will end, millicores
-	LongRunningCPU   int64               `json:"lasting"` // CPU that lasting tasks reserve, or wait for, millicores
-	LongRunningLimit int64               `json:"limit"`   // the most that lasting tasks are to reserve, millicores
-	UnusedCPU    int64               `json:"unused"`  // CPU for fillers that is not taken, millicores
-	FillerCPU    int64               `json:"fillers"` // CPU that running fillers asked for, millicores
-	Queues       []QueueLoad         `json:"queues,omitempty"`
-	Backlog      []Backlog           `json:"backlog,omitempty"`
-	Labels       []string            `json:"labels,omitempty"`
-}
-
-// QueueLoad counts a queue's jobs in a shard.
+	Service          string              `json:"service"`
+	Domain           string              `json:"domain,omitempty"` // failure domain of the shard; empty for all
+	MadeAt           time.Time           `json:"made"`
+	Workers          int                 `json:"workers"`
+	Capacity         describer.Resources `json:"capacity"`
+	Free             describer.Resources `json:"free"`
+	MaxCapacity      describer.Resources `json:"largest"` // maximum capacity of a worker, for each resource
+	FiniteCPU        int64               `json:"turning"` // CPU reserved by running finite tasks, millicores
+	LongRunningCPU   int64               `json:"lasting"` // CPU that long-running tasks reserve or wait for, millicores
+	LongRunningLimit int64               `json:"limit"`   // limit on the CPU that long-running tasks reserve, millicores
+	UnusedCPU        int64               `json:"unused"`  // idle CPU that fillers may use, millicores
+	FillerCPU        int64               `json:"fillers"` // CPU requested by running fillers, millicores
+	Queues           []QueueLoad         `json:"queues,omitempty"`
+	Backlog          []Backlog           `json:"backlog,omitempty"`
+	Labels           []string            `json:"labels,omitempty"`
+}
+
+// QueueLoad is the number of a queue's pending jobs in a shard.
 type QueueLoad struct {
 	Queue   string `json:"queue"`
-	Pending int    `json:"pending"` // accepted, no task started
+	Pending int    `json:"pending"` // accepted jobs of which no task has started
 }
 
-// Backlog is the work that waits in a shard at one priority.
+// Backlog is the estimated work of the waiting tasks of one priority.
 type Backlog struct {
-	Priority   int   `json:"priority"`
-	ReservedWork int64 `json:"counted"` // millicore-seconds that need room
-	FillerWork int64 `json:"filler"`  // millicore-seconds of fillers
+	Priority     int   `json:"priority"`
+	ReservedWork int64 `json:"counted"` // finite tasks that reserve CPU, millicore-seconds
+	FillerWork   int64 `json:"filler"`  // fillers, millicore-seconds
 }
 
-// Encode is the stored form of a record.
+// Encode returns the stored form of a record, which is JSON. It panics if the
+// record can't be encoded.
 func Encode(record any) []byte {
 	data, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // records are plain data
+		panic(err) // all records are plain data
 	}
 	return data
 }
 
-// Decode reads the stored form into record.
+// Decode decodes the stored form into record, which is a pointer.
 func Decode(data []byte, record any) error {
 	return eris.Wrap(json.Unmarshal(data, record), "recorder: decode")
 }
--- a/internal/job/recorder/recorder_test.go
+++ b/internal/job/recorder/recorder_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("keys", func() {
-	It("are read back", func() {
+	It("are parsed into kind and name", func() {
 		kind, name := recorder.ParseViewKey(recorder.OwnerKey("menus@bne"))
 		Expect([]any{kind, name}).To(Equal([]any{recorder.OwnerView, "menus@bne"}))
 		kind, name = recorder.ParseViewKey(recorder.LoadKey("menus"))
@@ -21,7 +21,7 @@
 		Expect(kind).To(Equal(recorder.OtherView))
 	})
 
-	It("tell jobs from cancellations", func() {
+	It("distinguish jobs from cancellations", func() {
 		id, isCancel, ok := recorder.ParseShardKey("menus", recorder.JobKey("menus", "1"))
 		Expect([]any{id, isCancel, ok}).To(Equal([]any{"1", false, true}))
 		id, isCancel, ok = recorder.ParseShardKey("menus", recorder.CancelKey("menus", "1"))
@@ -32,19 +32,19 @@
 })
 
 var _ = Describe("records", func() {
-	It("survive the store", func() {
+	It("are decoded to what was encoded", func() {
 		in := recorder.Progress{Tasks: []recorder.TaskProgress{{Step: 1, Index: 2, Done: true}, {Failed: []int64{1, 1001}, Checkpoint: "c"}}}
 		var out recorder.Progress
 		Expect(recorder.Decode(recorder.Encode(in), &out)).To(Succeed())
 		Expect(out).To(Equal(in))
 	})
 
-	It("leave out what is empty", func() {
+	It("omit empty fields", func() {
 		Expect(string(recorder.Encode(recorder.IndexEntry{Shard: "a", Queue: "b", State: "queued"}))).To(Equal(`{"shard":"a","queue":"b","state":"queued"}`))
 		Expect(string(recorder.Encode(recorder.IndexEntry{State: "failed", Ended: time.Unix(0, 0).UTC()}))).To(ContainSubstring("ended"))
 	})
 
-	It("are refused when unreadable", func() {
+	It("can't be decoded if malformed", func() {
 		var out recorder.IndexEntry
 		Expect(recorder.Decode([]byte("{"), &out)).To(HaveOccurred())
 	})
