--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -1,21 +1,22 @@
-// Package manager runs the shards that a daemon owns, and knows who owns the
-// others.
+// Package manager claims shards for a daemon, runs the shards that it owns, and
+// keeps a view of all shards.
 //
 // # Model
 //
-// The workers of one service are a shard; those of a large service are divided
-// into a shard for each failure domain, by a layout that is written once. A
-// shard without an owner is claimed by the daemon that reaches the store
-// fastest, or one of its domain, and after a while by any other. The owner loads the shard's jobs, follows new ones, and feeds a
-// [dispatcher.Shard], whose effects it carries out:
+// The workers of a service form one shard; those of a large service are divided
+// into one shard for each failure domain, by a layout that is written once. A
+// shard without an owner is claimed after a delay that is shortest for daemons
+// in the shard's failure domain, with a fast connection to the store, and with
+// few shards. The owner loads the shard's jobs, watches for new ones, and feeds
+// a [dispatcher.Shard], whose effects it executes:
 //
 //	m := manager.New(options, store, workers, directory)
 //	m.SetCatalog(catalog)
-//	view := m.View()           // owners and loads, for admission
-//	m.Shutdown(ctx)            // hands the shards over
+//	view := m.View()           // owners and load summaries, for admission
+//	m.Shutdown(ctx)            // releases the shards
 //
-// Each owned shard has one goroutine for its control state; calls to workers
-// and to the store run in goroutines of their own and report back as events.
+// Each owned shard has one goroutine that runs the state machine. Calls to
+// workers and to the store run in separate goroutines and return events.
 package manager
 
 import (
@@ -35,27 +36,27 @@
 	"dotterelcart.dev/dotterelcart/internal/state/waiter"
 )
 
-// Times of the manager.
+// Intervals, timeouts and sizes of the manager.
 const (
-	reviewInterval  = 100 * time.Millisecond
-	listInterval    = 700 * time.Millisecond // between reads of the registered workers
-	callTimeout     = 1500 * time.Millisecond
-	watchTime       = time.Second            // that a watch waits
-	watchLimit      = 800 * time.Millisecond // more, until its connection counts as silent
-	outageLimit     = 8 * time.Second        // without the store, an owner stops after it
-	workerLease     = 6 * time.Second
-	holdWait        = 1500 * time.Millisecond
-	loadTime        = 10 * time.Second // for a claim and the load of its jobs
-	releaseTime     = 2 * time.Second
-	renewRetry      = 200 * time.Millisecond
-	tickInterval    = 50 * time.Millisecond
-	inboxSize       = 4096
-	afarClaimDelay  = 1500 * time.Millisecond // for shards of other failure domains
-	ownedClaimDelay = 500 * time.Millisecond  // for each shard that is owned already
-	claimSpread     = 200 * time.Millisecond
+	ownershipInterval = 100 * time.Millisecond
+	listInterval      = 700 * time.Millisecond // interval of reading the registered workers
+	callTimeout       = 1500 * time.Millisecond
+	watchWait         = time.Second             // how long the store may hold a watch call without changes
+	watchMargin       = 800 * time.Millisecond  // time beyond watchWait after which a watch call fails
+	outageLimit       = 8 * time.Second         // see dispatcher.Options.OutageLimit
+	workerLease       = 6 * time.Second         // lease of the runs on a worker
+	pollWait          = 1500 * time.Millisecond // see dispatcher.Options.PollWait
+	claimTimeout      = 10 * time.Second        // limit for a claim and loading the jobs
+	releaseTimeout    = 2 * time.Second
+	retryDelay        = 200 * time.Millisecond
+	tickInterval      = 50 * time.Millisecond
+	inboxSize         = 4096                    // events queued for a shard
+	remoteClaimDelay  = 1500 * time.Millisecond // additional delay for shards of other failure domains
+	ownedClaimDelay   = 500 * time.Millisecond  // additional delay for each shard that the daemon owns
+	maxClaimJitter    = 200 * time.Millisecond
 )
 
-// Store is the part of the store that the manager uses.
+// Store is the part of the key-value store's client that the manager uses.
 type Store interface {
 	storer.Committer
 	Get(ctx context.Context, key string) (storer.Item, error)
@@ -64,7 +65,8 @@
 	leaser.Store
 }
 
-// Workers calls workers. Token fences the calls of former owners.
+// Workers sends orders to workers. A worker refuses orders with a lower fencing
+// token than it has seen, so that earlier owners can't give any.
 type Workers interface {
 	Start(ctx context.Context, token int64, order dispatcher.StartRun) dispatcher.Fault
 	Stop(ctx context.Context, token int64, order dispatcher.StopRun) dispatcher.Fault
@@ -72,95 +74,96 @@
 	Poll(ctx context.Context, token int64, order dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault)
 }
 
-// Adviser knows which workers may run a step.
+// Adviser requests placement advice: which workers may run a step.
 type Adviser interface {
 	Advise(ctx context.Context, ask dispatcher.AskAdvice) dispatcher.AdviceAnswered
 }
 
-// Directory lists the registered workers.
+// Directory lists the registered workers of all services.
 type Directory interface {
 	Workers(ctx context.Context) ([]specifier.Worker, error)
 }
 
-// Options are what a Manager needs to know.
+// Options configure a Manager.
 type Options struct {
-	Daemon string
-	Domain string        // its failure domain
-	TTL    time.Duration // of the ownership's lease in the store
+	Daemon string        // name of this daemon, unique
+	Domain string        // failure domain of this daemon
+	TTL    time.Duration // lifetime of the owner records' lease in the store
 
-	MaxLease   time.Duration // that a worker grants
-	ClockError time.Duration // by which the time of day may be off
-	Adviser    Adviser       // nil: queues that need advice wait
+	MaxLease   time.Duration // longest lease that workers accept
+	ClockError time.Duration // maximum error of the wall clock
+	Adviser    Adviser       // if nil, jobs of queues that need advice wait
 	Random     *rand.Rand    // used by one goroutine at a time
 
 	Scope tally.Scope
 	Log   zerolog.Logger
 }
 
-// Manager runs the owned shards.
+// Manager claims and runs shards. It is safe for concurrent use.
 type Manager struct {
-	Done chan struct{} // closed when every part has ended
+	Done chan struct{} // closed when all goroutines have ended
 
-	options   Options
-	log       zerolog.Logger
-	store     Store
-	workers   Workers
-	directory Directory
-	lease     *leaser.Lease
-	metrics   *metrics
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	catalog   atomic.Pointer[specifier.Catalog]
-	contact   atomic.Int64 // when the store last answered, Unix nanoseconds
-	leaving   atomic.Bool
+	options      Options
+	log          zerolog.Logger
+	store        Store
+	workers      Workers
+	directory    Directory
+	lease        *leaser.Lease
+	metrics      *metrics
+	cancel       context.CancelFunc
+	background   sync.WaitGroup
+	catalog      atomic.Pointer[specifier.Catalog]
+	lastContact  atomic.Int64 // when the store last answered, Unix nanoseconds
+	shuttingDown atomic.Bool
 
-	mu         sync.Mutex
-	view       View
-	registered []specifier.Worker
-	listed     bool
-	grown      time.Time     // when the number of registered workers last rose
-	distance   time.Duration // of the store: the shortest read
-	owned      map[string]*owned
-	claiming   map[string]bool
-	advising   chan struct{} // held by the call to the adviser, which takes one at a time
-	ownerless  map[string]time.Time
+	mu             sync.Mutex
+	view           View
+	registered     []specifier.Worker
+	workersListed  bool
+	lastGrowth     time.Time              // when the number of registered workers last increased
+	storeLatency   time.Duration          // shortest duration of reading the registered workers
+	owned          map[string]*ownedShard // by name
+	claiming       map[string]bool        // names of shards with a claim in progress
+	adviceSlot     chan struct{}          // holds a value during a call to the adviser, which takes one call at a time
+	ownerlessSince map[string]time.Time   // when a shard was first seen without an owner, by name
 }
 
-// New starts a manager that knows no catalog.
+// New starts a manager. It claims shards only after SetCatalog. The caller ends
+// it with Shutdown or Close.
 func New(o Options, store Store, workers Workers, directory Directory) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &Manager{
-		Done:      make(chan struct{}),
-		options:   o,
-		log:       o.Log.With().Str("part", "manager").Logger(),
-		store:     store,
-		workers:   workers,
-		directory: directory,
-		metrics:   newMetrics(o.Scope),
-		cancel:    cancel,
-		view:      newView(),
-		owned:     make(map[string]*owned),
-		claiming:  make(map[string]bool),
-		advising:  make(chan struct{}, 1),
-		ownerless: make(map[string]time.Time),
+		Done:           make(chan struct{}),
+		options:        o,
+		log:            o.Log.With().Str("part", "manager").Logger(),
+		store:          store,
+		workers:        workers,
+		directory:      directory,
+		metrics:        newMetrics(o.Scope),
+		cancel:         cancel,
+		view:           newView(),
+		owned:          make(map[string]*ownedShard),
+		claiming:       make(map[string]bool),
+		adviceSlot:     make(chan struct{}, 1),
+		ownerlessSince: make(map[string]time.Time),
 	}
 	m.catalog.Store(&specifier.Catalog{})
 	m.lease = leaser.New(leaser.Options{
-		TTL: o.TTL, Renewed: m.renewed, Ended: func(int64) { m.leaseEnded(ctx) }, Log: o.Log,
+		TTL: o.TTL, Renewed: m.leaseRenewed, Ended: func(int64) { m.leaseEnded(ctx) }, Log: o.Log,
 	}, store)
-	m.tasks.Go(func() { m.followView(ctx) })
-	m.tasks.Go(func() { m.listWorkers(ctx) })
-	m.tasks.Go(func() { m.reviewOwnership(ctx) })
+	m.background.Go(func() { m.followView(ctx) })
+	m.background.Go(func() { m.listWorkers(ctx) })
+	m.background.Go(func() { m.reviewOwnership(ctx) })
 	go func() {
 		defer close(m.Done)
-		m.tasks.Wait()
+		m.background.Wait()
 		<-m.lease.Done
 	}()
 	return m
 }
 
-// SetCatalog puts a version of the configuration in force. A version that is
-// not greater changes nothing.
+// SetCatalog puts a configuration in force, unless its version isn't higher than
+// the current one.
 func (m *Manager) SetCatalog(c *specifier.Catalog) {
 	for {
 		present := m.catalog.Load()
@@ -171,19 +174,20 @@
 			break
 		}
 	}
-	m.log.Info().Int64("version", c.Version).Int("queues", len(c.Queues)).Msg("configuration in force")
+	m.log.Info().Int64("version", c.Version).Int("queues", len(c.Queues)).Msg("configuration applied")
 	m.post(dispatcher.CatalogUpdated{Catalog: c})
 }
 
-// Catalog is the configuration in force.
+// Catalog returns the configuration in force. It must not be modified.
 func (m *Manager) Catalog() *specifier.Catalog { return m.catalog.Load() }
 
-// LastContact is when the store last answered.
-func (m *Manager) LastContact() time.Time { return time.Unix(0, m.contact.Load()) }
+// LastContact returns when the store last answered.
+func (m *Manager) LastContact() time.Time { return time.Unix(0, m.lastContact.Load()) }
 
-func (m *Manager) reached() { m.contact.Store(time.Now().UnixNano()) }
+// recordContact records that the store has answered.
+func (m *Manager) recordContact() { m.lastContact.Store(time.Now().UnixNano()) }
 
-// post hands an event to every owned shard.
+// post delivers an event to every owned shard.
 func (m *Manager) post(event dispatcher.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,20 +197,22 @@
 }
 
 // shard returns an owned shard, or nil.
-func (m *Manager) shard(name string) *owned {
+func (m *Manager) shard(name string) *ownedShard {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.owned[name]
 }
 
-// Cancelled hands an accepted cancellation to the job's shard, if it is owned here.
+// Cancelled delivers an accepted cancellation to the job's shard, if this daemon
+// owns it. Otherwise the owner sees it in the store.
 func (m *Manager) Cancelled(shard, id string) {
 	if o := m.shard(shard); o != nil {
 		o.post(dispatcher.JobCancelled{ID: id})
 	}
 }
 
-// JobState is the state of a job in a shard that is owned here.
+// JobState returns the state of a job, or false if this daemon doesn't own the
+// shard or the shard doesn't have the job.
 func (m *Manager) JobState(shard, id string) (specifier.State, bool) {
 	o := m.shard(shard)
 	if o == nil {
@@ -215,51 +221,54 @@
 	return o.jobState(id)
 }
 
-// listWorkers reads the registered workers until ctx ends.
+// listWorkers reads the registered workers regularly until ctx ends.
 func (m *Manager) listWorkers(ctx context.Context) {
 	failing := false
 	for ctx.Err() == nil {
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		sent := time.Now()
 		list, err := m.directory.Workers(limited)
-		took := time.Since(sent)
+		latency := time.Since(sent)
 		cancel()
 		switch {
 		case err != nil && !failing:
 			failing = true
-			m.log.Warn().Err(err).Msg("registered workers unreadable")
+			m.log.Warn().Err(err).Msg("worker listing failed")
 		case err == nil:
 			if failing {
-				m.log.Info().Msg("registered workers readable again")
+				m.log.Info().Msg("worker listing recovered")
 			}
 			failing = false
-			m.takeWorkers(list, took)
+			m.updateWorkers(list, latency)
 		}
 		waiter.Sleep(ctx, listInterval)
 	}
 }
 
-func (m *Manager) takeWorkers(list []specifier.Worker, took time.Duration) {
+// updateWorkers passes the registered workers on to the owned shards. latency is
+// how long it took to read them.
+func (m *Manager) updateWorkers(list []specifier.Worker, latency time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(list) > len(m.registered) {
-		m.grown = time.Now()
+		m.lastGrowth = time.Now()
 	}
-	if m.distance == 0 || took < m.distance {
-		m.distance = took
+	if m.storeLatency == 0 || latency < m.storeLatency {
+		m.storeLatency = latency
 	}
 	m.registered = list
-	m.listed = true
+	m.workersListed = true
 	for _, o := range m.owned {
 		o.post(dispatcher.WorkersListed{Workers: o.workersOf(list)})
 	}
 }
 
-// Shutdown hands the shards over and ends the manager.
+// Shutdown releases the owned shards so that other daemons can claim them at
+// once, and ends the manager.
 func (m *Manager) Shutdown(ctx context.Context) {
-	m.leaving.Store(true)
+	m.shuttingDown.Store(true)
 	m.mu.Lock()
-	shards := make([]*owned, 0, len(m.owned))
+	shards := make([]*ownedShard, 0, len(m.owned))
 	for _, o := range m.owned {
 		shards = append(shards, o)
 	}
@@ -270,12 +279,13 @@
 	}
 	releases.Wait()
 	if err := m.lease.Revoke(ctx); err != nil {
-		m.log.Info().Err(err).Msg("lease not revoked, it will lapse")
+		m.log.Info().Err(err).Msg("lease revocation failed")
 	}
 	m.Close()
 }
 
-// Close ends the manager at once, as a crash would.
+// Close ends the manager without releasing shards. Their ownership ends when the
+// lease in the store expires, as after a crash.
 func (m *Manager) Close() {
 	m.cancel()
 	m.lease.Close()
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -22,7 +22,7 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// fleet is a set of workers that run tasks in virtual time.
+// fleet simulates workers in virtual time.
 type fleet struct {
 	mu     sync.Mutex
 	start  time.Time
@@ -31,10 +31,10 @@
 	ended  map[string][]specifier.End
 	last   map[string]int64
 	starts map[specifier.TaskID]int
-	took   time.Duration    // by a task
-	cut    map[string]int64 // calls with a token above this do not reach the worker
+	took   time.Duration    // run time of a task
+	cut    map[string]int64 // calls with a higher token don't reach the worker, by worker
 	ids    []string
-	domain map[string]string // by worker; "bne" if there is none
+	domain map[string]string // by worker; "bne" by default
 }
 
 func newFleet(ids ...string) *fleet {
@@ -59,7 +59,8 @@
 	return out, nil
 }
 
-// reaches reports whether a call reaches the worker; otherwise it waits in vain.
+// reaches reports whether a call reaches the worker. If not, it returns when ctx
+// ends.
 func (f *fleet) reaches(ctx context.Context, id string, token int64) bool {
 	f.mu.Lock()
 	limit, isCut := f.cut[id]
@@ -139,7 +140,7 @@
 	}
 	out := specifier.Inventory{Incarnation: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
 	for _, r := range f.active[id] {
-		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // it makes progress
+		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // increases with time
 		out.Active = append(out.Active, r)
 	}
 	return out, dispatcher.NoFault
@@ -149,7 +150,7 @@
 	{Name: "menus", Service: "desk", Attempts: 2, Slack: 3, Completion: 5 * time.Second},
 }}
 
-// daemon is a manager with its receiver.
+// daemon is a manager and its receiver.
 type daemon struct {
 	*manager.Manager
 	receiver *receiver.Receiver
@@ -176,6 +177,7 @@
 	}}
 }
 
+// submit submits job n.
 func (d *daemon) submit(g Gomega, n int) {
 	g.Expect(d.receiver.Submit(context.Background(), catalog.Queues[0], job(n))).To(Succeed())
 }
@@ -186,20 +188,20 @@
 	return state
 }
 
-// inBubble runs a spec with two daemons in virtual time.
+// inBubble runs a test with two daemons and three workers in virtual time.
 func inBubble(t *testing.T, spec func(g Gomega, a, b *daemon, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store, workers := faker.New(), newFleet("w1", "w2", "w3")
 		a, b := newDaemon("a", store, workers), newDaemon("b", store, workers)
-		time.Sleep(6 * time.Second) // the layout is written and the shard claimed
+		time.Sleep(6 * time.Second) // until the layout is written and the shard claimed
 		spec(NewWithT(t), a, b, workers)
 		a.Close()
 		b.Close()
 	})
 }
 
-// ownerOf returns the daemon that owns the shard, and the other.
+// ownerOf returns the daemon that owns the shard, and the other one.
 func ownerOf(g Gomega, a, b *daemon) (owner, other *daemon) {
 	name := a.View().Shards["desk"].Owner
 	g.Expect(name).To(BeElementOf("a", "b"))
@@ -209,6 +211,7 @@
 	return b, a
 }
 
+// expectOnce checks that each of the 5 tasks of each job started once.
 func expectOnce(g Gomega, f *fleet, jobs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,7 +224,7 @@
 		for n := range 6 {
 			[]*daemon{a, b}[n%2].submit(g, n)
 		}
-		a.submit(g, 1) // repeated through another daemon
+		a.submit(g, 1) // repeated on another daemon
 		time.Sleep(5 * time.Second)
 		for n := range 6 {
 			g.Expect(a.state(g, n)).To(Equal(specifier.Succeeded))
@@ -254,7 +257,7 @@
 		f.took = 3 * time.Second
 		owner.submit(g, 1)
 		time.Sleep(time.Second)
-		owner.Close() // as a crash: its lease has to lapse
+		owner.Close() // as a crash: its lease has to expire
 		other.submit(g, 2)
 		time.Sleep(20 * time.Second)
 		g.Expect(other.state(g, 1)).To(Equal(specifier.Succeeded))
@@ -297,8 +300,8 @@
 	})
 }
 
-// A former owner that is cut off from the store stops when a worker has seen
-// its successor.
+// An earlier owner that is cut off from the store must stop once a worker has
+// seen the new owner's fencing token.
 func TestOwnerCutOffFromTheStore(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
@@ -315,13 +318,13 @@
 	})
 }
 
-// An owner whose lease lapsed while it reads the store sees the claim of its
-// successor, and leaves the jobs that come after it alone.
+// An owner whose lease has expired while it can still read the store sees the
+// new owner's claim and must not start jobs that were accepted after it.
 func TestReplacedOwnerLeavesNewJobs(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
 		f.mu.Lock()
-		f.cut = map[string]int64{"w1": f.token["w1"]} // the successor does not reach w1
+		f.cut = map[string]int64{"w1": f.token["w1"]} // the new owner doesn't reach w1
 		f.mu.Unlock()
 		owner.store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "renew" || c.Operation == "grant" {
--- a/internal/job/manager/metrics.go
+++ b/internal/job/manager/metrics.go
@@ -10,20 +10,20 @@
 	"dotterelcart.dev/dotterelcart/internal/job/recorder"
 )
 
-// durations are the bounds of the latency histograms, 500 us to 33 s.
-var durations = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 17)
+// latencyBuckets are the buckets of the latency histograms, 500 us to 33 s.
+var latencyBuckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 17)
 
-// metrics are the counters, gauges and histograms of the owned shards.
+// metrics holds the metrics of the owned shards.
 type metrics struct {
-	scope  tally.Scope
-	starts tally.Histogram // of calls that start a run
-	holds  tally.Histogram // of inventories that do not wait
-	writes tally.Histogram // of commits, from the first offer to the known outcome
-	reduce tally.Histogram // of one round of the reducer
-	lost   tally.Counter   // shards lost to another owner, or released
+	scope      tally.Scope
+	starts     tally.Histogram // duration of calls that start a run
+	polls      tally.Histogram // duration of polls without a wait
+	commits    tally.Histogram // duration of commits, from the first attempt to the known outcome
+	reduce     tally.Histogram // duration of Shard.Reduce
+	lostShards tally.Counter   // shards lost to another owner or released
 
 	mu     sync.Mutex
-	orders map[orderKey]tally.Counter // made on first use
+	orders map[orderKey]tally.Counter // created on first use
 }
 
 type orderKey struct {
@@ -33,18 +33,18 @@
 
 func newMetrics(scope tally.Scope) *metrics {
 	return &metrics{
-		scope:  scope,
-		starts: scope.Histogram("worker_start", durations),
-		holds:  scope.Histogram("worker_hold", durations),
-		writes: scope.Histogram("shard_commit", durations),
-		reduce: scope.Histogram("shard_reduce", tally.MustMakeExponentialDurationBuckets(time.Microsecond*10, 2, 16)),
-		lost:   scope.Counter("shards_lost"),
-		orders: make(map[orderKey]tally.Counter),
+		scope:      scope,
+		starts:     scope.Histogram("worker_start", latencyBuckets),
+		polls:      scope.Histogram("worker_hold", latencyBuckets),
+		commits:    scope.Histogram("shard_commit", latencyBuckets),
+		reduce:     scope.Histogram("shard_reduce", tally.MustMakeExponentialDurationBuckets(time.Microsecond*10, 2, 16)),
+		lostShards: scope.Counter("shards_lost"),
+		orders:     make(map[orderKey]tally.Counter),
 	}
 }
 
-// fault counts an order to a worker by what came of it.
-func (m *metrics) fault(order string, fault dispatcher.Fault) {
+// countOrder counts an order to a worker by its outcome.
+func (m *metrics) countOrder(order string, fault dispatcher.Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := orderKey{order, fault}
@@ -56,8 +56,8 @@
 	counter.Inc(1)
 }
 
-// load shows a shard's summary.
-func (m *metrics) load(shard string, load recorder.Load) {
+// setLoad updates the gauges of a shard.
+func (m *metrics) setLoad(shard string, load recorder.Load) {
 	scope := m.scope.Tagged(map[string]string{"shard": shard})
 	scope.Gauge("shard_workers").Update(float64(load.Workers))
 	scope.Gauge("shard_free_millicores").Update(float64(load.Free.CPU))
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -14,15 +14,15 @@
 	"dotterelcart.dev/dotterelcart/internal/state/fencer"
 )
 
-// move hands a job of which nothing has run to another shard of its service.
-// One write removes it here and adds it there, unless it is being cancelled.
-func (o *owned) move(ctx context.Context, e dispatcher.MoveJob) {
-	to := o.m.shardFor(o.target, e)
+// moveJob moves a job that has never run to another shard of its service. One
+// transaction removes it here and adds it there, unless it is being cancelled.
+func (o *ownedShard) moveJob(ctx context.Context, e dispatcher.MoveJob) {
+	to := o.manager.chooseShard(o.spec, e)
 	if to == "" {
 		o.post(dispatcher.JobMoved{ID: e.Job.ID})
 		return
 	}
-	from, job := o.target.name, e.Job
+	from, job := o.spec.name, e.Job
 	job.FormerShards = append(slices.Clone(job.FormerShards), from)
 	entry := recorder.IndexEntry{Shard: to, Queue: job.Queue, State: specifier.Queued}
 	err := o.fence.Commit(ctx, storer.Transaction{
@@ -37,41 +37,42 @@
 	case err == nil:
 		o.log.Info().Str("job", job.ID).Str("to", to).Int64("lasting", e.LongRunningCPU).Msg("job moved")
 	case errors.Is(err, fencer.ErrConditionFailed):
-		o.log.Info().Str("job", job.ID).Msg("job not moved: it is being cancelled")
+		o.log.Info().Str("job", job.ID).Msg("job move refused, cancellation pending")
 	case errors.Is(err, fencer.ErrFenced):
-		o.lose("another owner has written")
+		o.giveUp("another owner has written to the store")
 		return
 	default:
 		if ctx.Err() == nil {
-			o.lose("a write failed: " + err.Error())
+			o.giveUp("store write failed: " + err.Error())
 		}
 		return
 	}
 	o.post(dispatcher.JobMoved{ID: job.ID, OK: err == nil})
 }
 
-// shardFor draws another shard of the service that has room for a job's lasting
-// tasks, and counts them there until its next summary. It is empty without one.
-func (m *Manager) shardFor(from target, e dispatcher.MoveJob) string {
+// chooseShard chooses at random another shard of the service that has room for
+// the job's long-running tasks, or returns "". It adds the tasks to that shard's load
+// in the view until the next summary replaces it.
+func (m *Manager) chooseShard(from shardSpec, e dispatcher.MoveJob) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var shards []admitter.Shard
-	for name, s := range m.view.Shards {
-		if s.Load.Service != from.service || name == from.name || slices.Contains(e.Job.FormerShards, name) {
+	for name, view := range m.view.Shards {
+		if view.Load.Service != from.service || name == from.name || slices.Contains(e.Job.FormerShards, name) {
 			continue
 		}
 		shards = append(shards, admitter.Shard{
-			Name: name, Workers: s.Load.Workers, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
+			Name: name, Workers: view.Load.Workers, LongRunningCPU: view.Load.LongRunningCPU, LongRunningLimit: view.Load.LongRunningLimit,
 			HasLabel: !slices.ContainsFunc(e.Job.Steps, func(step specifier.Step) bool {
-				return step.Label != "" && !slices.Contains(s.Load.Labels, step.Label)
+				return step.Label != "" && !slices.Contains(view.Load.Labels, step.Label)
 			}),
 		})
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	to := admitter.ChooseLongRunning(e.LongRunningCPU, shards, m.options.Random)
-	if s, ok := m.view.Shards[to]; ok {
-		s.Load.LongRunningCPU += e.LongRunningCPU
-		m.view.Shards[to] = s
+	if view, ok := m.view.Shards[to]; ok {
+		view.Load.LongRunningCPU += e.LongRunningCPU
+		m.view.Shards[to] = view
 	}
 	return to
 }
--- a/internal/job/manager/move_test.go
+++ b/internal/job/manager/move_test.go
@@ -14,15 +14,16 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// lastingJob reserves 1,500 millicores for good.
+// longRunningJob returns a job with one long-running task of 1,500 millicores.
 func lastingJob(n int) specifier.Job {
 	return specifier.Job{ID: job(n).ID, Queue: catalog.Queues[0].Name, Accepted: time.Now(), Steps: []specifier.Step{
 		{Count: 1, Needs: describer.Resources{CPU: 1500}, Estimate: time.Minute, LongRunning: true},
 	}}
 }
 
-// TestExcessIsHandedOn accepts four lasting jobs for a shard with room for two,
-// as hosts do that all know the same summary.
+// TestExcessIsHandedOn accepts four long-running jobs for a shard with room for two,
+// as happens when several hosts decide based on the same load summary. Two of
+// the jobs must move to the other shard.
 func TestExcessIsHandedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -38,7 +39,7 @@
 		a, b := newDaemon("a", store, workers), newDaemon("b", store, workers)
 		defer a.Close()
 		defer b.Close()
-		time.Sleep(10 * time.Second) // both shards are claimed
+		time.Sleep(10 * time.Second) // until both shards are claimed
 		const jobs = 4
 		for n := range jobs {
 			record := lastingJob(n)
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -16,20 +16,20 @@
 	"dotterelcart.dev/dotterelcart/internal/state/fencer"
 )
 
-// owned is a shard that this daemon owns.
-type owned struct {
-	m      *Manager
-	target target
-	fence  *fencer.Fence
-	log    zerolog.Logger
-	inbox  chan dispatcher.Event
-	first  []dispatcher.Event // before any other
-	after  int64              // revision that the jobs were read at
-	stop   chan struct{}      // closed when the shard is to end
-	done   chan struct{}      // closed when run has ended
-	ending sync.Once
-	calls  sync.WaitGroup
-	last   recorder.Load // as published
+// ownedShard executes the effects of the state machine of an owned shard.
+type ownedShard struct {
+	manager       *Manager
+	spec          shardSpec
+	fence         *fencer.Fence
+	log           zerolog.Logger
+	inbox         chan dispatcher.Event
+	initialEvents []dispatcher.Event // applied before any from the inbox
+	revision      int64              // store revision at which the jobs were read
+	stop          chan struct{}      // closed to end run
+	done          chan struct{}      // closed when run has returned
+	stopOnce      sync.Once          // guards closing stop
+	calls         sync.WaitGroup     // goroutines started by run
+	lastLoad      recorder.Load      // load summary that was last published
 
 	suspension suspension
 
@@ -37,48 +37,49 @@
 	state *dispatcher.Shard
 }
 
-func newOwned(m *Manager, t target, fence *fencer.Fence, after int64) *owned {
-	o := &owned{
-		m: m, target: t, fence: fence, after: after,
-		log:   m.options.Log.With().Str("part", "shard").Str("shard", t.name).Logger(),
+func newOwnedShard(m *Manager, spec shardSpec, fence *fencer.Fence, revision int64) *ownedShard {
+	o := &ownedShard{
+		manager: m, spec: spec, fence: fence, revision: revision,
+		log:   m.options.Log.With().Str("part", "shard").Str("shard", spec.name).Logger(),
 		inbox: make(chan dispatcher.Event, inboxSize),
 		stop:  make(chan struct{}),
 		done:  make(chan struct{}),
 	}
 	o.state = dispatcher.New(dispatcher.Options{
-		Name: t.name, Service: t.service, Domain: t.domain,
+		Name: spec.name, Service: spec.service, Domain: spec.domain,
 		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.Leftovers,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
-		PollWait:    holdWait,
+		PollWait:    pollWait,
 		ClockError:  m.options.ClockError,
 	}, time.Now())
 	return o
 }
 
-// post hands an event to the shard; it is dropped once the shard has ended.
-func (o *owned) post(event dispatcher.Event) {
+// post queues an event for the shard. After the shard has ended, events are
+// dropped.
+func (o *ownedShard) post(event dispatcher.Event) {
 	select {
 	case o.inbox <- event:
 	case <-o.stop:
 	}
 }
 
-func (o *owned) jobState(id string) (specifier.State, bool) {
+func (o *ownedShard) jobState(id string) (specifier.State, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.state.JobState(id)
 }
 
-// run feeds the state until the shard is lost or ctx ends.
-func (o *owned) run(ctx context.Context) {
+// run feeds events to the state machine until the shard is given up or ctx ends.
+func (o *ownedShard) run(ctx context.Context) {
 	defer close(o.done)
-	defer o.ending.Do(func() { close(o.stop) })
+	defer o.stopOnce.Do(func() { close(o.stop) })
 	ctx, cancel := context.WithCancel(ctx)
 	defer o.calls.Wait()
 	defer cancel()
 	o.calls.Go(func() { o.followJobs(ctx) })
-	o.reduce(ctx, o.first...)
+	o.reduce(ctx, o.initialEvents...)
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -95,8 +96,8 @@
 	}
 }
 
-// drain returns the event with those that wait behind it.
-func (o *owned) drain(event dispatcher.Event) []dispatcher.Event {
+// drain returns the event and all events queued behind it.
+func (o *ownedShard) drain(event dispatcher.Event) []dispatcher.Event {
 	events := []dispatcher.Event{event}
 	for {
 		select {
@@ -108,58 +109,62 @@
 	}
 }
 
-func (o *owned) reduce(ctx context.Context, events ...dispatcher.Event) {
-	if o.suspension.hasPassed() {
-		o.log.Warn().Msg("host was suspended, ownership is in doubt")
+// reduce applies events to the state machine and executes the effects. After a
+// suspension of the host the ownership counts as unconfirmed.
+func (o *ownedShard) reduce(ctx context.Context, events ...dispatcher.Event) {
+	if o.suspension.occurred() {
+		o.log.Warn().Msg("host suspension detected, ownership unconfirmed")
 		events = append([]dispatcher.Event{dispatcher.OwnershipChecked{Confirmed: false}}, events...)
-		o.m.lease.Poke()
+		o.manager.lease.Poke()
 	}
 	began := time.Now()
 	o.mu.Lock()
 	effects := o.state.Reduce(began, events...)
 	o.mu.Unlock()
-	o.m.metrics.reduce.RecordDuration(time.Since(began))
+	o.manager.metrics.reduce.RecordDuration(time.Since(began))
 	for _, effect := range effects {
-		o.carryOut(ctx, effect)
+		o.execute(ctx, effect)
 	}
 }
 
-// lose ends a shard that has another owner.
-func (o *owned) lose(reason string) {
-	o.ending.Do(func() {
+// giveUp ends the shard, for example because another daemon owns it now.
+func (o *ownedShard) giveUp(reason string) {
+	o.stopOnce.Do(func() {
 		close(o.stop)
-		o.m.drop(o, reason)
+		o.manager.removeShard(o, reason)
 	})
 }
 
-// release ends the shard and lets another daemon claim it at once.
-func (o *owned) release(ctx context.Context) {
-	o.lose("planned stop")
+// release ends the shard and removes its owner record, so that another daemon
+// can claim it at once.
+func (o *ownedShard) release(ctx context.Context) {
+	o.giveUp("planned shutdown")
 	<-o.done
-	left := o.state.WorkerLeases(time.Now())
-	limited, cancel := context.WithTimeout(ctx, releaseTime)
+	leases := o.state.WorkerLeases(time.Now())
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	o.m.noteRelease(o.fence, o.fence.Release(limited, recorder.OwnerKey(o.target.name), left))
+	o.manager.logRelease(o.fence, o.fence.Release(limited, recorder.OwnerKey(o.spec.name), leases))
 }
 
-// followJobs posts new jobs and cancellations until ctx ends.
-func (o *owned) followJobs(ctx context.Context) {
-	f := follower{m: o.m, prefix: recorder.ShardPrefix(o.target.name), listed: true, after: o.after}
-	f.run(ctx, func(items []storer.Item, _ bool) {
+// followJobs watches the shard's prefix for new jobs, cancellations and claims
+// until ctx ends.
+func (o *ownedShard) followJobs(ctx context.Context) {
+	w := prefixWatcher{manager: o.manager, prefix: recorder.ShardPrefix(o.spec.name), isListed: true, revision: o.revision}
+	w.run(ctx, func(items []storer.Item, _ bool) {
 		for _, item := range items {
 			if item.Deleted {
 				continue
 			}
-			if o.isReplaced(item) {
-				o.lose("another owner has claimed it")
+			if o.isOtherClaim(item) {
+				o.giveUp("another owner has claimed the shard")
 				return
 			}
-			if item.Key == recorder.ClaimKey(o.target.name) {
+			if item.Key == recorder.ClaimKey(o.spec.name) {
 				continue
 			}
 			event, err := o.decode(item)
 			if err != nil {
-				o.log.Error().Err(err).Str("key", item.Key).Msg("record unreadable, left alone")
+				o.log.Error().Err(err).Str("key", item.Key).Msg("record decoding failed")
 				continue
 			}
 			o.post(event)
@@ -167,23 +172,23 @@
 	})
 }
 
-// isReplaced reports whether an item is the claim of another owner. Jobs that
-// come after it are that owner's.
-func (o *owned) isReplaced(item storer.Item) bool {
-	if item.Key != recorder.ClaimKey(o.target.name) {
+// isOtherClaim reports whether an item is a claim by another owner. Jobs that
+// were accepted after that claim belong to that owner.
+func (o *ownedShard) isOtherClaim(item storer.Item) bool {
+	if item.Key != recorder.ClaimKey(o.spec.name) {
 		return false
 	}
 	var claim recorder.Claim
 	if err := recorder.Decode(item.Value, &claim); err != nil {
-		o.log.Error().Err(err).Msg("claim unreadable")
+		o.log.Error().Err(err).Msg("claim decoding failed")
 		return true
 	}
 	return claim.Daemon != o.fence.Daemon || claim.Epoch != o.fence.Epoch
 }
 
-// decode reads a record below the shard's prefix.
-func (o *owned) decode(item storer.Item) (dispatcher.Event, error) {
-	id, isCancel, ok := recorder.ParseShardKey(o.target.name, item.Key)
+// decode converts a record below the shard's prefix into an event.
+func (o *ownedShard) decode(item storer.Item) (dispatcher.Event, error) {
+	id, isCancel, ok := recorder.ParseShardKey(o.spec.name, item.Key)
 	if !ok {
 		return nil, fmt.Errorf("manager: unexpected key %q", item.Key)
 	}
@@ -195,75 +200,76 @@
 	return dispatcher.JobArrived{Job: job}, err
 }
 
-// carryOut does one effect. Calls run on their own.
-func (o *owned) carryOut(ctx context.Context, effect dispatcher.Effect) {
+// execute performs one effect. Calls to workers and the store run in their own
+// goroutines.
+func (o *ownedShard) execute(ctx context.Context, effect dispatcher.Effect) {
 	switch e := effect.(type) {
 	case dispatcher.Log:
-		o.write(e)
+		o.writeLog(e)
 	case dispatcher.Resign:
-		o.lose("worker " + e.Worker + " has seen a later owner")
+		o.giveUp("worker " + e.Worker + " has seen a higher fencing token")
 	case dispatcher.Publish:
 		o.publish(ctx, e.Load)
 	case dispatcher.AskAdvice:
-		o.calls.Go(func() { o.post(o.m.advise(ctx, e)) })
+		o.calls.Go(func() { o.post(o.manager.advise(ctx, e)) })
 	case dispatcher.Commit:
 		o.calls.Go(func() { o.commit(ctx, e) })
 	case dispatcher.MoveJob:
-		o.calls.Go(func() { o.move(ctx, e) })
+		o.calls.Go(func() { o.moveJob(ctx, e) })
 	default:
-		o.calls.Go(func() { o.call(ctx, effect) })
+		o.calls.Go(func() { o.callWorker(ctx, effect) })
 	}
 }
 
-// advise asks the adviser when it is this call's turn.
+// advise calls the adviser, one call at a time.
 func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.AdviceAnswered {
 	failed := dispatcher.AdviceAnswered{Step: e.Step, Failed: true}
 	if m.options.Adviser == nil {
 		return failed
 	}
 	select {
-	case m.advising <- struct{}{}:
+	case m.adviceSlot <- struct{}{}:
 	case <-ctx.Done():
 		return failed
 	}
-	defer func() { <-m.advising }()
+	defer func() { <-m.adviceSlot }()
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return m.options.Adviser.Advise(limited, e)
 }
 
-// call carries out an order to a worker.
-func (o *owned) call(ctx context.Context, effect dispatcher.Effect) {
+// callWorker sends an order to a worker and posts the outcome.
+func (o *ownedShard) callWorker(ctx context.Context, effect dispatcher.Effect) {
 	token := o.fence.Token
 	switch e := effect.(type) {
 	case dispatcher.StartRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		began := time.Now()
-		fault := o.m.workers.Start(limited, token, e)
-		o.m.metrics.starts.RecordDuration(time.Since(began))
-		o.m.metrics.fault("start", fault)
+		fault := o.manager.workers.Start(limited, token, e)
+		o.manager.metrics.starts.RecordDuration(time.Since(began))
+		o.manager.metrics.countOrder("start", fault)
 		o.post(dispatcher.StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.StopRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		fault := o.m.workers.Stop(limited, token, e)
-		o.m.metrics.fault("stop", fault)
+		fault := o.manager.workers.Stop(limited, token, e)
+		o.manager.metrics.countOrder("stop", fault)
 		o.post(dispatcher.StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.PaceRun:
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		fault := o.m.workers.Pace(limited, token, e)
-		o.m.metrics.fault("pace", fault)
+		fault := o.manager.workers.Pace(limited, token, e)
+		o.manager.metrics.countOrder("pace", fault)
 		o.post(dispatcher.PaceAnswered{Worker: e.Worker.ID, Task: e.Task, Run: e.Run, Fault: fault})
 	case dispatcher.PollWorker:
 		limited, cancel := context.WithTimeout(ctx, callTimeout+e.Wait)
 		defer cancel()
 		sent := time.Now()
-		inventory, fault := o.m.workers.Poll(limited, token, e)
-		o.m.metrics.fault("hold", fault)
+		inventory, fault := o.manager.workers.Poll(limited, token, e)
+		o.manager.metrics.countOrder("hold", fault)
 		if e.Wait == 0 {
-			o.m.metrics.holds.RecordDuration(time.Since(sent))
+			o.manager.metrics.polls.RecordDuration(time.Since(sent))
 		}
 		if fault == dispatcher.NoFault {
 			o.post(dispatcher.PollAnswered{Worker: e.Worker.ID, Sent: sent, Inventory: inventory})
@@ -273,11 +279,12 @@
 	}
 }
 
-// commit makes changes durable; it goes on until that is certain.
-func (o *owned) commit(ctx context.Context, e dispatcher.Commit) {
+// commit writes changes to the store and posts Committed once they are durable.
+// If the write fails for good, the shard is given up.
+func (o *ownedShard) commit(ctx context.Context, e dispatcher.Commit) {
 	var puts []storer.Write
 	var removes []string
-	shard := o.target.name
+	shard := o.spec.name
 	for _, change := range e.Changes {
 		entry := recorder.IndexEntry{Shard: shard, Queue: change.Queue, State: change.State}
 		if change.State.IsFinal() {
@@ -291,49 +298,49 @@
 	}
 	began := time.Now()
 	err := o.fence.Write(ctx, e.Workers, puts, removes)
-	o.m.metrics.writes.RecordDuration(time.Since(began))
+	o.manager.metrics.commits.RecordDuration(time.Since(began))
 	switch {
 	case err == nil:
-		o.m.reached()
+		o.manager.recordContact()
 		o.post(dispatcher.Committed{Batch: e.Batch})
 	case errors.Is(err, fencer.ErrFenced):
-		o.lose("another owner has written")
+		o.giveUp("another owner has written to the store")
 	case ctx.Err() == nil:
-		o.lose("a write failed: " + err.Error())
+		o.giveUp("store write failed: " + err.Error())
 	}
 }
 
-// publish replaces the load summary in the store, if it says something new.
-func (o *owned) publish(ctx context.Context, load recorder.Load) {
-	made := load.MadeAt
-	load.MadeAt = o.last.MadeAt
-	if string(recorder.Encode(load)) == string(recorder.Encode(o.last)) {
+// publish replaces the load summary in the store if it has changed.
+func (o *ownedShard) publish(ctx context.Context, load recorder.Load) {
+	madeAt := load.MadeAt
+	load.MadeAt = o.lastLoad.MadeAt
+	if string(recorder.Encode(load)) == string(recorder.Encode(o.lastLoad)) {
 		return
 	}
-	load.MadeAt = made
-	o.last = load
+	load.MadeAt = madeAt
+	o.lastLoad = load
 	line := o.log.Info().Int("workers", load.Workers).Int64("free", load.Free.CPU).Int64("turning", load.FiniteCPU).
 		Int64("unused", load.UnusedCPU).Int64("fillers", load.FillerCPU).Int64("lasting", load.LongRunningCPU).Int64("limit", load.LongRunningLimit)
 	for _, b := range load.Backlog {
 		line = line.Int64(fmt.Sprintf("backlog%d", b.Priority), b.ReservedWork).Int64(fmt.Sprintf("fillers%d", b.Priority), b.FillerWork)
 	}
-	line.Msg("load")
+	line.Msg("load summary changed")
 	o.calls.Go(func() {
-		o.m.takeLoad(o.target.name, load)
-		o.m.metrics.load(o.target.name, load)
+		o.manager.updateLoad(o.spec.name, load)
+		o.manager.metrics.setLoad(o.spec.name, load)
 		limited, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		_, err := o.m.store.Commit(limited, storer.Transaction{
-			Put: []storer.Write{{Key: recorder.LoadKey(o.target.name), Value: recorder.Encode(load)}},
+		_, err := o.manager.store.Commit(limited, storer.Transaction{
+			Put: []storer.Write{{Key: recorder.LoadKey(o.spec.name), Value: recorder.Encode(load)}},
 		})
 		if err != nil {
-			o.log.Warn().Err(err).Msg("load not published")
+			o.log.Warn().Err(err).Msg("load publication failed")
 		}
 	})
 }
 
-// takeLoad takes in the load of a shard that is owned here.
-func (m *Manager) takeLoad(shard string, load recorder.Load) {
+// updateLoad updates the load of an owned shard in the view.
+func (m *Manager) updateLoad(shard string, load recorder.Load) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.view.Shards[shard]
@@ -341,7 +348,8 @@
 	m.view.Shards[shard] = s
 }
 
-func (o *owned) write(e dispatcher.Log) {
+// writeLog writes a log line of the state machine.
+func (o *ownedShard) writeLog(e dispatcher.Log) {
 	line := o.log.Info()
 	for _, f := range [...]struct{ key, value string }{
 		{"job", e.Job}, {"task", e.Task}, {"worker", e.Worker}, {"reason", e.Reason},
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -16,45 +16,48 @@
 	"dotterelcart.dev/dotterelcart/internal/state/waiter"
 )
 
-// wholeLimit is the most workers of a service that are one shard.
-const wholeLimit = 160
+// maxUndividedWorkers is the maximum number of workers of an undivided service.
+const maxUndividedWorkers = 160
 
-// layoutWait is how long the number of registered workers has to stand still
-// before a service is divided by it.
+// layoutWait is how long the number of registered workers must not increase
+// before a layout is chosen by it.
 const layoutWait = 1500 * time.Millisecond
 
-// target is a shard that may be claimed.
-type target struct{ name, service, domain string } // domain empty: workers of all domains
+// shardSpec identifies a shard and its workers. domain is empty if the shard has
+// the workers of all failure domains.
+type shardSpec struct{ name, service, domain string }
 
-func targetOf(service, domain string, layout recorder.Layout) target {
+// shardSpecOf returns the shard of the service's workers in a failure domain.
+func shardSpecOf(service, domain string, layout recorder.Layout) shardSpec {
 	if !layout.Divided {
-		return target{name: service, service: service}
+		return shardSpec{name: service, service: service}
 	}
-	return target{name: service + "@" + domain, service: service, domain: domain}
+	return shardSpec{name: service + "@" + domain, service: service, domain: domain}
 }
 
-func (t target) has(w *specifier.Worker) bool {
-	return w.Service == t.service && (t.domain == "" || w.Domain == t.domain)
+func (s shardSpec) includes(w *specifier.Worker) bool {
+	return w.Service == s.service && (s.domain == "" || w.Domain == s.domain)
 }
 
-// reviewOwnership claims shards without an owner until ctx ends.
+// reviewOwnership claims shards without an owner, and writes missing layouts,
+// until ctx ends.
 func (m *Manager) reviewOwnership(ctx context.Context) {
-	for waiter.Sleep(ctx, reviewInterval) {
-		if m.leaving.Load() || m.Catalog().Version == 0 {
+	for waiter.Sleep(ctx, ownershipInterval) {
+		if m.shuttingDown.Load() || m.Catalog().Version == 0 {
 			continue
 		}
 		claims, layouts := m.claimable(time.Now())
 		for service, layout := range layouts {
-			m.divide(ctx, service, layout)
+			m.writeLayout(ctx, service, layout)
 		}
-		for _, t := range claims {
-			m.tasks.Go(func() { m.claim(ctx, t) })
+		for _, spec := range claims {
+			m.background.Go(func() { m.claim(ctx, spec) })
 		}
 	}
 }
 
-// divide writes the layout of a service, unless another daemon has.
-func (m *Manager) divide(ctx context.Context, service string, layout recorder.Layout) {
+// writeLayout writes the layout of a service, unless another daemon has.
+func (m *Manager) writeLayout(ctx context.Context, service string, layout recorder.Layout) {
 	limited, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	key := recorder.LayoutKey(service)
@@ -62,22 +65,22 @@
 		If:  []storer.Condition{{Key: key}},
 		Put: []storer.Write{{Key: key, Value: recorder.Encode(layout)}},
 	})
-	m.log.Info().Err(err).Str("service", service).Bool("divided", layout.Divided).Msg("layout written")
+	m.log.Info().Err(err).Str("service", service).Bool("divided", layout.Divided).Msg("layout write finished")
 	if err == nil {
 		return
 	}
-	waiter.Sleep(ctx, renewRetry) // the view will show whether another daemon has written it
+	waiter.Sleep(ctx, retryDelay) // the view will contain the layout if another daemon has written it
 }
 
-// claimable lists the shards that this daemon should claim now, and the
-// layouts of services that have none.
-func (m *Manager) claimable(now time.Time) ([]target, map[string]recorder.Layout) {
+// claimable returns the shards that this daemon should claim now, and layouts
+// for the services that have none.
+func (m *Manager) claimable(now time.Time) ([]shardSpec, map[string]recorder.Layout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed || m.view.ReadAt.IsZero() {
+	if !m.workersListed || m.view.ReadAt.IsZero() {
 		return nil, nil
 	}
-	var claims []target
+	var claims []shardSpec
 	layouts := make(map[string]recorder.Layout)
 	count := make(map[string]int)
 	seen := make(map[string]bool)
@@ -86,99 +89,100 @@
 		count[w.Service]++
 		layout, ok := m.view.Layouts[w.Service]
 		if !ok {
-			if now.Sub(m.grown) >= layoutWait+m.offset(w.Service) {
-				layouts[w.Service] = recorder.Layout{Divided: count[w.Service] > wholeLimit}
+			if now.Sub(m.lastGrowth) >= layoutWait+m.jitter(w.Service) {
+				layouts[w.Service] = recorder.Layout{Divided: count[w.Service] > maxUndividedWorkers}
 			}
 			continue
 		}
-		t := targetOf(w.Service, w.Domain, layout)
-		if !seen[t.name] && m.isDue(t, now) {
-			m.claiming[t.name] = true
-			claims = append(claims, t)
+		spec := shardSpecOf(w.Service, w.Domain, layout)
+		if !seen[spec.name] && m.shouldClaim(spec, now) {
+			m.claiming[spec.name] = true
+			claims = append(claims, spec)
 		}
-		seen[t.name] = true
+		seen[spec.name] = true
 	}
 	return claims, layouts
 }
 
-// isDue reports whether a shard should be claimed now.
-func (m *Manager) isDue(t target, now time.Time) bool {
-	owner := m.view.Shards[t.name].Owner
-	if m.owned[t.name] != nil || owner != "" && owner != m.options.Daemon {
-		delete(m.ownerless, t.name)
+// shouldClaim reports whether this daemon should claim a shard now.
+func (m *Manager) shouldClaim(spec shardSpec, now time.Time) bool {
+	owner := m.view.Shards[spec.name].Owner
+	if m.owned[spec.name] != nil || owner != "" && owner != m.options.Daemon {
+		delete(m.ownerlessSince, spec.name)
 		return false
 	}
-	if m.claiming[t.name] {
+	if m.claiming[spec.name] {
 		return false
 	}
 	if owner != "" {
-		return true // the record is that of a former life of this daemon
+		return true // left behind by an earlier process of this daemon
 	}
-	since, ok := m.ownerless[t.name]
+	since, ok := m.ownerlessSince[spec.name]
 	if !ok {
-		m.ownerless[t.name] = now
+		m.ownerlessSince[spec.name] = now
 		since = now
 	}
-	return now.Sub(since) >= m.claimDelay(t)
+	return now.Sub(since) >= m.claimDelay(spec)
 }
 
-// claimDelay spreads the claims of several daemons: those that are near the
-// store, those of the shard's own failure domain, and those that own few
-// shards, go first.
-func (m *Manager) claimDelay(t target) time.Duration {
-	delay := time.Duration(len(m.owned))*ownedClaimDelay + distanceDelay*m.distance
-	if t.domain != "" && t.domain != m.options.Domain {
-		delay += afarClaimDelay
+// claimDelay returns how long the daemon leaves a shard to others. It is shorter
+// for daemons with a fast connection to the store, in the shard's failure domain,
+// and with few shards.
+func (m *Manager) claimDelay(spec shardSpec) time.Duration {
+	delay := time.Duration(len(m.owned))*ownedClaimDelay + latencyFactor*m.storeLatency
+	if spec.domain != "" && spec.domain != m.options.Domain {
+		delay += remoteClaimDelay
 	}
-	return delay + m.offset(t.name)
+	return delay + m.jitter(spec.name)
 }
 
-// distanceDelay times the distance of the store is how long a daemon waits
-// for one that is nearer.
-const distanceDelay = 10
+// latencyFactor is the part of the claim delay per store latency. It lets daemons
+// that are close to the store claim first.
+const latencyFactor = 10
 
-// offset differs by daemon.
-func (m *Manager) offset(name string) time.Duration {
-	return time.Duration(xxhash.Sum64String(name+m.options.Daemon) % uint64(claimSpread))
+// jitter returns a delay up to maxClaimJitter that differs between daemons.
+func (m *Manager) jitter(name string) time.Duration {
+	return time.Duration(xxhash.Sum64String(name+m.options.Daemon) % uint64(maxClaimJitter))
 }
 
-// claim becomes the owner of a shard and starts it.
-func (m *Manager) claim(ctx context.Context, t target) {
+// claim claims a shard, loads its jobs and starts it.
+func (m *Manager) claim(ctx context.Context, spec shardSpec) {
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.claiming, t.name)
-		delete(m.ownerless, t.name)
+		delete(m.claiming, spec.name)
+		delete(m.ownerlessSince, spec.name)
 	}()
-	limited, cancel := context.WithTimeout(ctx, loadTime)
+	limited, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	fence := fencer.New(t.name, m.options.Daemon, m.store)
-	owner, err := m.ownerWrite(limited, t.name)
+	fence := fencer.New(spec.name, m.options.Daemon, m.store)
+	owner, err := m.ownerWrite(limited, spec.name)
 	if err == nil {
 		err = fence.Claim(limited, owner)
 	}
 	if err != nil {
-		m.log.Info().Err(err).Str("shard", t.name).Msg("shard not claimed")
+		m.log.Info().Err(err).Str("shard", spec.name).Msg("shard claim failed")
 		return
 	}
-	m.log.Info().Str("shard", t.name).Int64("epoch", fence.Epoch).Int64("token", fence.Token).Msg("shard claimed")
+	m.log.Info().Str("shard", spec.name).Int64("epoch", fence.Epoch).Int64("token", fence.Token).Msg("shard claimed")
 	for limited.Err() == nil {
-		o, err := m.load(limited, t, fence)
+		o, err := m.loadShard(limited, spec, fence)
 		if err == nil {
-			m.adopt(ctx, o)
+			m.startShard(ctx, o)
 			return
 		}
 		if errors.Is(err, fencer.ErrFenced) {
-			m.log.Info().Str("shard", t.name).Msg("shard claimed by another before it was loaded")
+			m.log.Info().Str("shard", spec.name).Msg("shard claimed by another owner during load")
 			return
 		}
-		m.log.Warn().Err(err).Str("shard", t.name).Msg("shard's jobs not loaded")
-		waiter.Sleep(limited, renewRetry)
+		m.log.Warn().Err(err).Str("shard", spec.name).Msg("shard load failed")
+		waiter.Sleep(limited, retryDelay)
 	}
-	m.log.Warn().Str("shard", t.name).Msg("shard given up: its jobs were not loaded in time")
+	m.log.Warn().Str("shard", spec.name).Msg("shard abandoned after load timeout")
 	m.removeOwner(ctx, fence)
 }
 
+// ownerWrite returns the write of the owner record, attached to the lease.
 func (m *Manager) ownerWrite(ctx context.Context, shard string) (storer.Write, error) {
 	lease, err := m.lease.Acquire(ctx)
 	return storer.Write{
@@ -188,13 +192,13 @@
 	}, err
 }
 
-// load reads the jobs of a shard that was claimed.
-func (m *Manager) load(ctx context.Context, t target, fence *fencer.Fence) (*owned, error) {
-	items, revision, err := m.store.List(ctx, recorder.ShardPrefix(t.name))
+// loadShard reads the jobs and progress of a claimed shard.
+func (m *Manager) loadShard(ctx context.Context, spec shardSpec, fence *fencer.Fence) (*ownedShard, error) {
+	items, revision, err := m.store.List(ctx, recorder.ShardPrefix(spec.name))
 	if err != nil {
 		return nil, err
 	}
-	saved, _, err := m.store.List(ctx, recorder.ProgressPrefix(t.name))
+	saved, _, err := m.store.List(ctx, recorder.ProgressPrefix(spec.name))
 	if err != nil {
 		return nil, err
 	}
@@ -206,13 +210,13 @@
 		}
 		progress[item.Key] = p
 	}
-	o := newOwned(m, t, fence, revision)
-	o.first = append(o.first, dispatcher.CatalogUpdated{Catalog: m.Catalog()})
+	o := newOwnedShard(m, spec, fence, revision)
+	o.initialEvents = append(o.initialEvents, dispatcher.CatalogUpdated{Catalog: m.Catalog()})
 	for _, item := range items {
-		if o.isReplaced(item) {
+		if o.isOtherClaim(item) {
 			return nil, fencer.ErrFenced
 		}
-		if item.Key == recorder.ClaimKey(t.name) {
+		if item.Key == recorder.ClaimKey(spec.name) {
 			continue
 		}
 		event, err := o.decode(item)
@@ -220,17 +224,18 @@
 			return nil, err
 		}
 		if arrived, ok := event.(dispatcher.JobArrived); ok {
-			p, begun := progress[recorder.ProgressKey(t.name, arrived.Job.ID)]
-			event = dispatcher.JobLoaded{Job: arrived.Job, Progress: p, Begun: begun}
+			p, started := progress[recorder.ProgressKey(spec.name, arrived.Job.ID)]
+			event = dispatcher.JobLoaded{Job: arrived.Job, Progress: p, Begun: started}
 		}
-		o.first = append(o.first, event)
+		o.initialEvents = append(o.initialEvents, event)
 	}
-	// Cancellations come after the jobs they end.
-	slices.SortStableFunc(o.first, func(a, b dispatcher.Event) int { return rank(a) - rank(b) })
+	// Jobs go before their cancellations.
+	slices.SortStableFunc(o.initialEvents, func(a, b dispatcher.Event) int { return eventOrder(a) - eventOrder(b) })
 	return o, nil
 }
 
-func rank(event dispatcher.Event) int {
+// eventOrder ranks initial events; lower ones are applied first.
+func eventOrder(event dispatcher.Event) int {
 	switch event.(type) {
 	case dispatcher.CatalogUpdated:
 		return 0
@@ -240,89 +245,93 @@
 	return 1
 }
 
-// adopt starts an owned shard.
-func (m *Manager) adopt(ctx context.Context, o *owned) {
+// startShard starts an owned shard.
+func (m *Manager) startShard(ctx context.Context, o *ownedShard) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o.first = append(o.first, dispatcher.WorkersListed{Workers: o.workersOf(m.registered)})
-	m.owned[o.target.name] = o
-	m.tasks.Go(func() { o.run(ctx) })
+	o.initialEvents = append(o.initialEvents, dispatcher.WorkersListed{Workers: o.workersOf(m.registered)})
+	m.owned[o.spec.name] = o
+	m.background.Go(func() { o.run(ctx) })
 }
 
-// drop forgets a shard that is owned no longer.
-func (m *Manager) drop(o *owned, reason string) {
+// removeShard forgets a shard that isn't owned any more.
+func (m *Manager) removeShard(o *ownedShard, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.owned[o.target.name] != o {
+	if m.owned[o.spec.name] != o {
 		return
 	}
-	delete(m.owned, o.target.name)
-	m.metrics.lost.Inc(1)
-	m.log.Warn().Str("shard", o.target.name).Str("reason", reason).Msg("shard lost")
+	delete(m.owned, o.spec.name)
+	m.metrics.lostShards.Inc(1)
+	m.log.Warn().Str("shard", o.spec.name).Str("reason", reason).Msg("shard lost")
 }
 
-// renewed takes in that the store has renewed the lease.
-func (m *Manager) renewed() {
-	m.reached()
+// leaseRenewed confirms the ownership of all shards after a renewal of the lease.
+func (m *Manager) leaseRenewed() {
+	m.recordContact()
 	m.post(dispatcher.OwnershipChecked{Confirmed: true})
 }
 
-// leaseEnded writes the owner's records anew. A shard that another daemon has
-// claimed in the meantime is lost.
+// leaseEnded writes the owner records again with a new lease. A shard that
+// another daemon has claimed in the meantime is given up.
 func (m *Manager) leaseEnded(ctx context.Context) {
-	if m.leaving.Load() {
+	if m.shuttingDown.Load() {
 		return
 	}
-	m.log.Warn().Msg("lease lost, ownership is confirmed anew")
+	m.log.Warn().Msg("lease lost, ownership confirmation started")
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, o := range m.owned {
-		m.tasks.Go(func() { m.renewOwner(ctx, o) })
+		m.background.Go(func() { m.renewOwner(ctx, o) })
 	}
 }
 
-func (m *Manager) renewOwner(ctx context.Context, o *owned) {
-	for ctx.Err() == nil && m.shard(o.target.name) == o {
-		limited, cancel := context.WithTimeout(ctx, loadTime)
-		owner, err := m.ownerWrite(limited, o.target.name)
+// renewOwner writes the owner record of a shard again until that succeeds or the
+// shard is lost.
+func (m *Manager) renewOwner(ctx context.Context, o *ownedShard) {
+	for ctx.Err() == nil && m.shard(o.spec.name) == o {
+		limited, cancel := context.WithTimeout(ctx, claimTimeout)
+		owner, err := m.ownerWrite(limited, o.spec.name)
 		if err == nil {
 			err = o.fence.RestoreOwner(limited, owner)
 		}
 		cancel()
 		switch {
 		case err == nil:
-			m.log.Info().Str("shard", o.target.name).Msg("ownership confirmed")
+			m.log.Info().Str("shard", o.spec.name).Msg("ownership confirmed")
 			o.post(dispatcher.OwnershipChecked{Confirmed: true})
 			return
 		case errors.Is(err, fencer.ErrFenced):
-			o.lose("another owner has claimed it")
+			o.giveUp("another owner has claimed the shard")
 			return
 		}
-		m.log.Warn().Err(err).Str("shard", o.target.name).Msg("ownership not confirmed")
-		waiter.Sleep(ctx, renewRetry)
+		m.log.Warn().Err(err).Str("shard", o.spec.name).Msg("ownership confirmation failed")
+		waiter.Sleep(ctx, retryDelay)
 	}
 }
 
-// removeOwner takes the record of an owner away that has not acted.
+// removeOwner removes the owner record of a shard that was claimed but not
+// started.
 func (m *Manager) removeOwner(ctx context.Context, fence *fencer.Fence) {
-	limited, cancel := context.WithTimeout(ctx, releaseTime)
+	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	m.noteRelease(fence, fence.Write(limited, fence.Workers, nil, []string{recorder.OwnerKey(fence.Shard)}))
+	m.logRelease(fence, fence.Write(limited, fence.Workers, nil, []string{recorder.OwnerKey(fence.Shard)}))
 }
 
-func (m *Manager) noteRelease(fence *fencer.Fence, err error) {
+// logRelease logs the outcome of a release.
+func (m *Manager) logRelease(fence *fencer.Fence, err error) {
 	if err != nil {
-		m.log.Warn().Err(err).Str("shard", fence.Shard).Msg("shard not released, its lease will lapse")
+		m.log.Warn().Err(err).Str("shard", fence.Shard).Msg("shard release failed")
 		return
 	}
 	m.log.Info().Str("shard", fence.Shard).Msg("shard released")
 }
 
-// workersOf returns the workers of the shard.
-func (o *owned) workersOf(list []specifier.Worker) []specifier.Worker {
+// workersOf returns the workers in list that belong to the shard.
+func (o *ownedShard) workersOf(list []specifier.Worker) []specifier.Worker {
 	var out []specifier.Worker
 	for i := range list {
-		if o.target.has(&list[i]) {
+		if o.spec.includes(&list[i]) {
 			out = append(out, list[i])
 		}
 	}
--- a/internal/job/manager/suspension.go
+++ b/internal/job/manager/suspension.go
@@ -6,28 +6,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspensionLimit is the shortest suspension of the host that is noticed.
+// suspensionLimit is the shortest suspension of the host that is detected.
 const suspensionLimit = 300 * time.Millisecond
 
-// suspension notices that the host was suspended: the steady clock does not
-// count that time, so leases seem to hold that have long lapsed.
+// suspension detects that the host was suspended. The monotonic clock doesn't
+// advance during a suspension, so expired leases may still look valid.
 type suspension struct {
-	offset time.Duration // of the boot time clock from the steady clock
-	known  bool
+	offset  time.Duration // boot time clock minus monotonic clock at the last call
+	isKnown bool
 }
 
-// hasPassed reports whether the host was suspended since the last call.
-func (s *suspension) hasPassed() bool {
+// occurred reports whether the host was suspended since the last call.
+func (s *suspension) occurred() bool {
 	offset, ok := bootOffset()
 	if !ok {
 		return false
 	}
-	before, known := s.offset, s.known
-	s.offset, s.known = offset, true
+	before, known := s.offset, s.isKnown
+	s.offset, s.isKnown = offset, true
 	return known && offset-before > suspensionLimit
 }
 
-// bootOffset is what the boot time clock is ahead of the steady clock.
+// bootOffset returns the boot time clock minus the monotonic clock.
 func bootOffset() (time.Duration, bool) {
 	var boot, steady unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -13,38 +13,38 @@
 	"dotterelcart.dev/dotterelcart/internal/state/waiter"
 )
 
-// View is what a daemon knows of all shards.
+// View is a daemon's knowledge of all shards.
 type View struct {
-	ReadAt  time.Time // when it was last read or confirmed; zero before the first time
+	ReadAt  time.Time // when it was last read or confirmed; zero if never
 	Shards  map[string]ShardView
-	Layouts map[string]recorder.Layout // by service
+	Layouts map[string]recorder.Layout // by service name
 }
 
-// ShardView is what a daemon knows of one shard.
+// ShardView is a daemon's knowledge of one shard.
 type ShardView struct {
-	Owner        string // daemon; empty without an owner
+	Owner        string // name of the owning daemon; empty without an owner
 	Load         recorder.Load
-	LoadReceived time.Time // when the load came
+	LoadReceived time.Time // when Load arrived
 }
 
-// followRetry is the longest time between tries to read a store that does not
-// answer.
-const followRetry = 800 * time.Millisecond
+// maxFollowRetry is the maximum delay between attempts to read the store.
+const maxFollowRetry = 800 * time.Millisecond
 
-// viewPause is the time between two reads of the view's changes.
-const viewPause = 250 * time.Millisecond
+// viewInterval is the delay between two reads of changes of the view, which
+// change often.
+const viewInterval = 250 * time.Millisecond
 
-// View returns a copy of what is known.
+// View returns a copy of the current view.
 func (m *Manager) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return View{ReadAt: m.view.ReadAt, Shards: maps.Clone(m.view.Shards), Layouts: maps.Clone(m.view.Layouts)}
 }
 
-// followView keeps the view until ctx ends.
+// followView keeps the view up to date until ctx ends.
 func (m *Manager) followView(ctx context.Context) {
-	f := follower{m: m, prefix: recorder.ViewPrefix, pause: viewPause}
-	f.run(ctx, func(items []storer.Item, whole bool) {
+	w := prefixWatcher{manager: m, prefix: recorder.ViewPrefix, pause: viewInterval}
+	w.run(ctx, func(items []storer.Item, whole bool) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		if whole {
@@ -52,7 +52,7 @@
 		}
 		m.view.ReadAt = time.Now()
 		for _, item := range items {
-			m.takeView(item)
+			m.updateView(item)
 		}
 	})
 }
@@ -61,8 +61,9 @@
 	return View{Shards: make(map[string]ShardView), Layouts: make(map[string]recorder.Layout)}
 }
 
-// takeView takes in one key. A record that can't be read changes nothing.
-func (m *Manager) takeView(item storer.Item) {
+// updateView applies one key to the view. A record that can't be decoded is
+// ignored.
+func (m *Manager) updateView(item storer.Item) {
 	kind, name := recorder.ParseViewKey(item.Key)
 	s := m.view.Shards[name]
 	var err error
@@ -89,36 +90,36 @@
 		return
 	}
 	if err != nil {
-		m.log.Warn().Err(err).Str("key", item.Key).Msg("record unreadable")
+		m.log.Warn().Err(err).Str("key", item.Key).Msg("record decoding failed")
 		return
 	}
 	m.view.Shards[name] = s
 }
 
-// follower reads a prefix and then its changes, until its context ends.
-type follower struct {
-	m      *Manager
-	prefix string
-	pause  time.Duration // after each read that had changes
-	listed bool          // the prefix has been read whole
-	after  int64         // revision read up to
+// prefixWatcher reads all keys below a prefix and then their changes.
+type prefixWatcher struct {
+	manager  *Manager
+	prefix   string
+	pause    time.Duration // delay after each read that had changes
+	isListed bool          // the prefix has been listed
+	revision int64         // changes up to this revision have been read
 }
 
-// run hands what was read to take: everything below the prefix after a list,
-// otherwise the changes.
-func (f *follower) run(ctx context.Context, take func(items []storer.Item, whole bool)) {
+// run passes what was read to handle until ctx ends: with whole, everything
+// below the prefix, otherwise the changes.
+func (w *prefixWatcher) run(ctx context.Context, handle func(items []storer.Item, whole bool)) {
 	failing := false
 	delays := backoff.NewExponentialBackOff()
-	delays.InitialInterval = renewRetry
-	delays.MaxInterval = followRetry
+	delays.InitialInterval = retryDelay
+	delays.MaxInterval = maxFollowRetry
 	for ctx.Err() == nil {
-		items, whole, err := f.read(ctx)
+		items, whole, err := w.read(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			if !failing {
-				f.m.log.Warn().Err(err).Str("prefix", f.prefix).Msg("store not followed")
+				w.manager.log.Warn().Err(err).Str("prefix", w.prefix).Msg("store watch failed")
 			}
 			failing = true
 			waiter.Sleep(ctx, delays.NextBackOff())
@@ -126,31 +127,33 @@
 		}
 		delays.Reset()
 		if failing {
-			f.m.log.Info().Str("prefix", f.prefix).Msg("store followed again")
+			w.manager.log.Info().Str("prefix", w.prefix).Msg("store watch recovered")
 		}
 		failing = false
-		f.m.reached()
-		take(items, whole)
-		if len(items) > 0 && f.pause > 0 {
-			waiter.Sleep(ctx, f.pause)
+		w.manager.recordContact()
+		handle(items, whole)
+		if len(items) > 0 && w.pause > 0 {
+			waiter.Sleep(ctx, w.pause)
 		}
 	}
 }
 
-func (f *follower) read(ctx context.Context) (items []storer.Item, whole bool, err error) {
-	limited, cancel := context.WithTimeout(ctx, watchTime+watchLimit)
+// read lists the prefix the first time and after a compaction of the store,
+// otherwise it waits for changes. whole tells which.
+func (w *prefixWatcher) read(ctx context.Context) (items []storer.Item, whole bool, err error) {
+	limited, cancel := context.WithTimeout(ctx, watchWait+watchMargin)
 	defer cancel()
-	if !f.listed {
-		items, f.after, err = f.m.store.List(limited, f.prefix)
-		f.listed = err == nil
+	if !w.isListed {
+		items, w.revision, err = w.manager.store.List(limited, w.prefix)
+		w.isListed = err == nil
 		return items, true, err
 	}
-	items, next, err := f.m.store.Watch(limited, f.prefix, f.after, watchTime)
+	items, next, err := w.manager.store.Watch(limited, w.prefix, w.revision, watchWait)
 	switch {
 	case errors.Is(err, storer.ErrCompacted):
-		f.listed = false
+		w.isListed = false
 	case err == nil:
-		f.after = max(f.after, next)
+		w.revision = max(w.revision, next)
 	}
 	return items, false, err
 }
