--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -12,14 +12,14 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// accepted is work that was accepted here and that no load summary shows yet.
-type accepted struct {
-	at   time.Time
-	work admitter.Work
+// recentWork is work accepted on this host that no load summary contains yet.
+type recentWork struct {
+	acceptedAt time.Time
+	work       admitter.Work
 }
 
-// checkSizes reports a step whose tasks are larger than any worker, as far as
-// the workers are known.
+// checkSizes returns a *specifier.FieldError for a step whose tasks fit on no
+// worker of the queue's service. It returns nil if no workers are known.
 func (r *Receiver) checkSizes(queue specifier.Queue, job *specifier.Job) error {
 	var largest describer.Resources
 	for _, s := range r.shards.View().Shards {
@@ -44,31 +44,33 @@
 	return nil
 }
 
-// admit decides by what is known of the shards.
+// admit decides whether to accept a job and in which shard, based on the load
+// summaries of the shards.
 func (r *Receiver) admit(queue specifier.Queue, job *specifier.Job) admitter.Decision {
-	work := workOf(queue, job)
+	work := estimateWork(queue, job)
 	view := r.shards.View()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var shards []admitter.Shard
 	for name, s := range view.Shards {
-		if s.Load.Service == queue.Service && time.Since(s.LoadReceived) < staleView {
-			shards = append(shards, r.shard(name, s, queue, job))
+		if s.Load.Service == queue.Service && time.Since(s.LoadReceived) < maxLoadAge {
+			shards = append(shards, r.admissionShard(name, s, queue, job))
 		}
 	}
 	slices.SortFunc(shards, func(a, b admitter.Shard) int { return cmp.Compare(a.Name, b.Name) })
 	return admitter.Decide(work, shards, r.options.Random)
 }
 
-// shard is the load of one shard, with what was accepted here since.
-func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
+// admissionShard returns a shard's load summary plus the work that this host has
+// accepted for the shard since.
+func (r *Receiver) admissionShard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
 		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
 		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
-		out.RoundTrip = afarDistance
+		out.RoundTrip = remoteDistance
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
@@ -80,9 +82,9 @@
 			out.FillerBacklog += b.FillerWork
 		}
 	}
-	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.LoadReceived) })
-	r.accepted[name] = recent
-	for _, a := range recent {
+	unseen := slices.DeleteFunc(r.recent[name], func(a recentWork) bool { return a.acceptedAt.Before(s.LoadReceived) })
+	r.recent[name] = unseen
+	for _, a := range unseen {
 		out.ReservedBacklog += a.work.ReservedWork
 		out.FillerBacklog += a.work.FillerWork
 		out.Free.CPU -= a.work.LongRunningCPU
@@ -91,14 +93,15 @@
 	return out
 }
 
-// note counts work that was accepted here until a load summary shows it.
-func (r *Receiver) note(shard string, work admitter.Work) {
+// addRecent adds accepted work to a shard until its next load summary.
+func (r *Receiver) addRecent(shard string, work admitter.Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.accepted[shard] = append(r.accepted[shard], accepted{time.Now(), work})
+	r.recent[shard] = append(r.recent[shard], recentWork{time.Now(), work})
 }
 
-func workOf(queue specifier.Queue, job *specifier.Job) admitter.Work {
+// estimateWork returns the work in a job and its completion target.
+func estimateWork(queue specifier.Queue, job *specifier.Job) admitter.Work {
 	w := admitter.Work{Chain: job.CriticalPath()}
 	w.Objective = time.Duration(float64(w.Chain)*queue.Slack) + queue.Completion
 	for _, step := range job.Steps {
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -1,13 +1,13 @@
-// Package receiver accepts jobs from callers and answers their questions, on
-// any entry host.
+// Package receiver accepts, cancels and looks up jobs for callers. It runs on
+// every entry host.
 //
 // # Model
 //
-// A job is accepted by one conditional write to the store, whoever owns its
-// shard; repeating a submission finds the job's index entry. A refusal means
-// that the job was not accepted and never will be by this call; when the
-// outcome of the write is not known, the answer says so, and the caller asks
-// again.
+// A job is accepted by one conditional write to the store, no matter which
+// daemon owns its shard. A repeated submission finds the job's index entry and
+// succeeds. A refusal means that this call did not and will not accept the job.
+// If the outcome of the write is unknown, the error says so and the caller has to
+// repeat the submission.
 //
 //	r := receiver.New(options, shards, store)
 //	if err := r.Submit(ctx, queue, job); err != nil { ... } // *classifier.Error
@@ -34,20 +34,20 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Times of the receiver.
+// Timeouts, delays and limits of the receiver.
 const (
-	firstRetry    = 40 * time.Millisecond   // between calls to a store that does not answer
-	lastRetry     = 500 * time.Millisecond  // the same, after several
-	unavailable   = time.Second             // Retry-After while the store does not answer
-	afarDistance  = 60 * time.Millisecond   // added for a shard of another failure domain
-	contactLimit  = 2500 * time.Millisecond // without an answer of the store, submissions are refused
-	staleView     = 10 * time.Second        // loads older than this say nothing
-	acceptTime    = 1200 * time.Millisecond // for the write that accepts a job, with its repetitions
-	attemptTime   = 600 * time.Millisecond  // for one of them
-	cancelRetries = 20
+	initialRetryDelay     = 40 * time.Millisecond   // first delay before a failed store call is repeated
+	maxRetryDelay         = 500 * time.Millisecond  // maximum delay before a failed store call is repeated
+	unavailableRetryAfter = time.Second             // Retry-After while the store doesn't answer
+	remoteDistance        = 60 * time.Millisecond   // penalty for a shard in another failure domain
+	maxContactAge         = 2500 * time.Millisecond // if the store's last answer is older, submissions are refused
+	maxLoadAge            = 10 * time.Second        // older load summaries are ignored
+	acceptTimeout         = 1200 * time.Millisecond // limit for the write that accepts a job, with all attempts
+	attemptTimeout        = 600 * time.Millisecond  // limit for one attempt
+	maxCancelAttempts     = 20
 )
 
-// Shards is what the receiver needs of the manager.
+// Shards is the part of the manager that the receiver uses.
 type Shards interface {
 	Catalog() *specifier.Catalog
 	View() manager.View
@@ -56,13 +56,13 @@
 	LastContact() time.Time // when the store last answered
 }
 
-// Store is the part of the store that the receiver uses.
+// Store is the part of the key-value store's client that the receiver uses.
 type Store interface {
 	storer.Committer
 	Get(ctx context.Context, key string) (storer.Item, error)
 }
 
-// Options are what a Receiver needs to know.
+// Options configure a Receiver.
 type Options struct {
 	Domain string // failure domain of this daemon
 	Random *rand.Rand
@@ -70,75 +70,75 @@
 	Log    zerolog.Logger
 }
 
-// Receiver accepts jobs. It is safe for concurrent use.
+// Receiver accepts, cancels and looks up jobs. It is safe for concurrent use.
 type Receiver struct {
 	options Options
 	log     zerolog.Logger
 	shards  Shards
 	store   Store
 
-	mu       sync.Mutex // guards accepted and options.Random
-	accepted map[string][]accepted
-	failed   time.Time // when the store last did not answer a write
+	mu          sync.Mutex              // guards recent, lastFailure and options.Random
+	recent      map[string][]recentWork // by shard name
+	lastFailure time.Time               // when a write to the store last failed
 }
 
-// newDelays are the delays between calls to a store that does not answer.
+// newDelays returns the delays between repeated calls to the store.
 func newDelays() *backoff.ExponentialBackOff {
 	d := backoff.NewExponentialBackOff()
-	d.InitialInterval = firstRetry
-	d.MaxInterval = lastRetry
+	d.InitialInterval = initialRetryDelay
+	d.MaxInterval = maxRetryDelay
 	return d
 }
 
-// New returns a receiver.
+// New returns a Receiver that uses the given manager and store.
 func New(o Options, shards Shards, store Store) *Receiver {
 	return &Receiver{
 		options: o, log: o.Log.With().Str("part", "receiver").Logger(),
-		shards: shards, store: store, accepted: make(map[string][]accepted),
+		shards: shards, store: store, recent: make(map[string][]recentWork),
 	}
 }
 
-// Submit accepts a job, or says why not. A job that was accepted before is
-// accepted again.
+// Submit accepts a job. It returns nil also if the job was accepted before,
+// otherwise a *classifier.Error that tells whether the job may have been accepted.
 func (r *Receiver) Submit(ctx context.Context, queue specifier.Queue, job specifier.Job) error {
 	if err := job.Validate(); err != nil {
-		return invalid(err)
+		return invalidJob(err)
 	}
 	if err := r.checkSizes(queue, &job); err != nil {
 		r.log.Info().Err(err).Str("job", job.ID).Msg("job refused")
-		return invalid(err)
+		return invalidJob(err)
 	}
 	job.Queue = queue.Name
 	job.Accepted = time.Now()
-	if !r.isStoreUp() {
-		r.count(queue.Name, "unreachable")
-		r.log.Info().Str("job", job.ID).Str("reason", "store not reached").
+	if !r.isStoreReachable() {
+		r.countSubmission(queue.Name, "unreachable")
+		r.log.Info().Str("job", job.ID).Str("reason", "store unreachable").
 			Dur("age", time.Since(r.shards.LastContact())).Msg("job refused")
-		return r.unreachable(&classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "not tried"})
+		return r.storeError(&classifier.Error{Verdict: classifier.NotRun, Code: "store", Message: "store not called"})
 	}
 	decision := r.admit(queue, &job)
 	if !decision.Accepted {
 		return r.refuse(ctx, &job, decision)
 	}
-	ctx, cancel := context.WithTimeout(ctx, acceptTime)
+	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
-	revision, err := r.accept(ctx, decision.Shard, &job)
+	revision, err := r.writeJob(ctx, decision.Shard, &job)
 	if err != nil {
-		r.count(queue.Name, "unknown")
-		r.log.Warn().Err(err).Str("job", job.ID).Msg("job not accepted: store")
+		r.countSubmission(queue.Name, "unknown")
+		r.log.Warn().Err(err).Str("job", job.ID).Msg("job acceptance failed")
 		return err
 	}
 	r.log.Info().Str("job", job.ID).Str("queue", queue.Name).Str("shard", decision.Shard).Bool("fresh", revision > 0).
 		Dur("age", decision.Age).Dur("predicted", decision.Predicted).Msg("job accepted")
-	r.count(queue.Name, "accepted")
+	r.countSubmission(queue.Name, "accepted")
 	if revision > 0 {
-		r.note(decision.Shard, workOf(queue, &job))
+		r.addRecent(decision.Shard, estimateWork(queue, &job))
 	}
 	return nil
 }
 
-// invalid is the answer to a fault of a submission.
-func invalid(err error) error {
+// invalidJob returns the error for a job that fails validation.
+func invalidJob(err error) error {
 	e := &classifier.Error{Verdict: classifier.NotRun, Status: http.StatusBadRequest, Code: "invalid", Message: err.Error()}
 	var field *specifier.FieldError
 	if errors.As(err, &field) {
@@ -147,36 +147,37 @@
 	return e
 }
 
-// isStoreUp reports whether the store has answered lately, and since it last
-// did not answer a write.
-func (r *Receiver) isStoreUp() bool {
+// isStoreReachable reports whether the store has answered recently, and after
+// the last failed write.
+func (r *Receiver) isStoreReachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	contact := r.shards.LastContact()
-	return contact.After(r.failed) && time.Since(contact) < contactLimit
+	return contact.After(r.lastFailure) && time.Since(contact) < maxContactAge
 }
 
-// noteFailure takes in that the store did not answer a write.
-func (r *Receiver) noteFailure() {
+// recordFailure records that a write to the store has failed.
+func (r *Receiver) recordFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed = time.Now()
+	r.lastFailure = time.Now()
 }
 
-// count adds to the submissions of a queue with this outcome.
-func (r *Receiver) count(queue, outcome string) {
+// countSubmission counts a submission to a queue by its outcome.
+func (r *Receiver) countSubmission(queue, outcome string) {
 	r.options.Scope.Tagged(map[string]string{"queue": queue, "outcome": outcome}).Counter("submissions").Inc(1)
 }
 
-// refuse turns a job away, unless it was accepted before.
+// refuse returns the error for a job that admission has refused, or nil if the
+// job was accepted before.
 func (r *Receiver) refuse(ctx context.Context, job *specifier.Job, d admitter.Decision) error {
 	if _, err := r.store.Get(ctx, recorder.IndexKey(job.ID)); !errors.Is(err, storer.ErrNotFound) {
 		if err == nil {
 			return nil
 		}
-		return r.unreachable(err)
+		return r.storeError(err)
 	}
-	r.count(job.Queue, "refused")
+	r.countSubmission(job.Queue, "refused")
 	r.log.Info().Str("job", job.ID).Str("queue", job.Queue).Str("reason", d.Reason).Str("shard", d.Shard).
 		Dur("age", d.Age).Dur("predicted", d.Predicted).Dur("retry", d.RetryAfter).Msg("job refused")
 	return &classifier.Error{
@@ -185,20 +186,22 @@
 	}
 }
 
-func (r *Receiver) unreachable(err error) error {
+// storeError returns the error for a failed call to the store.
+func (r *Receiver) storeError(err error) error {
 	verdict, status := classifier.VerdictOf(err), http.StatusServiceUnavailable
 	if verdict != classifier.NotRun {
 		status = http.StatusGatewayTimeout
 	}
 	return &classifier.Error{
 		Verdict: verdict, Status: status, Code: "store", Message: "the store does not answer",
-		RetryAfter: unavailable, Err: err,
+		RetryAfter: unavailableRetryAfter, Err: err,
 	}
 }
 
-// accept writes a job and returns the revision of the write, or 0 if the job
-// was there before.
-func (r *Receiver) accept(ctx context.Context, shard string, job *specifier.Job) (int64, error) {
+// writeJob writes an accepted job to the store and returns the revision of the
+// write, or 0 if the job existed already. It repeats writes with an unknown
+// outcome until ctx ends.
+func (r *Receiver) writeJob(ctx context.Context, shard string, job *specifier.Job) (int64, error) {
 	entry := recorder.IndexEntry{Shard: shard, Queue: job.Queue, State: specifier.Queued}
 	tx := storer.Transaction{
 		If: []storer.Condition{{Key: recorder.IndexKey(job.ID)}},
@@ -210,7 +213,7 @@
 	uncertain := false
 	delays := newDelays()
 	for {
-		limited, cancel := context.WithTimeout(ctx, attemptTime)
+		limited, cancel := context.WithTimeout(ctx, attemptTimeout)
 		revision, err := r.store.Commit(limited, tx)
 		cancel()
 		switch {
@@ -219,20 +222,20 @@
 		case errors.Is(err, storer.ErrConflict):
 			return 0, nil
 		}
-		r.noteFailure()
+		r.recordFailure()
 		uncertain = uncertain || classifier.VerdictOf(err) != classifier.NotRun
 		if !uncertain || !waiter.Sleep(ctx, delays.NextBackOff()) {
 			if uncertain {
-				err = &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no answer", Err: err}
+				err = &classifier.Error{Verdict: classifier.MayHaveRun, Code: "store", Message: "no answer from the store", Err: err}
 			}
-			return 0, r.unreachable(err)
+			return 0, r.storeError(err)
 		}
 	}
 }
 
-// State is a job's state as far as it is durable.
+// State returns the state of a job. Final states are durable.
 func (r *Receiver) State(ctx context.Context, id string) (specifier.State, error) {
-	entry, _, err := r.entry(ctx, id)
+	entry, _, err := r.indexEntry(ctx, id)
 	if err != nil {
 		return "", err
 	}
@@ -244,8 +247,8 @@
 	return entry.State, nil
 }
 
-// entry reads the index entry of a job and its revision.
-func (r *Receiver) entry(ctx context.Context, id string) (recorder.IndexEntry, int64, error) {
+// indexEntry reads the index entry of a job and its revision.
+func (r *Receiver) indexEntry(ctx context.Context, id string) (recorder.IndexEntry, int64, error) {
 	delays := newDelays()
 	item, err := r.store.Get(ctx, recorder.IndexKey(id))
 	for err != nil && !errors.Is(err, storer.ErrNotFound) && waiter.Sleep(ctx, delays.NextBackOff()) {
@@ -257,18 +260,18 @@
 		}
 	}
 	if err != nil {
-		return recorder.IndexEntry{}, 0, r.unreachable(err)
+		return recorder.IndexEntry{}, 0, r.storeError(err)
 	}
 	var entry recorder.IndexEntry
 	err = recorder.Decode(item.Value, &entry)
 	return entry, item.Revision, err
 }
 
-// Cancel accepts the cancellation of a job. One that has ended is left as it is.
+// Cancel accepts the cancellation of a job. A job that has ended isn't changed.
 func (r *Receiver) Cancel(ctx context.Context, id string) error {
 	delays := newDelays()
-	for range cancelRetries {
-		entry, revision, err := r.entry(ctx, id)
+	for range maxCancelAttempts {
+		entry, revision, err := r.indexEntry(ctx, id)
 		if err != nil {
 			return err
 		}
@@ -285,16 +288,17 @@
 			return nil
 		}
 		if !errors.Is(err, storer.ErrConflict) {
-			r.log.Warn().Err(err).Str("job", id).Msg("cancellation not accepted")
+			r.log.Warn().Err(err).Str("job", id).Msg("cancellation failed")
 			if !waiter.Sleep(ctx, delays.NextBackOff()) {
-				return r.unreachable(err)
+				return r.storeError(err)
 			}
 		}
 	}
-	return r.unreachable(errors.New("receiver: the job keeps changing"))
+	return r.storeError(errors.New("receiver: cancellation attempts exhausted"))
 }
 
-// Pending counts the queue's accepted jobs of which no task has started.
+// Pending returns the number of the queue's accepted jobs of which no task has
+// started, according to the load summaries.
 func (r *Receiver) Pending(queue string) int {
 	total := 0
 	for _, s := range r.shards.View().Shards {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -22,59 +22,63 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// shards is a manager with one shard of a given load.
-type shards struct {
-	load      recorder.Load
-	contact   func() time.Time
-	cancelled []string
+// fakeShards is a manager with one shard of a given load.
+type fakeShards struct {
+	load        recorder.Load
+	lastContact func() time.Time
+	cancelled   []string
 }
 
-func (s *shards) Catalog() *specifier.Catalog { return &specifier.Catalog{Version: 1} }
+func (s *fakeShards) Catalog() *specifier.Catalog { return &specifier.Catalog{Version: 1} }
 
-func (s *shards) View() manager.View {
+func (s *fakeShards) View() manager.View {
 	return manager.View{Shards: map[string]manager.ShardView{"desk": {Owner: "x", Load: s.load, LoadReceived: time.Now()}}}
 }
 
-func (s *shards) Cancelled(_, id string)                          { s.cancelled = append(s.cancelled, id) }
-func (s *shards) JobState(string, string) (specifier.State, bool) { return "", false }
-func (s *shards) LastContact() time.Time                          { return s.contact() }
+func (s *fakeShards) Cancelled(_, id string)                          { s.cancelled = append(s.cancelled, id) }
+func (s *fakeShards) JobState(string, string) (specifier.State, bool) { return "", false }
+func (s *fakeShards) LastContact() time.Time                          { return s.lastContact() }
 
 var queue = specifier.Queue{Name: "menus", Service: "desk", Slack: 2, Completion: time.Second}
 
+// testJob returns a job of 2 core-seconds in two tasks of 1 s.
 func testJob() specifier.Job {
 	return specifier.Job{ID: "5c0e7a21d94b36f8", Steps: []specifier.Step{
 		{Count: 2, Needs: describer.Resources{CPU: 1000}, Estimate: time.Second},
 	}}
 }
 
-func idle() recorder.Load {
+// idleLoad is the load summary of a shard without work.
+func idleLoad() recorder.Load {
 	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, UnusedCPU: 64000}
 }
 
-func full() recorder.Load {
+// fullLoad is the load summary of a shard with 1,000 s of waiting work.
+func fullLoad() recorder.Load {
 	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{ReservedWork: 1_000_000}}}
 }
 
-func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *shards, store *faker.Client)) {
+func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &shards{load: idle(), contact: time.Now}
+		s := &fakeShards{load: idleLoad(), lastContact: time.Now}
 		store := faker.New().Client("a")
 		r := New(Options{Random: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope, Log: zerolog.Nop()}, s, store)
 		spec(NewWithT(t), r, s, store)
 	})
 }
 
-func failure(g Gomega, err error) *classifier.Error {
+// asError returns err as a *classifier.Error.
+func asError(g Gomega, err error) *classifier.Error {
 	var e *classifier.Error
 	g.Expect(errors.As(err, &e)).To(BeTrue())
 	return e
 }
 
 func TestRefusalAtOverload(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
-		s.load = full()
-		e := failure(g, r.Submit(context.Background(), queue, testJob()))
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client) {
+		s.load = fullLoad()
+		e := asError(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
 		g.Expect(e.Status).To(Equal(http.StatusTooManyRequests))
 		g.Expect(e.RetryAfter).To(BeNumerically(">", 0))
@@ -84,24 +88,24 @@
 }
 
 func TestSizesThatNoWorkerHas(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, _ *faker.Client) {
 		s.load.MaxCapacity = describer.Resources{CPU: 900, Memory: 100}
-		e := failure(g, r.Submit(context.Background(), queue, testJob()))
+		e := asError(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusBadRequest))
 		g.Expect(e.Field).To(Equal("steps[0].needs"))
 	})
 }
 
 func TestRepeatAtOverloadIsAcceptedAgain(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, _ *faker.Client) {
 		g.Expect(r.Submit(context.Background(), queue, testJob())).To(Succeed())
-		s.load = full()
+		s.load = fullLoad()
 		g.Expect(r.Submit(context.Background(), queue, testJob())).To(Succeed())
 	})
 }
 
 func TestWorkAcceptedSinceTheSummaryCounts(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, _ *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, _ *faker.Client) {
 		s.load.Free.CPU, s.load.FiniteCPU = 0, 2000
 		accepted := 0
 		for n := range 40 {
@@ -111,13 +115,13 @@
 				accepted++
 			}
 		}
-		// Two millicore-seconds of work a second, and an objective of 3 s.
+		// The shard does 2 core-seconds of work a second; the completion target is 3 s.
 		g.Expect(accepted).To(BeNumerically("<", 10))
 	})
 }
 
 func TestUnknownOutcomeIsSaid(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, _ *fakeShards, store *faker.Client) {
 		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" {
 				return faker.Drop
@@ -125,15 +129,15 @@
 			return faker.Succeed
 		})
 		began := time.Now()
-		e := failure(g, r.Submit(context.Background(), queue, testJob()))
+		e := asError(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Verdict).To(Equal(classifier.MayHaveRun))
 		g.Expect(e.Status).To(Equal(http.StatusGatewayTimeout))
-		g.Expect(time.Since(began)).To(BeNumerically("<=", acceptTime+attemptTime))
+		g.Expect(time.Since(began)).To(BeNumerically("<=", acceptTimeout+attemptTimeout))
 	})
 }
 
 func TestLostAnswerIsNoSecondJob(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, _ *shards, store *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, _ *fakeShards, store *faker.Client) {
 		lost := false
 		store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "commit" && !lost {
@@ -148,10 +152,10 @@
 }
 
 func TestStoreAwayIsRefusedWithoutATry(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client) {
 		long := time.Now().Add(-time.Minute)
-		s.contact = func() time.Time { return long }
-		e := failure(g, r.Submit(context.Background(), queue, testJob()))
+		s.lastContact = func() time.Time { return long }
+		e := asError(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
 		g.Expect(store.CallCount("commit")).To(BeZero())
@@ -159,9 +163,9 @@
 }
 
 func TestCancellation(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client) {
 		ctx := context.Background()
-		g.Expect(failure(g, r.Cancel(ctx, testJob().ID)).Status).To(Equal(http.StatusGone))
+		g.Expect(asError(g, r.Cancel(ctx, testJob().ID)).Status).To(Equal(http.StatusGone))
 		g.Expect(r.Submit(ctx, queue, testJob())).To(Succeed())
 		g.Expect(r.Cancel(ctx, testJob().ID)).To(Succeed())
 		g.Expect(s.cancelled).To(Equal([]string{testJob().ID}))
@@ -171,7 +175,7 @@
 }
 
 func TestCancellationOfAnEndedJobChangesNothing(t *testing.T) {
-	inBubble(t, func(g Gomega, r *Receiver, s *shards, store *faker.Client) {
+	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client) {
 		ctx := context.Background()
 		entry := recorder.IndexEntry{Shard: "desk", Queue: "menus", State: specifier.Succeeded}
 		_, err := store.Commit(ctx, storer.Transaction{
