--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -66,9 +66,9 @@
 	return v.ticket, true
 }
 
-// seekAdvice requests tickets for workers that have room for the step's waiting
-// tasks but no valid ticket.
-func (p *placement) seekAdvice(st *step) {
+// requestAdvice requests tickets for workers that have room for the step's
+// waiting tasks but no valid ticket.
+func (p *placement) requestAdvice(st *step) {
 	s := p.s
 	if !st.job.queue.Advice.Needed || st.advice.asking || st.waiting == 0 || s.now.Before(st.advice.retryAt) {
 		return
@@ -82,8 +82,8 @@
 	s.emit(Log{Message: "advice requested", Job: st.job.spec.ID, Task: st.tasks[0].id().StepID()})
 }
 
-// adviceCandidates returns workers with room for the step and without a valid ticket,
-// at most maxAdviceWorkers: first those known to be allowed, then those that
+// adviceCandidates returns at most maxAdviceWorkers workers that have room for
+// the step but no valid ticket: first those known to be allowed, then those that
 // haven't been requested yet.
 func (p *placement) adviceCandidates(st *step) []specifier.Worker {
 	request := st.request()
--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -18,6 +18,8 @@
 	batch   int64
 }
 
+// newHarness returns a harness whose workers have answered a poll and are in the
+// durable worker list.
 func newHarness(queue specifier.Queue, workers ...string) *harness {
 	h := &harness{Shard: New(Options{
 		Name: "desk", Service: "desk", Lease: simLease, OutageLimit: simOutageLimit, PollWait: time.Second,
@@ -36,6 +38,7 @@
 	return h
 }
 
+// feed applies events and then confirms the commit that they caused.
 func (h *harness) feed(events ...Event) {
 	h.effects = append(h.effects, h.Reduce(h.now, events...)...)
 	for _, e := range h.effects {
@@ -47,6 +50,7 @@
 	}
 }
 
+// advance moves the clock, confirms the ownership and sends a tick.
 func (h *harness) advance(t time.Duration) {
 	h.now = h.now.Add(t)
 	h.feed(OwnershipChecked{Confirmed: true}, Tick{})
@@ -67,6 +71,8 @@
 	return out
 }
 
+// oneStep returns a job with one step of count tasks that need 1,000 millicores
+// for 1 s, with an optional change of the step.
 func oneStep(count int, change func(*specifier.Step)) specifier.Job {
 	step := specifier.Step{Count: count, Needs: resources(1000), Estimate: time.Second}
 	if change != nil {
--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -29,17 +29,17 @@
 		s.batchJobs = append(s.batchJobs, j)
 	}
 	s.dirtyJobs = slices.Delete(s.dirtyJobs, 0, n)
-	s.lastBatch++
+	s.batch++
 	s.committing = true
 	s.lastCommit = s.now
-	s.chooseBatchWorkers()
-	s.emit(Commit{Batch: s.lastBatch, Changes: changes, Workers: s.batchWorkers})
+	s.updateWorkerList()
+	s.emit(Commit{Batch: s.batch, Changes: changes, Workers: s.batchWorkers})
 }
 
 // batchCommitted handles the confirmation of a commit: jobs with a final state
 // are removed, and the ends that caused the changes may be acknowledged.
 func (s *Shard) batchCommitted(batch int64) {
-	if batch != s.lastBatch || !s.committing {
+	if batch != s.batch || !s.committing {
 		return
 	}
 	s.committing = false
@@ -62,10 +62,10 @@
 	}
 }
 
-// chooseBatchWorkers sets the worker list of the next commit. Runs are started
-// only on workers in the durable list, so that a new owner knows all workers
-// that may have runs.
-func (s *Shard) chooseBatchWorkers() {
+// updateWorkerList sets the worker list of the next commit. Runs are started only
+// on workers in the durable list, so that a new owner knows all workers that may
+// have runs.
+func (s *Shard) updateWorkerList() {
 	s.batchWorkers = s.workersToRecord()
 	s.hasUnrecorded = false
 	for _, w := range s.sortedWorkers {
@@ -97,8 +97,8 @@
 
 // mayHaveRuns reports whether the worker has runs or may get some.
 func (w *worker) mayHaveRuns() bool {
-	isSilent := w.failedPolls > 0 || !w.unregisteredAt.IsZero()
-	return len(w.runs) > 0 || len(w.pendingEnds) > 0 || !isSilent
+	isUnresponsive := w.failedPolls > 0 || !w.unregisteredAt.IsZero()
+	return len(w.runs) > 0 || len(w.pendingEnds) > 0 || !isUnresponsive
 }
 
 // WorkerLeases returns the workers that may have runs when the ownership ends
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -100,7 +100,7 @@
 	confirmedAt     time.Time            // when the store last confirmed the ownership
 	resigned        bool
 
-	lastBatch    int64
+	batch        int64
 	committing   bool     // a commit is in progress
 	batchJobs    []*job   // jobs in the last commit
 	batchWorkers []string // worker list in the last commit
@@ -265,6 +265,7 @@
 // watch, or a list read before the end, may still deliver their records.
 const endedRetention = 2 * time.Minute
 
+// forgetEnded forgets old ids of ended jobs and of early cancellations.
 func (s *Shard) forgetEnded() {
 	isOld := func(_ string, at time.Time) bool { return s.now.Sub(at) > endedRetention }
 	maps.DeleteFunc(s.endedAt, isOld)
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -24,7 +24,7 @@
 type JobLoaded struct {
 	Job      specifier.Job
 	Progress recorder.Progress
-	Begun    bool // a task of the job has started
+	Started  bool // a task of the job has started
 }
 
 // JobArrived delivers a newly accepted job. Known jobs are ignored.
@@ -43,7 +43,7 @@
 // Fault is the reason why a call to a worker had no confirmed effect.
 type Fault uint8
 
-// Faults of calls to workers. Their texts are values of a metric label.
+// Faults of calls to workers.
 const (
 	NoFault         Fault = iota
 	OutcomeUnknown        // no answer: the order may have taken effect, or still may
@@ -58,6 +58,7 @@
 	NotSent               // nothing reached the worker
 )
 
+// String returns the text of the fault in logs and metrics.
 func (f Fault) String() string {
 	return [...]string{
 		"none", "unknown", "fenced", "stale", "late", "no-room", "no-ticket", "invalid", "unhealthy", "reborn", "unsent",
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -7,7 +7,7 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-const workerCPU = 4000
+const workerCPU = 4000 // millicores
 
 // fakeWorker follows the worker protocol but starts every run that is ordered,
 // also beyond its capacity.
@@ -17,7 +17,7 @@
 	incarnation int64
 	token       int64
 	registered  bool
-	dead        bool
+	crashed     bool
 	draining    bool
 	stalled     bool // its runs make no progress
 	startedAt   time.Time
@@ -35,19 +35,20 @@
 	startedAt time.Time
 }
 
-func (m *fakeWorker) isUp() bool { return !m.dead }
+func (m *fakeWorker) isUp() bool { return !m.crashed }
 
 // restart begins a new incarnation without state.
 func (m *fakeWorker) restart() {
 	m.incarnation++
-	m.dead, m.token, m.lastEnd, m.pendingEnds = false, 0, 0, nil
+	m.crashed, m.token, m.lastEnd, m.pendingEnds = false, 0, 0, nil
 	m.startedAt = m.sim.now
 	m.runs = make(map[specifier.TaskID]*fakeRun)
 	m.lastRun = make(map[specifier.TaskID]int64)
 }
 
+// crash ends all runs without reporting their ends.
 func (m *fakeWorker) crash() {
-	m.dead = true
+	m.crashed = true
 	m.runs = make(map[specifier.TaskID]*fakeRun)
 }
 
@@ -63,6 +64,8 @@
 	return time.Duration(float64(m.sim.now.Sub(m.startedAt)) * 0.98)
 }
 
+// isFenced reports whether a token is lower than the highest so far, which it
+// updates.
 func (m *fakeWorker) isFenced(token int64) bool {
 	if token < m.token {
 		return true
@@ -120,7 +123,7 @@
 
 // finishRun ends a run after its run time.
 func (m *fakeWorker) finishRun(id specifier.TaskID, r *fakeRun) {
-	if m.dead || m.runs[id] != r || r.stopping {
+	if m.crashed || m.runs[id] != r || r.stopping {
 		return
 	}
 	if m.stalled {
@@ -134,6 +137,7 @@
 	m.endRun(id, outcome)
 }
 
+// endRun ends a run and lists the end until it is acknowledged.
 func (m *fakeWorker) endRun(id specifier.TaskID, outcome specifier.Outcome) {
 	r := m.runs[id]
 	delete(m.runs, id)
@@ -146,6 +150,7 @@
 	}
 }
 
+// stop ends a run after a random time, and refuses later starts of that run.
 func (m *fakeWorker) stop(token int64, id specifier.TaskID, number int64) Fault {
 	if m.isFenced(token) {
 		return Fenced
@@ -220,8 +225,8 @@
 	if !step.LongRunning && s.invariants.ackedFailures[e.Task] >= simAttempts {
 		s.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, s.invariants.ackedFailures[e.Task])
 	}
-	if told := s.store[e.Task.Job].cancelHeardAt; !told.IsZero() && s.now.Sub(told) > 13*time.Second {
-		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, m.id, s.now.Sub(told))
+	if cancelledAt := s.store[e.Task.Job].cancelHeardAt; !cancelledAt.IsZero() && s.now.Sub(cancelledAt) > 13*time.Second {
+		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, m.id, s.now.Sub(cancelledAt))
 	}
 	for _, other := range s.workers {
 		if r := other.runs[e.Task]; other != m && r != nil {
--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -21,10 +21,11 @@
 	sampleLoad            = 0.625 // the middle of a load band; workers don't report the load
 	sampleCount           = 100
 	maxExpectedRatio      = 0.85                    // a new filler may raise the latency ratio to this value
-	pausedLimit           = 1500 * time.Millisecond // a filler may be moved after it has been paused for this time
-	moveThreshold         = 0.4                     // a filler is moved to less than this fraction of the interference
+	pausedLimit           = 1500 * time.Millisecond // a filler that is paused for longer may be moved
+	moveThreshold         = 0.4                     // maximum ratio of the interference after a move to that before
 )
 
+// newInterferenceLearner returns a learner without observations.
 func newInterferenceLearner() *learner.Learner {
 	return learner.New(learner.Options{
 		Prior: interferencePrior, Deviation: interferenceDeviation, Noise: interferenceNoise, UpperSigmas: 1,
@@ -66,7 +67,10 @@
 
 const full = 100 // percent; full pace or complete progress
 
-func (r *run) isFiller() bool  { return r.task != nil && r.task.step.spec.Filler }
+// isFiller reports whether the run is one of a filler, whose CPU isn't reserved.
+func (r *run) isFiller() bool { return r.task != nil && r.task.step.spec.Filler }
+
+// isServing reports whether the run has a latency target.
 func (r *run) isServing() bool { return r.task != nil && r.task.step.spec.LatencyTarget > 0 }
 
 // imagePair identifies an estimate by the two images.
@@ -198,4 +202,5 @@
 // unknownPace is the pace of a run for which this owner has ordered none.
 const unknownPace = -1
 
+// percentText formats a fraction as a percentage.
 func percentText(share float64) string { return strconv.Itoa(int(share*full)) + " %" }
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -331,6 +331,7 @@
 	s.orderStop(r)
 }
 
+// orderStop sends a stop, also repeatedly.
 func (s *Shard) orderStop(r *run) {
 	r.orderedAt = s.now
 	s.emit(StopRun{Worker: r.worker.reg, Task: r.id, Run: r.number})
--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -129,7 +129,7 @@
 		return
 	}
 	j := s.newJob(e.Job)
-	j.started = e.Begun
+	j.started = e.Started
 	s.jobs[e.Job.ID] = j
 	for _, p := range e.Progress.Tasks {
 		t := j.task(specifier.TaskID{Occurrence: p.Occurrence, Step: p.Step, Index: p.Index})
@@ -335,7 +335,7 @@
 			if t.done || len(t.failed) > 0 || t.checkpoint != "" {
 				p.Tasks = append(p.Tasks, recorder.TaskProgress{
 					Occurrence: st.occurrence, Step: st.number, Index: t.index,
-					Done: t.done, Failed: t.failed, Checkpoint: t.checkpointIfOpen(),
+					Done: t.done, Failed: t.failed, Checkpoint: t.checkpointToStore(),
 				})
 			}
 		}
@@ -343,7 +343,8 @@
 	return p
 }
 
-func (t *task) checkpointIfOpen() string {
+// checkpointToStore returns the checkpoint, or "" if the task has completed.
+func (t *task) checkpointToStore() string {
 	if t.done {
 		return ""
 	}
--- a/internal/job/dispatcher/longrunning.go
+++ b/internal/job/dispatcher/longrunning.go
@@ -7,10 +7,18 @@
 
 // Limits of long-running tasks. Finite tasks are those that aren't long-running.
 const (
-	longRunningShare = 0.9             // fraction of all CPU that long-running tasks may reserve; the rest is for finite tasks
-	finiteMemory     = time.Minute     // the limit applies for this time after a finite task started, as bursts recur
-	deferralLimit    = 4 * time.Second // a deferred task may exceed the limit after this time; users notice longer gaps
-	minFreeSlots     = 2               // it may do so only if this many such tasks fit, so that room for others remains
+	// longRunningShare is the fraction of all CPU that long-running tasks may
+	// reserve. The rest is for finite tasks.
+	longRunningShare = 0.9
+	// finiteMemory is how long that limit applies after the last start of a finite
+	// task. Bursts of finite tasks tend to recur.
+	finiteMemory = time.Minute
+	// deferralLimit is how long a long-running task above the limit waits before
+	// it may exceed it. The task's users notice longer interruptions.
+	deferralLimit = 4 * time.Second
+	// minFreeSlots is how many such tasks must fit before one may exceed the limit,
+	// so that some room remains for other tasks.
+	minFreeSlots = 2
 )
 
 // longRunningLimit returns how much of capacity long-running tasks may reserve, both in
--- a/internal/job/dispatcher/longrunning_test.go
+++ b/internal/job/dispatcher/longrunning_test.go
@@ -10,9 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// TestLastingTasksLeaveRoom guards against long-running tasks that take all room from
-// short ones. A worker is lost under load: its long-running tasks would fill the
-// others, while short jobs keep arriving, twice as many as there is room for.
+// TestLastingTasksLeaveRoom guards against long-running tasks that take all room
+// from short ones. A worker is lost under load: its long-running tasks would fill
+// the others, while short jobs keep arriving, twice as many as fit.
 func TestLastingTasksLeaveRoom(t *testing.T) {
 	g := NewWithT(t)
 	s := newSimulation(t, 1, 5)
@@ -39,7 +39,7 @@
 		}
 	}
 	g.Expect(done).To(BeNumerically(">=", jobs*2/5), "short jobs that succeeded")
-	g.Expect(s.running(longRunning)).To(BeNumerically(">=", 14), "lasting tasks keep their share")
+	g.Expect(s.running(longRunning)).To(BeNumerically(">=", 14), "long-running tasks keep their share")
 
 	// After the short jobs have ended, the long-running tasks get all room back.
 	s.advance(30 * time.Second)
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -10,7 +10,7 @@
 
 // servingUsage is the fraction of its reserved CPU that a long-running task is
 // expected to use.
-const servingUsage = 0.5
+const longRunningUsage = 0.5
 
 // placement is one round of choosing workers for the waiting tasks.
 type placement struct {
@@ -40,7 +40,7 @@
 	}
 	p.rankSteps()
 	for _, st := range s.waitingSteps {
-		p.seekAdvice(st)
+		p.requestAdvice(st)
 		before := p.pinnedCPUOf(st)
 		switch {
 		case p.isDeferred(st):
@@ -91,8 +91,8 @@
 	return w
 }
 
-// longRunningWait is the target for how long a long-running task waits. It ranks
-// such tasks among other work of the same priority.
+// longRunningWait is the target for the waiting time of a long-running task, by
+// which it is ranked among other work of the same priority.
 const longRunningWait = time.Second
 
 // oldestWaitingSince returns when the step's longest waiting task began to wait.
@@ -156,7 +156,7 @@
 
 // candidate returns the worker's free and unused resources.
 func (w *worker) candidate() fitter.Candidate {
-	expected := w.allocated.reserved.CPU - w.allocated.longRunning + int64(servingUsage*float64(w.allocated.longRunning))
+	expected := w.allocated.reserved.CPU - w.allocated.longRunning + int64(longRunningUsage*float64(w.allocated.longRunning))
 	return fitter.Candidate{
 		Free:      w.reg.Capacity.Sub(w.allocated.reserved),
 		Capacity:  w.reg.Capacity,
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -30,6 +30,8 @@
 	})
 }
 
+// drawJob draws a job of up to three steps, each after the previous one unless
+// that is long-running.
 func drawJob(t *rapid.T, id string) specifier.Job {
 	job := specifier.Job{ID: id}
 	for i := range rapid.IntRange(1, 3).Draw(t, "steps of job") {
@@ -122,7 +124,7 @@
 	s.lostAnswerRate, s.lateCallRate, s.failureRate = 0, 0, 0
 	for _, m := range s.workers {
 		m.registered, m.stalled = true, false
-		if m.dead {
+		if m.crashed {
 			m.restart()
 		}
 	}
@@ -161,6 +163,7 @@
 	}
 }
 
+// checkDone checks that all tasks of a job have completed.
 func (s *simulation) checkDone(r *storedJob) {
 	for number, step := range r.job.Steps {
 		for i := range step.Count {
--- a/internal/job/dispatcher/world_test.go
+++ b/internal/job/dispatcher/simulation_test.go
@@ -21,6 +21,7 @@
 	simAttempts    = 2
 )
 
+// reporter is the part of testing.T and rapid.T that the simulation uses.
 type reporter interface {
 	Fatalf(format string, args ...any)
 }
@@ -67,12 +68,14 @@
 	ackedFailures map[specifier.TaskID]int  // number of acknowledged failures
 }
 
+// timelineEvent is something scheduled for a time; sequence breaks ties.
 type timelineEvent struct {
 	at       time.Time
 	sequence int
 	do       func()
 }
 
+// timeline is a heap of scheduled events.
 type timeline []timelineEvent
 
 func (l timeline) Len() int { return len(l) }
@@ -93,6 +96,7 @@
 	return e
 }
 
+// newSimulation returns a simulation with workers w0, w1 and so on, and an owner.
 func newSimulation(t reporter, seed uint64, workers int) *simulation {
 	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: epoch, store: make(map[string]*storedJob),
@@ -128,11 +132,13 @@
 	s.now = end
 }
 
+// logf adds a line to the history.
 func (s *simulation) logf(format string, args ...any) {
 	line := fmt.Sprintf("%8.3f ", s.now.Sub(epoch).Seconds()) + fmt.Sprintf(format, args...)
 	s.history = append(s.history, line)
 }
 
+// fail prints the end of the history and fails the test.
 func (s *simulation) fail(format string, args ...any) {
 	tail := s.history[max(0, len(s.history)-60):]
 	for _, line := range tail {
@@ -141,6 +147,7 @@
 	s.t.Fatalf(format, args...)
 }
 
+// delay returns a random network delay.
 func (s *simulation) delay() time.Duration {
 	return time.Duration(1+s.random.IntN(20)) * time.Millisecond
 }
@@ -174,7 +181,7 @@
 	ids := sortedKeys(s.store)
 	for _, id := range ids {
 		if r := s.store[id]; !r.state.IsFinal() {
-			events = append(events, JobLoaded{Job: r.job, Progress: r.progress, Begun: r.started})
+			events = append(events, JobLoaded{Job: r.job, Progress: r.progress, Started: r.started})
 		}
 	}
 	for _, id := range ids {
@@ -212,6 +219,7 @@
 	return out
 }
 
+// tick sends the regular events every 50 ms while the owner is alive.
 func (o *owner) tick() {
 	if !o.alive {
 		return
@@ -225,6 +233,7 @@
 	o.sim.schedule(50*time.Millisecond, o.tick)
 }
 
+// post delivers an event; a paused owner processes it when it resumes.
 func (o *owner) post(event Event) {
 	switch {
 	case !o.alive:
@@ -235,6 +244,7 @@
 	}
 }
 
+// resume ends a pause.
 func (o *owner) resume() {
 	if !o.alive {
 		return
@@ -364,6 +374,7 @@
 	s.schedule(time.Duration(s.random.IntN(4000))*time.Millisecond, func() { o.post(JobArrived{Job: job}) })
 }
 
+// cancel stores a cancellation and delivers it to the owner.
 func (s *simulation) cancel(id string) {
 	r := s.store[id]
 	if r == nil || r.state.IsFinal() {
--- a/internal/job/dispatcher/stall.go
+++ b/internal/job/dispatcher/stall.go
@@ -4,11 +4,11 @@
 
 // Limits for the detection of stalled runs.
 const (
-	minStallTime        = 2500 * time.Millisecond // minimum time without progress
-	stallPercentFactor  = 4                       // multiple of the average time for one percent so far
-	stallEstimateFactor = 0.1                     // fraction of the estimated run time, before the first percent
-	stalledRunsLimit    = 2                       // with this many stalled runs a worker is avoided
-	stallAvoidTime      = 4 * time.Second         // how long it is avoided
+	minStallTime         = 2500 * time.Millisecond // minimum time without progress
+	stallPercentFactor   = 4                       // multiple of the average time for one percent so far
+	stallEstimateFactor  = 0.1                     // fraction of the estimated run time, before the first percent
+	stalledRunsThreshold = 2                       // with this many stalled runs a worker is avoided
+	stallAvoidTime       = 4 * time.Second         // how long it is avoided
 )
 
 // isStalled reports whether a run makes no progress although it isn't throttled.
@@ -46,7 +46,7 @@
 			s.stopRun(r, "no progress")
 		}
 	}
-	if stalled >= stalledRunsLimit {
+	if stalled >= stalledRunsThreshold {
 		w.avoidUntil = s.now.Add(stallAvoidTime)
 		s.emit(Log{Message: "worker avoided after stalled runs", Worker: w.reg.ID, Age: stallAvoidTime})
 	}
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -43,7 +43,7 @@
 		Expect(starts[0].Run).To(Equal(int64(runsPerEpoch + 1)))
 	})
 
-	It("leaves a silent worker out of the worker list after its leases have expired", func() {
+	It("leaves an unresponsive worker out of the worker list after its leases have expired", func() {
 		h := newHarness(queue, "w1", "w2")
 		answers := func(id string) {
 			h.feed(PollAnswered{Worker: id, Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
@@ -73,7 +73,7 @@
 			PollAnswered{Worker: "w2", Sent: h.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: h.now.Sub(epoch)}})
 		Expect(effects).NotTo(ContainElement(BeAssignableToTypeOf(StartRun{})), "not in the durable worker list any more")
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(Commit{}), HaveField("Workers", []string{"w1", "w2"}))))
-		effects = h.Reduce(h.now, Committed{Batch: h.Shard.lastBatch})
+		effects = h.Reduce(h.now, Committed{Batch: h.Shard.batch})
 		Expect(effects).To(ContainElement(And(BeAssignableToTypeOf(StartRun{}), HaveField("Worker.ID", "w2"))))
 	})
 
@@ -179,7 +179,7 @@
 		Expect(takeEffects[StartRun](h)).To(HaveLen(1))
 	})
 
-	It("starts a silent worker's tasks elsewhere after its leases have expired", func() {
+	It("starts an unresponsive worker's tasks elsewhere after its leases have expired", func() {
 		h := newHarness(queue, "w1", "w2")
 		h.feed(JobArrived{Job: oneStep(1, nil)})
 		start := takeEffects[StartRun](h)[0]
@@ -199,7 +199,7 @@
 		Expect(again[0].Worker.ID).To(Equal(other))
 	})
 
-	It("starts a silent worker's tasks elsewhere only while the store confirms the ownership", func() {
+	It("starts an unresponsive worker's tasks elsewhere only while the store confirms the ownership", func() {
 		// Another owner may have reached the worker, processed the end of the run
 		// and acknowledged it.
 		h := newHarness(queue, "w1", "w2")
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -188,6 +188,7 @@
 	}
 }
 
+// decrement lowers a count by one and deletes it at zero.
 func decrement[K comparable](counts map[K]int, key K) {
 	counts[key]--
 	if counts[key] <= 0 {
@@ -238,6 +239,8 @@
 	return s.isOwnershipConfirmed() && !w.leaseExpiry.IsZero() && s.now.After(w.leaseExpiry)
 }
 
+// isOwnershipConfirmed reports whether the store's last confirmation is recent
+// enough that no other daemon can own the shard.
 func (s *Shard) isOwnershipConfirmed() bool { return s.now.Sub(s.confirmedAt) < confirmationTime }
 
 // confirmationTime is how long no other daemon can own the shard after the
@@ -322,6 +325,7 @@
 	return slices.SortedFunc(maps.Keys(m), compareTasks)
 }
 
+// compareTasks orders task ids by job, occurrence, step and index.
 func compareTasks(a, b specifier.TaskID) int {
 	switch {
 	case a.Job != b.Job:
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -124,7 +124,7 @@
 	storeLatency   time.Duration          // shortest duration of reading the registered workers
 	owned          map[string]*ownedShard // by name
 	claiming       map[string]bool        // names of shards with a claim in progress
-	adviceSlot     chan struct{}          // holds a value during a call to the adviser, which takes one call at a time
+	adviceSlot     chan struct{}          // semaphore: the adviser takes one call at a time
 	ownerlessSince map[string]time.Time   // when a shard was first seen without an owner, by name
 }
 
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -24,24 +24,25 @@
 
 // fleet simulates workers in virtual time.
 type fleet struct {
-	mu     sync.Mutex
-	start  time.Time
-	token  map[string]int64
-	active map[string]map[specifier.TaskID]specifier.Run
-	ended  map[string][]specifier.End
-	last   map[string]int64
-	starts map[specifier.TaskID]int
-	took   time.Duration    // run time of a task
-	cut    map[string]int64 // calls with a higher token don't reach the worker, by worker
-	ids    []string
-	domain map[string]string // by worker; "bne" by default
+	mu       sync.Mutex
+	start    time.Time
+	token    map[string]int64
+	active   map[string]map[specifier.TaskID]specifier.Run
+	ended    map[string][]specifier.End
+	lastEnd  map[string]int64
+	starts   map[specifier.TaskID]int
+	runTime  time.Duration    // run time of a task
+	maxToken map[string]int64 // calls with a higher token don't reach the worker, by worker
+	ids      []string
+	domain   map[string]string // by worker; "bne" by default
 }
 
+// newFleet returns workers of 4,000 millicores each without runs.
 func newFleet(ids ...string) *fleet {
 	f := &fleet{
 		start: time.Now(), token: make(map[string]int64), active: make(map[string]map[specifier.TaskID]specifier.Run),
-		ended: make(map[string][]specifier.End), last: make(map[string]int64), starts: make(map[specifier.TaskID]int),
-		took: 500 * time.Millisecond, ids: ids,
+		ended: make(map[string][]specifier.End), lastEnd: make(map[string]int64), starts: make(map[specifier.TaskID]int),
+		runTime: 500 * time.Millisecond, ids: ids,
 	}
 	for _, id := range ids {
 		f.active[id] = make(map[specifier.TaskID]specifier.Run)
@@ -63,16 +64,18 @@
 // ends.
 func (f *fleet) reaches(ctx context.Context, id string, token int64) bool {
 	f.mu.Lock()
-	limit, isCut := f.cut[id]
+	maxToken, isCut := f.maxToken[id]
 	f.mu.Unlock()
-	if isCut && token > limit {
+	if isCut && token > maxToken {
 		<-ctx.Done()
 		return false
 	}
 	return true
 }
 
-func (f *fleet) fenced(id string, token int64) bool {
+// isFenced reports whether a token is lower than the highest so far, which it
+// updates.
+func (f *fleet) isFenced(id string, token int64) bool {
 	if token < f.token[id] {
 		return true
 	}
@@ -87,36 +90,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := o.Worker.ID
-	if f.fenced(id, token) {
+	if f.isFenced(id, token) {
 		return dispatcher.Fenced
 	}
 	f.starts[o.Task]++
 	f.active[id][o.Task] = specifier.Run{Task: o.Task, Number: o.Run}
-	time.AfterFunc(f.took, func() {
+	time.AfterFunc(f.runTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.end(id, o.Task, specifier.OutcomeDone)
+		f.endRun(id, o.Task, specifier.OutcomeDone)
 	})
 	return dispatcher.NoFault
 }
 
-func (f *fleet) end(id string, task specifier.TaskID, outcome specifier.Outcome) {
+// endRun ends a run and lists the end until it is acknowledged.
+func (f *fleet) endRun(id string, task specifier.TaskID, outcome specifier.Outcome) {
 	r, ok := f.active[id][task]
 	if !ok {
 		return
 	}
 	delete(f.active[id], task)
-	f.last[id]++
-	f.ended[id] = append(f.ended[id], specifier.End{Number: f.last[id], Task: task, Run: r.Number, Outcome: outcome})
+	f.lastEnd[id]++
+	f.ended[id] = append(f.ended[id], specifier.End{Number: f.lastEnd[id], Task: task, Run: r.Number, Outcome: outcome})
 }
 
 func (f *fleet) Stop(_ context.Context, token int64, o dispatcher.StopRun) dispatcher.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fenced(o.Worker.ID, token) {
+	if f.isFenced(o.Worker.ID, token) {
 		return dispatcher.Fenced
 	}
-	f.end(o.Worker.ID, o.Task, specifier.OutcomeStopped)
+	f.endRun(o.Worker.ID, o.Task, specifier.OutcomeStopped)
 	return dispatcher.NoFault
 }
 
@@ -132,7 +136,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := o.Worker.ID
-	if f.fenced(id, token) {
+	if f.isFenced(id, token) {
 		return specifier.Inventory{}, dispatcher.Fenced
 	}
 	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Acknowledged {
@@ -157,6 +161,7 @@
 	store    *faker.Client
 }
 
+// newDaemon starts a manager in domain "bne" and its receiver.
 func newDaemon(name string, store *faker.Store, workers *fleet) *daemon {
 	client := store.Client(name)
 	m := manager.New(manager.Options{
@@ -170,6 +175,7 @@
 	}, m, client), client}
 }
 
+// job returns job n: a step of 3 tasks, then one of 2 tasks.
 func job(n int) specifier.Job {
 	return specifier.Job{ID: fmt.Sprintf("%016x", n), Steps: []specifier.Step{
 		{Count: 3, Needs: describer.Resources{CPU: 500}, Estimate: time.Second},
@@ -182,6 +188,7 @@
 	g.Expect(d.receiver.Submit(context.Background(), catalog.Queues[0], job(n))).To(Succeed())
 }
 
+// state returns the state of job n.
 func (d *daemon) state(g Gomega, n int) specifier.State {
 	state, err := d.receiver.State(context.Background(), job(n).ID)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -237,7 +244,7 @@
 func TestCancellationThroughTheOtherDaemon(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = time.Minute
+		f.runTime = time.Minute
 		owner.submit(g, 1)
 		time.Sleep(time.Second)
 		g.Expect(other.receiver.Cancel(context.Background(), job(1).ID)).To(Succeed())
@@ -254,7 +261,7 @@
 func TestOwnerCrashes(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = 3 * time.Second
+		f.runTime = 3 * time.Second
 		owner.submit(g, 1)
 		time.Sleep(time.Second)
 		owner.Close() // as a crash: its lease has to expire
@@ -305,7 +312,7 @@
 func TestOwnerCutOffFromTheStore(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = 2 * time.Second
+		f.runTime = 2 * time.Second
 		owner.submit(g, 1)
 		time.Sleep(100 * time.Millisecond)
 		owner.store.SetDown(true)
@@ -324,7 +331,7 @@
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
 		f.mu.Lock()
-		f.cut = map[string]int64{"w1": f.token["w1"]} // the new owner doesn't reach w1
+		f.maxToken = map[string]int64{"w1": f.token["w1"]} // the new owner doesn't reach w1
 		f.mu.Unlock()
 		owner.store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "renew" || c.Operation == "grant" {
--- a/internal/job/manager/metrics.go
+++ b/internal/job/manager/metrics.go
@@ -26,6 +26,7 @@
 	orders map[orderKey]tally.Counter // created on first use
 }
 
+// orderKey identifies a counter of orders.
 type orderKey struct {
 	order string
 	fault dispatcher.Fault
--- a/internal/job/manager/move_test.go
+++ b/internal/job/manager/move_test.go
@@ -15,21 +15,21 @@
 )
 
 // longRunningJob returns a job with one long-running task of 1,500 millicores.
-func lastingJob(n int) specifier.Job {
+func longRunningJob(n int) specifier.Job {
 	return specifier.Job{ID: job(n).ID, Queue: catalog.Queues[0].Name, Accepted: time.Now(), Steps: []specifier.Step{
 		{Count: 1, Needs: describer.Resources{CPU: 1500}, Estimate: time.Minute, LongRunning: true},
 	}}
 }
 
-// TestExcessIsHandedOn accepts four long-running jobs for a shard with room for two,
-// as happens when several hosts decide based on the same load summary. Two of
-// the jobs must move to the other shard.
+// TestExcessIsHandedOn accepts four long-running jobs for a shard with room for
+// two, as happens when several hosts decide based on the same load summary. Two
+// of the jobs must move to the other shard.
 func TestExcessIsHandedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		store, workers := faker.New(), newFleet("w1", "w2")
 		workers.domain = map[string]string{"w2": "gc"}
-		workers.took = time.Hour
+		workers.runTime = time.Hour
 		operator := store.Client("operator")
 		commit := func(puts ...storer.Write) {
 			_, err := operator.Commit(t.Context(), storer.Transaction{Put: puts})
@@ -42,7 +42,7 @@
 		time.Sleep(10 * time.Second) // until both shards are claimed
 		const jobs = 4
 		for n := range jobs {
-			record := lastingJob(n)
+			record := longRunningJob(n)
 			entry := recorder.IndexEntry{Shard: "desk@bne", Queue: record.Queue, State: specifier.Queued}
 			commit(storer.Write{Key: recorder.IndexKey(record.ID), Value: recorder.Encode(entry)},
 				storer.Write{Key: recorder.JobKey("desk@bne", record.ID), Value: recorder.Encode(record)})
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -37,6 +37,8 @@
 	state *dispatcher.Shard
 }
 
+// newOwnedShard returns a claimed shard that isn't started yet. revision is that
+// of the store when its jobs were read.
 func newOwnedShard(m *Manager, spec shardSpec, fence *fencer.Fence, revision int64) *ownedShard {
 	o := &ownedShard{
 		manager: m, spec: spec, fence: fence, revision: revision,
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -35,6 +35,7 @@
 	return shardSpec{name: service + "@" + domain, service: service, domain: domain}
 }
 
+// includes reports whether a worker belongs to the shard.
 func (s shardSpec) includes(w *specifier.Worker) bool {
 	return w.Service == s.service && (s.domain == "" || w.Domain == s.domain)
 }
@@ -225,7 +226,7 @@
 		}
 		if arrived, ok := event.(dispatcher.JobArrived); ok {
 			p, started := progress[recorder.ProgressKey(spec.name, arrived.Job.ID)]
-			event = dispatcher.JobLoaded{Job: arrived.Job, Progress: p, Begun: started}
+			event = dispatcher.JobLoaded{Job: arrived.Job, Progress: p, Started: started}
 		}
 		o.initialEvents = append(o.initialEvents, event)
 	}
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -44,10 +44,10 @@
 // followView keeps the view up to date until ctx ends.
 func (m *Manager) followView(ctx context.Context) {
 	w := prefixWatcher{manager: m, prefix: recorder.ViewPrefix, pause: viewInterval}
-	w.run(ctx, func(items []storer.Item, whole bool) {
+	w.run(ctx, func(items []storer.Item, complete bool) {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		if whole {
+		if complete {
 			m.view = newView()
 		}
 		m.view.ReadAt = time.Now()
@@ -105,15 +105,15 @@
 	revision int64         // changes up to this revision have been read
 }
 
-// run passes what was read to handle until ctx ends: with whole, everything
+// run passes what was read to handle until ctx ends: with complete, everything
 // below the prefix, otherwise the changes.
-func (w *prefixWatcher) run(ctx context.Context, handle func(items []storer.Item, whole bool)) {
+func (w *prefixWatcher) run(ctx context.Context, handle func(items []storer.Item, complete bool)) {
 	failing := false
 	delays := backoff.NewExponentialBackOff()
 	delays.InitialInterval = retryDelay
 	delays.MaxInterval = maxFollowRetry
 	for ctx.Err() == nil {
-		items, whole, err := w.read(ctx)
+		items, complete, err := w.read(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -131,7 +131,7 @@
 		}
 		failing = false
 		w.manager.recordContact()
-		handle(items, whole)
+		handle(items, complete)
 		if len(items) > 0 && w.pause > 0 {
 			waiter.Sleep(ctx, w.pause)
 		}
@@ -139,8 +139,8 @@
 }
 
 // read lists the prefix the first time and after a compaction of the store,
-// otherwise it waits for changes. whole tells which.
-func (w *prefixWatcher) read(ctx context.Context) (items []storer.Item, whole bool, err error) {
+// otherwise it waits for changes. complete tells which.
+func (w *prefixWatcher) read(ctx context.Context) (items []storer.Item, complete bool, err error) {
 	limited, cancel := context.WithTimeout(ctx, watchWait+watchMargin)
 	defer cancel()
 	if !w.isListed {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -58,6 +58,7 @@
 	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{ReservedWork: 1_000_000}}}
 }
 
+// inBubble runs a test in virtual time with a receiver, an idle shard and a store.
 func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -24,32 +24,32 @@
 	Queue        string        `json:"queue"`
 	Payload      string        `json:"payload,omitempty"` // passed to every task
 	Steps        []Step        `json:"steps"`
-	Repeat       int           `json:"repeat,omitempty"` // number of occurrences; 0 is one that starts at once
-	First        time.Time     `json:"first,omitzero"`   // when occurrence 0 is due
-	Every        time.Duration `json:"every,omitempty"`  // interval between due times
-	Accepted     time.Time     `json:"accepted,omitzero"`
-	FormerShards []string      `json:"former,omitempty"` // shards that the job was moved away from
+	Repeat       int           `json:"repeat,omitempty"`  // number of occurrences; 0 is one that starts at once
+	First        time.Time     `json:"first,omitzero"`    // when occurrence 0 is due
+	Every        time.Duration `json:"every,omitempty"`   // interval between due times
+	Accepted     time.Time     `json:"accepted,omitzero"` // when the job was accepted
+	FormerShards []string      `json:"former,omitempty"`  // shards that the job was moved away from
 }
 
 // Step is a number of identical tasks.
 type Step struct {
 	Count           int                 `json:"count"`
-	Needs           describer.Resources `json:"needs"` // resources for each task
-	Estimate        time.Duration       `json:"estimate,omitempty"`
-	After           []int               `json:"after,omitempty"` // indices of earlier steps that must have completed
-	Checkpoint      bool                `json:"checkpoint,omitempty"`
+	Needs           describer.Resources `json:"needs"`                // resources for each task
+	Estimate        time.Duration       `json:"estimate,omitempty"`   // expected run time of a task
+	After           []int               `json:"after,omitempty"`      // indices of earlier steps that must have completed
+	Checkpoint      bool                `json:"checkpoint,omitempty"` // the tasks write checkpoints and can resume from them
 	Gang            bool                `json:"gang,omitempty"`       // the tasks start together and complete together
 	TightlyCoupled  bool                `json:"tight,omitempty"`      // the tasks are slower on different racks
 	Label           string              `json:"label,omitempty"`      // label that the worker must have
 	PreferredRack   string              `json:"rack,omitempty"`       // rack of the data; tasks are slower elsewhere
 	MaxPerWorker    int                 `json:"spread,omitempty"`     // maximum number of its tasks on a worker; 0 is no limit
-	AllowDuplicates bool                `json:"duplicates,omitempty"` // several runs of a task may coexist; the first to complete counts
+	AllowDuplicates bool                `json:"duplicates,omitempty"` // a task may have several runs; the first to complete counts
 	LongRunning     bool                `json:"lasting,omitempty"`    // runs until the job is cancelled
 	Image           string              `json:"image,omitempty"`      // tasks of the same image have similar behaviour
 	LatencyTarget   time.Duration       `json:"target,omitempty"`     // target for the tail latency of the task's users; 0 is none
 	Filler          bool                `json:"filler,omitempty"`     // uses only CPU time that others leave idle
-	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that the scheduler may make unavailable at the same time, if Budgeted
-	Budgeted        bool                `json:"budgeted,omitempty"`   // MaxUnavailable applies
+	MaxUnavailable  int                 `json:"away,omitempty"`       // tasks that the scheduler may interrupt at the same time
+	Budgeted        bool                `json:"budgeted,omitempty"`   // whether MaxUnavailable applies
 }
 
 // State is the state of a job as callers see it. It is stored and sent.
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -55,10 +55,12 @@
 // Run is one execution of a task, as its worker lists it while it is active.
 type Run struct {
 	Task            TaskID
-	Number          int64   // increases with each run of the task
-	Checkpoint      string  // last checkpoint, empty without one
-	ProgressPercent int     // percentage of the work that is done; 100 for a long-running task that is ready
-	Metric          float64 // over the last half second: tail latency in ms of a task with a latency target, otherwise CPU usage in millicores
+	Number          int64  // increases with each run of the task
+	Checkpoint      string // last checkpoint, empty without one
+	ProgressPercent int    // percentage of the work that is done; 100 for a long-running task that is ready
+	// Metric covers the last half second: of a task with a latency target it is
+	// the tail latency in ms, of other tasks the CPU usage in millicores.
+	Metric float64
 }
 
 // End reports that a run has ended. Number increases within one incarnation of
