--- a/internal/job/dispatcher/commit.go
+++ b/internal/job/dispatcher/commit.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// updateWorkerList sets the worker list of the next commit. Runs are started only
-// on workers in the durable list, so that a new owner knows all workers that may
-// have runs.
+// updateWorkerList sets the worker list of the next commit. Runs are started
+// only on workers in the durable list, so that a new owner knows all workers
+// that may have runs.
 func (s *Shard) updateWorkerList() {
 	s.batchWorkers = s.workersToRecord()
 	s.hasUnrecorded = false
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -48,13 +48,13 @@
 	renewInterval    = time.Second            // maximum time between renewals of a worker's leases
 	pendingPollDelay = 60 * time.Millisecond  // delay between polls while ends of runs aren't durable yet
 	pollRetryDelay   = 250 * time.Millisecond // delay before a failed poll is repeated
-	commitInterval   = 40 * time.Millisecond
-	publishInterval  = 700 * time.Millisecond
-	paceInterval     = 500 * time.Millisecond
-	maxCommitJobs    = 7    // a job takes up to 4 entries of a transaction
-	runsPerEpoch     = 1000 // run numbers available to one ownership for each task
-	maxClockDrift    = 0.03 // fraction by which a worker's monotonic clock may run slow
-	expiryMargin     = 200 * time.Millisecond
+	commitInterval   = 40 * time.Millisecond  // minimum time between commits
+	publishInterval  = 700 * time.Millisecond // minimum time between load summaries
+	paceInterval     = 500 * time.Millisecond // minimum time between pace changes on a worker
+	maxCommitJobs    = 7                      // a job takes up to 4 entries of a transaction
+	runsPerEpoch     = 1000                   // run numbers available to one ownership for each task
+	maxClockDrift    = 0.03                   // fraction by which a worker's monotonic clock may run slow
+	expiryMargin     = 200 * time.Millisecond // added to the computed expiry of a lease
 )
 
 // Options configure a Shard.
@@ -67,7 +67,7 @@
 	Workers []string // ids of workers that may have runs of an earlier ownership
 
 	Released     bool                   // the previous owner shut down in order
-	WorkerLeases []recorder.WorkerLease // set if Released: replaces Workers
+	WorkerLeases []recorder.WorkerLease // replaces Workers if Released is set
 
 	Lease       time.Duration // granted to all runs on a worker with each poll
 	OutageLimit time.Duration // how long an owner keeps working without the store
@@ -79,10 +79,10 @@
 // concurrent use.
 type Shard struct {
 	options   Options
-	now       time.Time
-	claimedAt time.Time
+	now       time.Time // time of the last Reduce, never goes back
+	claimedAt time.Time // when the ownership began
 	catalog   *specifier.Catalog
-	effects   []Effect
+	effects   []Effect // of the current Reduce
 
 	jobs            map[string]*job
 	endedAt         map[string]time.Time // jobs whose end is durable, by id
@@ -100,14 +100,14 @@
 	confirmedAt     time.Time            // when the store last confirmed the ownership
 	resigned        bool
 
-	batch        int64
+	batch        int64    // number of the last commit
 	committing   bool     // a commit is in progress
 	batchJobs    []*job   // jobs in the last commit
 	batchWorkers []string // worker list in the last commit
 	lastCommit   time.Time
 	lastPublish  time.Time
-	dirtyJobs    []*job
-	placementDue bool // waiting work or free room has changed since the last placement
+	dirtyJobs    []*job // jobs with changes that aren't committed yet
+	placementDue bool   // waiting work or free room has changed since the last placement
 }
 
 // New returns the state of a shard that was claimed at now.
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -162,7 +162,7 @@
 
 // Commit writes changes to the store. The answer is Committed.
 type Commit struct {
-	Batch   int64
+	Batch   int64 // number of the commit, returned in Committed
 	Changes []Change
 	Workers []string // ids of workers that may have runs of this shard
 }
--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -10,16 +10,17 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Interference is how much a filler slows down a serving task. It is learnt for
-// pairs of images, as the growth of the logarithm of the tail latency.
+// Interference is how much a filler slows down the serving tasks on its worker.
+// It is learnt for pairs of images, as the increase of the logarithm of the
+// tail latency. A latency ratio is a tail latency divided by its target.
 const (
-	interferencePrior     = 1.0 // interference by an unknown image that uses a whole worker
-	interferenceDeviation = 3.0
-	interferenceNoise     = 0.5
-	interferenceHalfLife  = 60 * time.Second
-	maxLearnedImages      = 32
-	sampleLoad            = 0.625 // the middle of a load band; workers don't report the load
-	sampleCount           = 100
+	interferencePrior     = 1.0                     // interference by an unknown image that uses a whole worker
+	interferenceDeviation = 3.0                     // standard deviation of the prior
+	interferenceNoise     = 0.5                     // standard deviation of an observed log tail latency
+	interferenceHalfLife  = 60 * time.Second        // time in which observations lose half of their weight
+	maxLearnedImages      = 32                      // filler images with estimates of their own, for each serving image
+	sampleLoad            = 0.625                   // the middle of a load band; workers don't report the load
+	sampleCount           = 100                     // requests assumed for a sample; workers don't report them
 	maxExpectedRatio      = 0.85                    // a new filler may raise the latency ratio to this value
 	pausedLimit           = 1500 * time.Millisecond // a filler that is paused for longer may be moved
 	moveThreshold         = 0.4                     // maximum ratio of the interference after a move to that before
@@ -33,7 +34,7 @@
 	})
 }
 
-// learnInterference updates the interference estimates and the worker's tail
+// learnInterference updates the interference estimates and the worker's latency
 // ratio from the tail latencies in its last inventory.
 func (s *Shard) learnInterference(w *worker) {
 	shares := make(map[string]float64)
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -347,8 +347,8 @@
 }
 
 // evacuate stops runs on a draining worker so that their tasks start elsewhere:
-// long-running ones as soon as there is room, and checkpointing ones shortly before
-// the worker leaves.
+// long-running ones as soon as there is room, and checkpointing ones shortly
+// before the worker leaves.
 func (s *Shard) evacuate(w *worker) {
 	if !w.reg.Draining {
 		return
--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -20,11 +20,11 @@
 	objective      time.Time // when the job should have completed
 	graceEnd       time.Time // after it, completing the job has no value any more
 
-	final   specifier.State
-	version int64 // increases with each change of the durable state
-	sent    int64 // version in the last commit
-	durable int64 // highest version known to be durable
-	dirty   bool  // listed in Shard.dirtyJobs
+	final   specifier.State // final state, empty until the job ends
+	version int64           // increases with each change of the durable state
+	sent    int64           // version in the last commit
+	durable int64           // highest version known to be durable
+	dirty   bool            // listed in Shard.dirtyJobs
 }
 
 // step is one step of one occurrence of a job.
@@ -164,8 +164,9 @@
 	return nil
 }
 
-// openReadySteps queues the job's steps that have become ready and returns them. A
-// step is ready when it is due and the steps that it depends on have completed.
+// openReadySteps queues the job's steps that have become ready and returns
+// them. A step is ready when it is due and the steps that it depends on have
+// completed.
 func (s *Shard) openReadySteps(j *job) []*step {
 	var opened []*step
 	for i, st := range j.steps {
@@ -256,7 +257,8 @@
 	s.placementDue = true
 }
 
-// markAllRunsKnown records that no earlier owner can have started tasks of the step.
+// markAllRunsKnown records that no earlier owner can have started tasks of the
+// step.
 func (st *step) markAllRunsKnown() {
 	for _, t := range st.tasks {
 		t.allRunsKnown = true
--- a/internal/job/dispatcher/longrunning.go
+++ b/internal/job/dispatcher/longrunning.go
@@ -10,20 +10,20 @@
 	// longRunningShare is the fraction of all CPU that long-running tasks may
 	// reserve. The rest is for finite tasks.
 	longRunningShare = 0.9
-	// finiteMemory is how long that limit applies after the last start of a finite
-	// task. Bursts of finite tasks tend to recur.
+	// finiteMemory is how long that limit applies after the last start of a
+	// finite task. Bursts of finite tasks tend to recur.
 	finiteMemory = time.Minute
 	// deferralLimit is how long a long-running task above the limit waits before
 	// it may exceed it. The task's users notice longer interruptions.
 	deferralLimit = 4 * time.Second
-	// minFreeSlots is how many such tasks must fit before one may exceed the limit,
-	// so that some room remains for other tasks.
+	// minFreeSlots is how many such tasks must fit before one may exceed the
+	// limit, so that some room remains for other tasks.
 	minFreeSlots = 2
 )
 
-// longRunningLimit returns how much of capacity long-running tasks may reserve, both in
-// millicores. It is all of it if no finite task has started lately; a new owner
-// assumes that one has.
+// longRunningLimit returns how much of capacity long-running tasks may reserve,
+// both in millicores. It is all of it if no finite task has started lately; a
+// new owner assumes that one has.
 func (s *Shard) longRunningLimit(capacity int64) int64 {
 	last := s.claimedAt
 	if s.lastFiniteStart.After(last) {
@@ -36,9 +36,10 @@
 }
 
 // isDeferred reports whether the step's tasks must not start now, because its
-// job is being moved or because long-running tasks would exceed their limit. If the
-// service has several shards, only jobs that may still be moved are deferred:
-// the others can't run elsewhere.
+// job is being moved or because long-running tasks would exceed their limit. If
+// the service has several shards, the limit defers only jobs that may still be
+// moved: the others can't run elsewhere, and the shard doesn't know whether
+// another has room.
 func (p *placement) isDeferred(st *step) bool {
 	switch {
 	case st.job.moving:
@@ -51,8 +52,8 @@
 	return p.longRunningCPU+st.needs.longRunning > p.longRunningLimit
 }
 
-// mayExceedLimit reports whether long-running tasks of the step may start above the
-// limit: they have waited for deferralLimit and there is room for several.
+// mayExceedLimit reports whether long-running tasks of the step may start above
+// the limit: they have waited for deferralLimit and there is room for several.
 func (p *placement) mayExceedLimit(st *step) bool {
 	if !st.spec.LongRunning || p.longRunningCPU+st.needs.longRunning <= p.longRunningLimit {
 		return false
--- a/internal/job/dispatcher/longrunning_test.go
+++ b/internal/job/dispatcher/longrunning_test.go
@@ -10,9 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/job/specifier"
 )
 
-// TestLastingTasksLeaveRoom guards against long-running tasks that take all room
-// from short ones. A worker is lost under load: its long-running tasks would fill
-// the others, while short jobs keep arriving, twice as many as fit.
+// TestLastingTasksLeaveRoom guards against long-running tasks that take all
+// room from short ones. A worker is lost under load: its long-running tasks
+// would fill the others, while short jobs keep arriving, twice as many as fit.
 func TestLastingTasksLeaveRoom(t *testing.T) {
 	g := NewWithT(t)
 	s := newSimulation(t, 1, 5)
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -27,8 +27,8 @@
 // is a fenced write, and commits of ended tasks queue behind it.
 const maxConcurrentMoves = 16
 
-// moveExcess moves jobs with long-running tasks to other shards until the rest is
-// within the limit. Several hosts may have accepted such jobs for this shard
+// moveExcess moves jobs with long-running tasks to other shards until the rest
+// is within the limit. Several hosts may have accepted such jobs for this shard
 // based on the same load summary.
 func (s *Shard) moveExcess(l *recorder.Load) {
 	excess := l.LongRunningCPU - l.LongRunningLimit
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -84,7 +84,8 @@
 		w.GraceEnd = w.GraceEnd.Add(shift)
 	}
 	if st.spec.LongRunning {
-		// A long-running task has value for as long as it runs, however late it starts.
+		// A long-running task has value for as long as it runs, however late it
+		// starts.
 		w.NoDeadline = true
 		w.Objective = st.oldestWaitingSince().Add(longRunningWait)
 	}
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -136,8 +136,8 @@
 	s.cancelLongRunning()
 }
 
-// cancelLongRunning cancels the jobs with long-running tasks, which would never end, so
-// that there is room for all others.
+// cancelLongRunning cancels the jobs with long-running tasks, which would never
+// end, so that there is room for all others.
 func (s *simulation) cancelLongRunning() {
 	for _, id := range sortedKeys(s.store) {
 		if slices.ContainsFunc(s.store[id].job.Steps, func(s specifier.Step) bool { return s.LongRunning }) {
--- a/internal/job/dispatcher/simulation_test.go
+++ b/internal/job/dispatcher/simulation_test.go
@@ -96,7 +96,8 @@
 	return e
 }
 
-// newSimulation returns a simulation with workers w0, w1 and so on, and an owner.
+// newSimulation returns a simulation with workers w0, w1 and so on, and an
+// owner.
 func newSimulation(t reporter, seed uint64, workers int) *simulation {
 	s := &simulation{
 		t: t, random: rand.New(rand.NewPCG(seed, 1)), now: epoch, store: make(map[string]*storedJob),
--- a/internal/job/dispatcher/takeover_test.go
+++ b/internal/job/dispatcher/takeover_test.go
@@ -200,8 +200,8 @@
 	})
 
 	It("starts an unresponsive worker's tasks elsewhere only while the store confirms the ownership", func() {
-		// Another owner may have reached the worker, processed the end of the run
-		// and acknowledged it.
+		// Another owner may have reached the worker, processed the end of the
+		// run and acknowledged it.
 		h := newHarness(queue, "w1", "w2")
 		h.feed(JobArrived{Job: oneStep(1, nil)})
 		start := takeEffects[StartRun](h)[0]
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -11,10 +11,10 @@
 
 // worker is one incarnation of a registered worker.
 type worker struct {
-	reg       specifier.Worker
+	reg       specifier.Worker // current registration
 	rack      string
 	runs      map[specifier.TaskID]*run
-	allocated need
+	allocated need          // sum of the runs' needs
 	fillerCPU int64         // cached by expectedFillerCPU, millicores; unknownCPU if outdated
 	perStep   map[*step]int // number of runs, by step
 
@@ -29,9 +29,9 @@
 	polledClock time.Duration // the worker's monotonic clock in the last inventory
 	leaseExpiry time.Time     // when every lease granted here has expired for certain
 
-	lastEnd     int64 // highest processed number of an end
-	pendingEnds []pendingEnd
-	ackedEnd    int64 // changes by ends up to this number are durable
+	lastEnd     int64        // highest processed number of an end
+	pendingEnds []pendingEnd // processed ends that aren't acknowledged, by number
+	ackedEnd    int64        // changes by ends up to this number are durable
 
 	failuresInRow   int            // runs that failed in a row
 	avoidUntil      time.Time      // no runs are started before this time
@@ -310,8 +310,8 @@
 	s.emit(Resign{Worker: w.reg.ID})
 }
 
-// closeWatchRatio is the latency ratio above which a worker with fillers is polled
-// more often.
+// closeWatchRatio is the latency ratio above which a worker with fillers is
+// polled more often.
 const closeWatchRatio = 0.6
 
 // isUsable reports whether runs may be started on the worker.
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -38,22 +38,22 @@
 
 // Intervals, timeouts and sizes of the manager.
 const (
-	ownershipInterval = 100 * time.Millisecond
-	listInterval      = 700 * time.Millisecond // interval of reading the registered workers
-	callTimeout       = 1500 * time.Millisecond
+	ownershipInterval = 100 * time.Millisecond  // interval of checks for shards to claim
+	listInterval      = 700 * time.Millisecond  // interval of reading the registered workers
+	callTimeout       = 1500 * time.Millisecond // limit for a call to a worker, the store or the adviser
 	watchWait         = time.Second             // how long the store may hold a watch call without changes
 	watchMargin       = 800 * time.Millisecond  // time beyond watchWait after which a watch call fails
 	outageLimit       = 8 * time.Second         // see dispatcher.Options.OutageLimit
 	workerLease       = 6 * time.Second         // lease of the runs on a worker
 	pollWait          = 1500 * time.Millisecond // see dispatcher.Options.PollWait
 	claimTimeout      = 10 * time.Second        // limit for a claim and loading the jobs
-	releaseTimeout    = 2 * time.Second
-	retryDelay        = 200 * time.Millisecond
-	tickInterval      = 50 * time.Millisecond
+	releaseTimeout    = 2 * time.Second         // limit for writing the release of a shard
+	retryDelay        = 200 * time.Millisecond  // delay before a failed store call is repeated
+	tickInterval      = 50 * time.Millisecond   // interval of dispatcher.Tick
 	inboxSize         = 4096                    // events queued for a shard
 	remoteClaimDelay  = 1500 * time.Millisecond // additional delay for shards of other failure domains
 	ownedClaimDelay   = 500 * time.Millisecond  // additional delay for each shard that the daemon owns
-	maxClaimJitter    = 200 * time.Millisecond
+	maxClaimJitter    = 200 * time.Millisecond  // maximum delay by which daemons differ
 )
 
 // Store is the part of the key-value store's client that the manager uses.
@@ -118,8 +118,8 @@
 
 	mu             sync.Mutex
 	view           View
-	registered     []specifier.Worker
-	workersListed  bool
+	registered     []specifier.Worker     // workers of all services
+	workersListed  bool                   // registered has been read
 	lastGrowth     time.Time              // when the number of registered workers last increased
 	storeLatency   time.Duration          // shortest duration of reading the registered workers
 	owned          map[string]*ownedShard // by name
--- a/internal/job/manager/move.go
+++ b/internal/job/manager/move.go
@@ -51,8 +51,8 @@
 }
 
 // chooseShard chooses at random another shard of the service that has room for
-// the job's long-running tasks, or returns "". It adds the tasks to that shard's load
-// in the view until the next summary replaces it.
+// the job's long-running tasks, or returns "". It adds the tasks to that
+// shard's load in the view until the next summary replaces it.
 func (m *Manager) chooseShard(from shardSpec, e dispatcher.MoveJob) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -126,9 +126,9 @@
 	return now.Sub(since) >= m.claimDelay(spec)
 }
 
-// claimDelay returns how long the daemon leaves a shard to others. It is shorter
-// for daemons with a fast connection to the store, in the shard's failure domain,
-// and with few shards.
+// claimDelay returns how long the daemon leaves a shard to others. It is
+// shorter for daemons with a fast connection to the store, in the shard's
+// failure domain, and with few shards.
 func (m *Manager) claimDelay(spec shardSpec) time.Duration {
 	delay := time.Duration(len(m.owned))*ownedClaimDelay + latencyFactor*m.storeLatency
 	if spec.domain != "" && spec.domain != m.options.Domain {
@@ -137,8 +137,8 @@
 	return delay + m.jitter(spec.name)
 }
 
-// latencyFactor is the part of the claim delay per store latency. It lets daemons
-// that are close to the store claim first.
+// latencyFactor is the part of the claim delay per store latency. It lets
+// daemons that are close to the store claim first.
 const latencyFactor = 10
 
 // jitter returns a delay up to maxClaimJitter that differs between daemons.
@@ -267,7 +267,8 @@
 	m.log.Warn().Str("shard", o.spec.name).Str("reason", reason).Msg("shard lost")
 }
 
-// leaseRenewed confirms the ownership of all shards after a renewal of the lease.
+// leaseRenewed confirms the ownership of all shards after a renewal of the
+// lease.
 func (m *Manager) leaseRenewed() {
 	m.recordContact()
 	m.post(dispatcher.OwnershipChecked{Confirmed: true})
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -30,8 +30,7 @@
 // maxFollowRetry is the maximum delay between attempts to read the store.
 const maxFollowRetry = 800 * time.Millisecond
 
-// viewInterval is the delay between two reads of changes of the view, which
-// change often.
+// viewInterval is the delay between two reads of changes of the view.
 const viewInterval = 250 * time.Millisecond
 
 // View returns a copy of the current view.
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -6,8 +6,8 @@
 // A job is accepted by one conditional write to the store, no matter which
 // daemon owns its shard. A repeated submission finds the job's index entry and
 // succeeds. A refusal means that this call did not and will not accept the job.
-// If the outcome of the write is unknown, the error says so and the caller has to
-// repeat the submission.
+// If the outcome of the write is unknown, the error says so and the caller has
+// to repeat the submission.
 //
 //	r := receiver.New(options, shards, store)
 //	if err := r.Submit(ctx, queue, job); err != nil { ... } // *classifier.Error
@@ -44,7 +44,7 @@
 	maxLoadAge            = 10 * time.Second        // older load summaries are ignored
 	acceptTimeout         = 1200 * time.Millisecond // limit for the write that accepts a job, with all attempts
 	attemptTimeout        = 600 * time.Millisecond  // limit for one attempt
-	maxCancelAttempts     = 20
+	maxCancelAttempts     = 20                      // attempts to write a cancellation
 )
 
 // Shards is the part of the manager that the receiver uses.
@@ -99,7 +99,8 @@
 }
 
 // Submit accepts a job. It returns nil also if the job was accepted before,
-// otherwise a *classifier.Error that tells whether the job may have been accepted.
+// otherwise a *classifier.Error that tells whether the job may have been
+// accepted.
 func (r *Receiver) Submit(ctx context.Context, queue specifier.Queue, job specifier.Job) error {
 	if err := job.Validate(); err != nil {
 		return invalidJob(err)
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -58,7 +58,8 @@
 	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{ReservedWork: 1_000_000}}}
 }
 
-// inBubble runs a test in virtual time with a receiver, an idle shard and a store.
+// inBubble runs a test in virtual time with a receiver, an idle shard and a
+// store.
 func inBubble(t *testing.T, spec func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -116,7 +117,8 @@
 				accepted++
 			}
 		}
-		// The shard does 2 core-seconds of work a second; the completion target is 3 s.
+		// The shard does 2 core-seconds of work a second; the completion target
+		// is 3 s.
 		g.Expect(accepted).To(BeNumerically("<", 10))
 	})
 }
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -8,9 +8,9 @@
 // shard. The index entry makes a submission idempotent on every entry host; the
 // record is what the shard's owner watches. An owner writes progress and final
 // states in transactions that also replace the shard's [Fence]. Each is
-// conditional on the fence's revision after the owner's last write, so an earlier
-// owner can't write, and a write that is repeated after a lost answer takes
-// effect at most once.
+// conditional on the fence's revision after the owner's last write, so an
+// earlier owner can't write, and a write that is repeated after a lost answer
+// takes effect at most once.
 //
 //	index/ID              IndexEntry  shard and state of the job
 //	shard/NAME/job/ID     Job       until the job has ended
@@ -186,19 +186,19 @@
 type Load struct {
 	Service          string              `json:"service"`
 	Domain           string              `json:"domain,omitempty"` // failure domain of the shard; empty for all
-	MadeAt           time.Time           `json:"made"`
-	Workers          int                 `json:"workers"`
-	Capacity         describer.Resources `json:"capacity"`
-	Free             describer.Resources `json:"free"`
-	MaxCapacity      describer.Resources `json:"largest"` // maximum capacity of a worker, for each resource
-	FiniteCPU        int64               `json:"turning"` // CPU reserved by running finite tasks, millicores
-	LongRunningCPU   int64               `json:"lasting"` // CPU that long-running tasks reserve or wait for, millicores
-	LongRunningLimit int64               `json:"limit"`   // limit on the CPU that long-running tasks reserve, millicores
-	UnusedCPU        int64               `json:"unused"`  // idle CPU that fillers may use, millicores
-	FillerCPU        int64               `json:"fillers"` // CPU requested by running fillers, millicores
+	MadeAt           time.Time           `json:"made"`             // when the owner made the summary
+	Workers          int                 `json:"workers"`          // number of usable workers
+	Capacity         describer.Resources `json:"capacity"`         // total of the usable workers
+	Free             describer.Resources `json:"free"`             // part of Capacity that isn't reserved
+	MaxCapacity      describer.Resources `json:"largest"`          // maximum capacity of a worker, for each resource
+	FiniteCPU        int64               `json:"turning"`          // CPU reserved by running finite tasks, millicores
+	LongRunningCPU   int64               `json:"lasting"`          // CPU that long-running tasks reserve or wait for, millicores
+	LongRunningLimit int64               `json:"limit"`            // limit on the CPU that long-running tasks reserve, millicores
+	UnusedCPU        int64               `json:"unused"`           // idle CPU that fillers may use, millicores
+	FillerCPU        int64               `json:"fillers"`          // CPU requested by running fillers, millicores
 	Queues           []QueueLoad         `json:"queues,omitempty"`
 	Backlog          []Backlog           `json:"backlog,omitempty"`
-	Labels           []string            `json:"labels,omitempty"`
+	Labels           []string            `json:"labels,omitempty"` // labels of the usable workers
 }
 
 // QueueLoad is the number of a queue's pending jobs in a shard.
--- a/internal/job/specifier/doc.go
+++ b/internal/job/specifier/doc.go
@@ -10,9 +10,10 @@
 // executed by a [Run] on a worker; if that fails or is lost, by another one. A
 // [Worker] is one incarnation of a process that runs tasks of one service.
 //
-// A long-running task runs until its job is cancelled; all other tasks are finite. A
-// task with a latency target serves users and is called a serving task. A filler
-// is a task that reserves no CPU and uses what other tasks leave idle.
+// A long-running task runs until its job is cancelled; all other tasks are
+// finite. A task with a latency target serves users and is called a serving
+// task. A filler is a task that reserves no CPU and uses what other tasks leave
+// idle.
 //
 //	job := specifier.Job{ID: "5c0e7a21d94b36f8", Queue: "menus", Steps: steps}
 //	if err := job.Validate(); err != nil { ... } // a *FieldError
