--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -69,7 +69,7 @@
 // requestAdvice requests tickets for workers that have room for the step's
 // waiting tasks but no valid ticket.
 func (p *placement) requestAdvice(st *step) {
-	s := p.s
+	s := p.shard
 	if !st.job.queue.Advice.Needed || st.advice.asking || st.waiting == 0 || s.now.Before(st.advice.retryAt) {
 		return
 	}
@@ -90,7 +90,7 @@
 	var known, unknown []int
 	for i, w := range p.workers {
 		v, asked := st.advice.verdicts[w.reg.ID]
-		_, valid := st.ticketFor(w, p.s.now)
+		_, valid := st.ticketFor(w, p.shard.now)
 		switch {
 		case valid || asked && !v.allowed || !request.Fits(&p.candidates[i]) || !w.reg.HasLabel(st.spec.Label):
 		case asked:
--- a/internal/job/dispatcher/longrunning.go
+++ b/internal/job/dispatcher/longrunning.go
@@ -46,7 +46,7 @@
 		return true
 	case !st.spec.LongRunning || st.mayExceedLimit:
 		return false
-	case p.s.options.Domain != "":
+	case p.shard.options.Domain != "":
 		return p.isMovePending(st.job)
 	}
 	return p.longRunningCPU+st.needs.longRunning > p.longRunningLimit
@@ -59,7 +59,7 @@
 		return false
 	}
 	t := st.oldestWaiting()
-	return t != nil && p.s.now.Sub(t.waitingSince) >= deferralLimit && p.countSlots(st, t) >= minFreeSlots
+	return t != nil && p.shard.now.Sub(t.waitingSince) >= deferralLimit && p.countSlots(st, t) >= minFreeSlots
 }
 
 // countSlots returns how many tasks like t would fit now, at most minFreeSlots.
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -70,7 +70,7 @@
 // isMovePending reports whether the job has to wait because it may be moved:
 // its long-running tasks would exceed the limit and it has arrived recently.
 func (p *placement) isMovePending(j *job) bool {
-	return p.pinnedCPU+j.longRunningCPU() > p.longRunningLimit && j.isMovable() && p.s.now.Sub(j.arrivedAt) < moveWait
+	return p.pinnedCPU+j.longRunningCPU() > p.longRunningLimit && j.isMovable() && p.shard.now.Sub(j.arrivedAt) < moveWait
 }
 
 // moveWait is how long a movable job above the limit waits for a move. Other
@@ -90,7 +90,7 @@
 // pinnedCPUOf returns that of the step's job if the service has several
 // shards, between which jobs move, otherwise 0.
 func (p *placement) pinnedCPUOf(st *step) int64 {
-	if p.s.options.Domain == "" || !st.spec.LongRunning {
+	if p.shard.options.Domain == "" || !st.spec.LongRunning {
 		return 0
 	}
 	return st.job.pinnedCPU()
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -8,21 +8,21 @@
 	"dotterelcart.dev/dotterelcart/internal/control/ranker"
 )
 
-// servingUsage is the fraction of its reserved CPU that a long-running task is
+// longRunningUsage is the fraction of its reserved CPU that a long-running task is
 // expected to use.
 const longRunningUsage = 0.5
 
 // placement is one round of choosing workers for the waiting tasks.
 type placement struct {
-	s                *Shard
-	inheritedKnown   bool      // see isSettled
-	workers          []*worker // usable workers
-	candidates       []fitter.Candidate
-	reservations     int              // number of workers kept free for tasks that have waited long
-	largest          fitter.Candidate // maximum of each resource over all workers at the start of the round
-	longRunningCPU   int64            // CPU reserved by running long-running tasks, millicores
-	longRunningLimit int64            // see Shard.longRunningLimit
-	pinnedCPU        int64            // CPU for the long-running tasks of all jobs that can't be moved, millicores
+	shard            *Shard
+	inheritedKnown   bool               // see Shard.knowsInheritedRuns
+	workers          []*worker          // usable workers
+	candidates       []fitter.Candidate // free resources of each of workers
+	reservations     int                // number of workers kept free for tasks that have waited long
+	largest          fitter.Candidate   // maximum of each resource over all workers at the start of the round
+	longRunningCPU   int64              // CPU reserved by running long-running tasks, millicores
+	longRunningLimit int64              // see Shard.longRunningLimit
+	pinnedCPU        int64              // CPU for the long-running tasks of all jobs that can't be moved, millicores
 }
 
 // placeSteps starts waiting tasks, best-ranked steps first, where there is room.
@@ -55,7 +55,7 @@
 
 // rankSteps sorts the waiting steps.
 func (p *placement) rankSteps() {
-	s := p.s
+	s := p.shard
 	type ranked struct {
 		step *step
 		work ranker.Work
@@ -117,7 +117,7 @@
 
 // newPlacement returns a placement round over the workers that are usable now.
 func (s *Shard) newPlacement() *placement {
-	p := &placement{s: s, inheritedKnown: s.knowsInheritedRuns(), workers: make([]*worker, 0, len(s.sortedWorkers)), candidates: make([]fitter.Candidate, 0, len(s.sortedWorkers))}
+	p := &placement{shard: s, inheritedKnown: s.knowsInheritedRuns(), workers: make([]*worker, 0, len(s.sortedWorkers)), candidates: make([]fitter.Candidate, 0, len(s.sortedWorkers))}
 	capacity := int64(0)
 	for _, w := range s.sortedWorkers {
 		if !w.isUsable(s.now) {
@@ -198,7 +198,7 @@
 		if st.waiting == 0 {
 			return
 		}
-		if t.done || t.worker != nil || p.s.now.Before(t.notBefore) || !p.inheritedKnown && !t.allRunsKnown {
+		if t.done || t.worker != nil || p.shard.now.Before(t.notBefore) || !p.inheritedKnown && !t.allRunsKnown {
 			continue
 		}
 		i := p.chooseWorker(st, t, request)
@@ -211,7 +211,7 @@
 		}
 		p.candidates[i].Reserve(&request)
 		p.longRunningCPU += st.needs.longRunning
-		p.s.startRun(t, p.workers[i], t.nextRun(p.s.options.Epoch))
+		p.shard.startRun(t, p.workers[i], t.nextRun(p.shard.options.Epoch))
 		if p.isDeferred(st) {
 			return
 		}
@@ -227,12 +227,12 @@
 // reserveRoom keeps the free CPU of one worker for a task that has waited long.
 // Otherwise smaller tasks that rank lower would take any room that becomes free.
 func (p *placement) reserveRoom(st *step, t *task) {
-	if t == nil || st.spec.Filler || p.reservations >= maxReservations || p.s.now.Sub(t.waitingSince) < reservationDelay {
+	if t == nil || st.spec.Filler || p.reservations >= maxReservations || p.shard.now.Sub(t.waitingSince) < reservationDelay {
 		return
 	}
 	best := -1
 	for i, w := range p.workers {
-		finiteRoom := w.reg.Capacity.CPU - w.allocated.longRunning // CPU after all finite tasks have ended
+		finiteRoom := w.reg.Capacity.CPU - w.allocated.longRunning // free CPU once all finite tasks have ended
 		fits := st.needs.reserved.CPU <= finiteRoom && st.needs.reserved.Memory <= w.reg.Capacity.Memory
 		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.MaxPerWorker > 0 && w.perStep[st] >= st.spec.MaxPerWorker {
 			continue
@@ -254,7 +254,7 @@
 		p.candidates[i].SameImage, p.candidates[i].Interference = 0, 0
 		switch {
 		case st.spec.Filler:
-			p.candidates[i].Interference = p.s.interferenceOn(w, st.spec.Image, st.spec.Needs.CPU)
+			p.candidates[i].Interference = p.shard.interferenceOn(w, st.spec.Image, st.spec.Needs.CPU)
 		case st.spec.LatencyTarget > 0:
 			p.candidates[i].SameImage = w.shareOfServing(st.spec.Image)
 		}
@@ -278,7 +278,7 @@
 		return fitter.Choose(p.candidates, request, allowed)
 	}
 	i := fitter.Choose(p.candidates, request, func(i int) bool { return p.workers[i].reg.ID != t.lastFailedOn && allowed(i) })
-	if i < 0 && p.s.now.Sub(t.waitingSince) >= otherWorkerWait {
+	if i < 0 && p.shard.now.Sub(t.waitingSince) >= otherWorkerWait {
 		return fitter.Choose(p.candidates, request, allowed)
 	}
 	return i
@@ -294,7 +294,7 @@
 	if !st.job.queue.Advice.Needed {
 		return true
 	}
-	_, ok := st.ticketFor(w, p.s.now)
+	_, ok := st.ticketFor(w, p.shard.now)
 	return ok
 }
 
@@ -327,10 +327,10 @@
 	p.candidates = candidates
 	var number int64
 	for _, t := range st.tasks {
-		number = max(number, t.nextRun(p.s.options.Epoch))
+		number = max(number, t.nextRun(p.shard.options.Epoch))
 	}
 	for k, t := range st.tasks {
-		p.s.startRun(t, p.workers[chosen[k]], number)
+		p.shard.startRun(t, p.workers[chosen[k]], number)
 	}
 }
 
