--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -104,13 +104,13 @@
 			return
 		}
 		if t.stop == nil {
-			sh.stopRun(t, stopRequest{reason: "drained", checkpoint: true, drainedOff: w.name})
+			sh.stopRun(t, stopRequest{reason: "drained", checkpoint: true, drainedFrom: w.name})
 		}
 	}
 }
 
 // advanceRestore raises the limit on batch work of the worker step by step. It records
-// the end of the restore when the last step is done and no task that was drained off the
+// the end of the restore when the last step is done and no task that was drained from the
 // worker is pending, or when the worker has been missing for too long.
 func (sh *shard) advanceRestore(w *worker, d workerDrain) {
 	if sh.view.restored[w.name] == d.id {
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -129,7 +129,7 @@
 	Pending   int    `json:"pending"`
 	Started   int    `json:"started"`
 	Done      int    `json:"done"`    // tasks finished since this daemon claimed the shard
-	Evictions int64  `json:"evicted"` // runs evicted or drained off since this daemon claimed the shard
+	Evictions int64  `json:"evicted"` // runs evicted or drained since this daemon claimed the shard
 }
 
 // WorkerStatus describes one worker of an owned shard.
--- a/internal/control/reducer/failure.go
+++ b/internal/control/reducer/failure.go
@@ -10,7 +10,7 @@
 
 // Limits on failed runs.
 const (
-	// A task fails permanently after it failed on maxFailedWorkers distinct
+	// A task is abandoned after it failed on maxFailedWorkers distinct
 	// workers, or maxAttempts times on fewer workers.
 	maxFailedWorkers = 3
 	maxAttempts      = 8
@@ -34,7 +34,7 @@
 }
 
 // recordFailure records a failed run. Depending on earlier failures it quarantines
-// the worker, fails the task permanently or schedules a retry.
+// the worker, abandons the task or schedules a retry.
 func (sh *shard) recordFailure(t *task, w *worker, reason string) {
 	sh.appendRecord(describer.Record{
 		Kind:   describer.TaskFailed,
@@ -49,7 +49,7 @@
 		return
 	}
 	if sh.isOutOfAttempts(t) {
-		sh.failPermanently(t, fmt.Sprintf("failed %d times on %d workers: %s", t.attempts, len(t.failedOn), reason))
+		sh.abandon(t, fmt.Sprintf("failed %d times on %d workers: %s", t.attempts, len(t.failedOn), reason))
 		return
 	}
 	sh.dequeue(t)
@@ -128,9 +128,9 @@
 	}
 }
 
-// failIfUnplaceable fails the task permanently if it is larger than the capacity of
-// every worker of the shard. It waits until the capacity of all workers is known.
-func (sh *shard) failIfUnplaceable(t *task, want describer.Resources) {
+// abandonIfUnplaceable abandons the task if it is larger than the capacity of every
+// worker of the shard. It waits until the capacity of all workers is known.
+func (sh *shard) abandonIfUnplaceable(t *task, want describer.Resources) {
 	if len(sh.sortedWorkers) == 0 {
 		return
 	}
@@ -139,11 +139,11 @@
 			return
 		}
 	}
-	sh.failPermanently(t, "larger than every worker of its shard")
+	sh.abandon(t, "larger than every worker of its shard")
 }
 
-// failPermanently records that the pending task will not be tried again.
-func (sh *shard) failPermanently(t *task, reason string) {
+// abandon records that the pending task has failed and will not be tried again.
+func (sh *shard) abandon(t *task, reason string) {
 	sh.appendRecord(describer.Record{Kind: describer.TaskAbandoned, Task: t.id(), Reason: reason})
 	t.pendingReason = ""
 	t.job.lastBatch = sh.journal.nextBatch()
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -289,7 +289,7 @@
 	sh.epoch = e.Epoch
 	sh.view = newLedgerView()
 	sh.claimedAt = s.now
-	s.storeContactAt = s.now
+	s.lastStoreContact = s.now
 	sh.lastSequence = 0
 	sh.workers = make(map[string]*worker)
 	sh.fleet = &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -128,28 +128,28 @@
 // placementKey identifies tasks that are the same to the placement policy. If it refused
 // one of them in a pass, the others need not be tried.
 type placementKey struct {
-	want       describer.Resources
-	class      string
-	drainedOff string
+	want        describer.Resources
+	class       string
+	drainedFrom string
 }
 
 // tryStart records the start of the task if the placement policy finds a worker for it,
 // and otherwise why not. It reports whether the task was started.
 func (sh *shard) tryStart(t *task, refused map[placementKey]bool) bool {
 	want := sh.wantedGrant(t)
-	key := placementKey{want, t.job.Class, t.drainedOff}
+	key := placementKey{want, t.job.Class, t.drainedFrom}
 	if len(t.failedOn) == 0 && refused[key] {
 		return false
 	}
 	choice := sh.state.placer.Place(sh.fleet, sh.placementRequest(t), sh.state.now)
 	w := sh.workers[choice.Worker]
-	if w == nil || w.account.Closed || !want.Fits(roomFor(t, w.account)) {
+	if w == nil || w.account.Closed || !want.Fits(freeFor(t, w.account)) {
 		t.pendingReason = choice.Reason
 		if len(t.failedOn) == 0 {
 			refused[key] = true
 		}
-		sh.failIfUnplaceable(t, want)
-		sh.makeRoom(t)
+		sh.abandonIfUnplaceable(t, want)
+		sh.preempt(t)
 		return false
 	}
 	sh.recordStart(t, w, want)
@@ -162,7 +162,7 @@
 		Task:     t.id(),
 		Job:      t.job.Job,
 		Want:     sh.wantedGrant(t),
-		ReturnTo: t.drainedOff,
+		ReturnTo: t.drainedFrom,
 		Deadline: t.job.Deadline,
 	}
 	if sh.hasOtherWorkers(t.failedOn) {
--- a/internal/control/reducer/placement_test.go
+++ b/internal/control/reducer/placement_test.go
@@ -72,7 +72,7 @@
 		Expect(h.jobStatus("menu").Reason).To(Equal("team quota exhausted"))
 	})
 
-	It("fails a task that is larger than every worker, and says why", func() {
+	It("abandons a task that is larger than every worker, and says why", func() {
 		h := newHarness("w1")
 		job := testJob("huge", 1)
 		job.Declared.CPU = 1_000_000
@@ -152,7 +152,7 @@
 })
 
 var _ = Describe("failures", func() {
-	It("fail a task permanently after three workers", func() {
+	It("make a task be abandoned after three workers", func() {
 		h := newHarness("w1", "w2", "w3", "w4")
 		h.feed(SubmitRequested{Request: 1, Job: testJob("broken", 1)})
 		used := map[string]bool{}
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -147,10 +147,10 @@
 	}
 	switch a.Kind {
 	case escalator.Unthrottle:
-		sh.setCeiling(t, 0)
+		sh.setThrottledTo(t, 0)
 		sh.grow(t, a.CPU)
 	case escalator.Throttle:
-		sh.setCeiling(t, a.CPU)
+		sh.setThrottledTo(t, a.CPU)
 		sh.shrink(t, a.CPU)
 	case escalator.Move:
 		sh.stopRun(t, stopRequest{reason: reasonEvicted, checkpoint: true})
@@ -159,9 +159,9 @@
 	}
 }
 
-// setCeiling keeps a run that is throttled for the sake of a service from growing above
-// cpu millicores; 0 removes the ceiling.
-func (sh *shard) setCeiling(t *task, cpu int64) {
+// setThrottledTo keeps a run that is throttled for the sake of a service from growing
+// above cpu millicores; 0 removes the limit.
+func (sh *shard) setThrottledTo(t *task, cpu int64) {
 	w := sh.ensureWorker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
 		g.ThrottledTo = cpu
@@ -181,8 +181,8 @@
 // unlimited is larger than the capacity of any worker.
 var unlimited = describer.Resources{CPU: 1 << 40, Memory: 1 << 40, Accelerators: 1 << 20}
 
-// roomFor returns the largest grant that the task may get on the worker now.
-func roomFor(t *task, w *accountant.Worker) describer.Resources {
+// freeFor returns the largest grant that the task may get on the worker now.
+func freeFor(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
 		return w.FreeForBatch()
 	}
--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -78,20 +78,20 @@
 
 // State is the control state of one daemon. It is not safe for concurrent use.
 type State struct {
-	options        Options
-	policies       Policies
-	placer         placer.Policy
-	services       map[string]describer.Service // by name
-	timeline       learner.Timeline             // batch tasks on each worker over time
-	usage          placer.Usage                 // measured resource use by team and class of job
-	now            time.Time
-	config         describer.Configuration
-	hosts          []describer.Host
-	peers          []Peer
-	peersChangedAt time.Time // last change of the live peers, their domains or their leaving flags
-	storeReachable bool      // whether the last store call was answered
-	storeContactAt time.Time // last answer of the store
-	stopping       bool
+	options          Options
+	policies         Policies
+	placer           placer.Policy
+	services         map[string]describer.Service // by name
+	timeline         learner.Timeline             // batch tasks on each worker over time
+	usage            placer.Usage                 // measured resource use by team and class of job
+	now              time.Time
+	config           describer.Configuration
+	hosts            []describer.Host
+	peers            []Peer
+	peersChangedAt   time.Time // last change of the live peers, their domains or their leaving flags
+	storeReachable   bool      // whether the last store call was answered
+	lastStoreContact time.Time // last answer of the store
+	stopping         bool
 
 	shards        map[string]*shard      // shards of this failure domain by id
 	sortedShards  []*shard               // values of shards, sorted by id
@@ -156,7 +156,7 @@
 	case StoreChecked:
 		s.storeReachable = e.Reachable
 		if e.Reachable {
-			s.storeContactAt = s.now
+			s.lastStoreContact = s.now
 		}
 	case StopRequested:
 		s.beginStop()
@@ -193,7 +193,7 @@
 		}
 	case RecordsAppended:
 		if sh := s.ownedShard(e.Shard, e.Epoch); sh != nil {
-			s.storeContactAt = s.now
+			s.lastStoreContact = s.now
 			sh.handleAppended(e.Batch)
 		}
 	case WorkerSynced:
--- a/internal/control/reducer/reservation.go
+++ b/internal/control/reducer/reservation.go
@@ -19,14 +19,14 @@
 	until  time.Time
 }
 
-// makeRoom throttles or evicts batch tasks to free capacity for an urgent task, and
+// preempt throttles or evicts batch tasks to free capacity for an urgent task, and
 // reserves it. If that is not possible in time, it notes why the task is pending.
-func (sh *shard) makeRoom(t *task) {
+func (sh *shard) preempt(t *task) {
 	if t.job.Priority != describer.Urgent || sh.reservationIndex(t) >= 0 {
 		return
 	}
 	elapsed := sh.state.now.Sub(t.job.Accepted)
-	if t.ran {
+	if t.mayHaveRun {
 		elapsed = 0 // the time limit applies only to the first start
 	}
 	r := placer.Preempt(sh.fleet, sh.placementRequest(t), placer.Costs{}, sh.evictionBudget.Available(sh.state.now), elapsed)
@@ -62,19 +62,19 @@
 	for i := len(sh.reservations) - 1; i >= 0; i-- {
 		r := sh.reservations[i]
 		waiting := r.task.state == describer.Pending && r.task.queued
-		if waiting && !sh.isRoomFree(r) && sh.state.now.Before(r.until) && !r.worker.account.Closed {
+		if waiting && !sh.isFreed(r) && sh.state.now.Before(r.until) && !r.worker.account.Closed {
 			continue
 		}
 		sh.reservations = slices.Delete(sh.reservations, i, i+1)
 		r.worker.account.Reserved = r.worker.account.Reserved.Sub(r.want)
 		sh.placementIdle = false
-		if waiting && !r.worker.account.Closed && r.want.Fits(roomFor(r.task, r.worker.account)) {
+		if waiting && !r.worker.account.Closed && r.want.Fits(freeFor(r.task, r.worker.account)) {
 			sh.recordStart(r.task, r.worker, r.want)
 		}
 	}
 }
 
-// isRoomFree reports whether the reserved capacity is no longer granted to other tasks.
-func (sh *shard) isRoomFree(r reservation) bool {
+// isFreed reports whether the reserved capacity is no longer granted to other tasks.
+func (sh *shard) isFreed(r reservation) bool {
 	return r.want.Fits(r.worker.account.Free().Add(r.want))
 }
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -94,9 +94,9 @@
 
 // runEnd describes the end of a run without a result.
 type runEnd struct {
-	reason     string
-	checkpoint string // checkpoint to resume from; empty keeps the previous one
-	drainedOff string // worker that the run was drained off, or empty
+	reason      string
+	checkpoint  string // checkpoint to resume from; empty keeps the previous one
+	drainedFrom string // worker that the run was drained from, or empty
 }
 
 // recordReleased records that the task's run is known to be over. The task becomes
@@ -108,7 +108,7 @@
 		Token:       t.token,
 		Reason:      end.reason,
 		Checkpoint:  end.checkpoint,
-		DrainedFrom: end.drainedOff,
+		DrainedFrom: end.drainedFrom,
 	})
 }
 
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -11,10 +11,10 @@
 
 // stopRequest is the decision to stop a run.
 type stopRequest struct {
-	reason     string
-	checkpoint bool   // whether the run is to save a checkpoint
-	drainedOff string // worker that the run is drained off, or empty
-	sent       bool   // whether StopTask was emitted
+	reason      string
+	checkpoint  bool   // whether the run is to save a checkpoint
+	drainedFrom string // worker that the run is drained from, or empty
+	sent        bool   // whether StopTask was emitted
 }
 
 // stopRun calls the worker to stop the task's run. If the worker has not been called to
@@ -65,7 +65,7 @@
 	if !e.Stopped.Ran {
 		reason = reasonNotStarted
 	}
-	sh.recordReleased(t, runEnd{reason, e.Stopped.Checkpoint, t.stop.drainedOff})
+	sh.recordReleased(t, runEnd{reason, e.Stopped.Checkpoint, t.stop.drainedFrom})
 }
 
 // repeatStop repeats an unanswered stop, which is idempotent.
--- a/internal/control/reducer/store_test.go
+++ b/internal/control/reducer/store_test.go
@@ -20,11 +20,11 @@
 	startCommits    map[runner.Run]int              // number of the commit that recorded the start
 	checkpoints     map[describer.TaskID]string     // latest durable checkpoint
 	resumeFrom      map[runner.Run]string           // checkpoint that each run must resume from
-	lapsed          map[runner.Run]bool             // whether the run was released because its lease expired
+	leaseExpired    map[runner.Run]bool             // whether the run was released because its lease expired
 	finished        map[describer.TaskID]runner.Run // run whose result is durable
 	jobs            map[string]*describer.Job
 	cancelCommits   map[string]int                  // number of the commit that recorded the cancellation
-	failed          map[describer.TaskID]bool       // tasks that failed permanently
+	failed          map[describer.TaskID]bool       // abandoned tasks
 	restoreRecorded map[string]bool                 // drain id and worker name joined; restores recorded as complete
 	completed       map[describer.TaskID]runner.Run // run that a worker completed, durable or not
 	commits         int
@@ -63,7 +63,7 @@
 		startCommits:    make(map[runner.Run]int),
 		checkpoints:     make(map[describer.TaskID]string),
 		resumeFrom:      make(map[runner.Run]string),
-		lapsed:          make(map[runner.Run]bool),
+		leaseExpired:    make(map[runner.Run]bool),
 		finished:        make(map[describer.TaskID]runner.Run),
 		jobs:            make(map[string]*describer.Job),
 		cancelCommits:   make(map[string]int),
@@ -149,7 +149,7 @@
 		}
 		s.finished[r.Task] = run
 	case describer.TaskReleased:
-		s.lapsed[run] = r.Reason == "lease lapsed"
+		s.leaseExpired[run] = r.Reason == "lease lapsed"
 		if r.Checkpoint != "" {
 			s.checkpoints[r.Task] = r.Checkpoint
 		}
@@ -209,7 +209,7 @@
 	if c := sim.store.cancelCommits[s.Task.Job]; c > 0 && c < at {
 		sim.t.Fatalf("%s started after its cancellation", s.Task)
 	}
-	if c, ok := sim.store.completed[s.Task]; ok && !sim.store.lapsed[c] {
+	if c, ok := sim.store.completed[s.Task]; ok && !sim.store.leaseExpired[c] {
 		sim.t.Fatalf("%s started again after it was completed", s.Task)
 	}
 	if s.Checkpoint != sim.store.resumeFrom[run] {
@@ -226,7 +226,7 @@
 // recordCompletion checks that a task is completed a second time only if the lease of the
 // first run expired before its result arrived.
 func (s *fakeStore) recordCompletion(run runner.Run) {
-	if first, ok := s.completed[run.Task]; ok && !s.lapsed[first] {
+	if first, ok := s.completed[run.Task]; ok && !s.leaseExpired[first] {
 		s.sim.t.Fatalf("%s was completed twice", run.Task)
 	}
 	s.completed[run.Task] = run
@@ -237,7 +237,7 @@
 	if !f.OK || s.cancelCommits[f.Task.Job] > 0 {
 		return
 	}
-	if s.finished[f.Task] != f.Run && !s.lapsed[f.Run] {
+	if s.finished[f.Task] != f.Run && !s.leaseExpired[f.Run] {
 		s.sim.t.Fatalf("completion of %s was acknowledged before it was durable", f.Task)
 	}
 }
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -88,7 +88,7 @@
 // outage limit, which every new owner waits for.
 func (sh *shard) mayRenew() bool {
 	s := sh.state
-	if s.now.Sub(s.storeContactAt) >= s.options.OutageLimit {
+	if s.now.Sub(s.lastStoreContact) >= s.options.OutageLimit {
 		return false
 	}
 	return s.storeReachable || s.peerHolding(sh.id) == ""
@@ -143,32 +143,32 @@
 	w.missedSyncs++
 	sh.updateClosed(w)
 	if w.missedSyncs >= maxMissedSyncs && len(w.runs) > 0 {
-		sh.scheduleLapse(w)
+		sh.scheduleExpiry(w)
 	}
 	sh.scheduleSync(w)
 }
 
-// scheduleLapse sets a timer for the time when all leases on the worker have expired,
+// scheduleExpiry sets a timer for the time when all leases on the worker have expired,
 // with the margin for clock drift.
-func (sh *shard) scheduleLapse(w *worker) {
-	if w.lapseScheduled {
+func (sh *shard) scheduleExpiry(w *worker) {
+	if w.expiryScheduled {
 		return
 	}
-	w.lapseScheduled = true
+	w.expiryScheduled = true
 	end := w.leasesEnd.Add(sh.state.options.LeaseMargin)
-	sh.addTimer(max(end.Sub(sh.state.now), 0), timer{kind: timerLapse, worker: w})
+	sh.addTimer(max(end.Sub(sh.state.now), 0), timer{kind: timerLeaseExpiry, worker: w})
 }
 
-// releaseLapsed releases all runs of a worker that has not answered for so long that
+// releaseExpired releases all runs of a worker that has not answered for so long that
 // every lease has expired by the worker's own clock.
-func (sh *shard) releaseLapsed(w *worker) {
-	w.lapseScheduled = false
+func (sh *shard) releaseExpired(w *worker) {
+	w.expiryScheduled = false
 	end := w.leasesEnd.Add(sh.state.options.LeaseMargin)
 	if w.missedSyncs < maxMissedSyncs || sh.ownership != owning || sh.workers[w.name] != w {
 		return
 	}
 	if sh.state.now.Before(end) {
-		sh.scheduleLapse(w)
+		sh.scheduleExpiry(w)
 		return
 	}
 	for len(w.runs) > 0 {
--- a/internal/control/reducer/task.go
+++ b/internal/control/reducer/task.go
@@ -32,7 +32,7 @@
 // mayHaveRun reports whether any task has run or may have.
 func (j *job) mayHaveRun() bool {
 	for i := range j.tasks {
-		if j.tasks[i].ran || j.tasks[i].state == describer.Started {
+		if j.tasks[i].mayHaveRun || j.tasks[i].state == describer.Started {
 			return true
 		}
 	}
@@ -53,20 +53,20 @@
 // task is the state of one task. The fields before startPhase are part of snapshots; the
 // others are only in memory.
 type task struct {
-	job        *job
-	worker     string
-	token      describer.Token
-	granted    describer.Resources
-	checkpoint string
-	drainedOff string
-	reason     string
-	result     json.RawMessage
-	failedOn   []string
-	index      int32
-	attempts   int32
-	evictions  int32
-	state      describer.TaskState
-	ran        bool
+	job         *job
+	worker      string
+	token       describer.Token
+	granted     describer.Resources
+	checkpoint  string
+	drainedFrom string
+	reason      string
+	result      json.RawMessage
+	failedOn    []string
+	index       int32
+	attempts    int32
+	evictions   int32
+	state       describer.TaskState
+	mayHaveRun  bool
 
 	startPhase     startPhase
 	queued         bool
@@ -95,12 +95,12 @@
 
 // applyRelease ends a run without a result. The task is pending until it can resume.
 func (t *task) applyRelease(r describer.Record) {
-	t.ran = t.ran || r.Reason != reasonNotStarted
+	t.mayHaveRun = t.mayHaveRun || r.Reason != reasonNotStarted
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
 	if r.DrainedFrom != "" {
-		t.drainedOff = r.DrainedFrom
+		t.drainedFrom = r.DrainedFrom
 	}
 	if r.DrainedFrom != "" || r.Reason == reasonEvicted {
 		t.evictions++
@@ -111,7 +111,7 @@
 
 // applyFailure ends a run that failed. The task is pending until it is tried again.
 func (t *task) applyFailure(r describer.Record) {
-	t.ran = true
+	t.mayHaveRun = true
 	t.attempts++
 	t.failedOn = appendUnique(t.failedOn, t.worker)
 	t.reason = r.Reason
@@ -120,10 +120,10 @@
 
 // applyFinish stores the result of the task.
 func (t *task) applyFinish(r describer.Record) {
-	t.ran = true
+	t.mayHaveRun = true
 	t.result = r.Result
 	t.reason = ""
-	t.drainedOff = ""
+	t.drainedFrom = ""
 	t.failedOn = nil
 	t.endRun(describer.Done)
 }
--- a/internal/control/reducer/timer.go
+++ b/internal/control/reducer/timer.go
@@ -7,7 +7,7 @@
 
 const (
 	timerSync        timerKind = iota // sync with the worker
-	timerLapse                        // check whether all leases on the worker have expired
+	timerLeaseExpiry                  // check whether all leases on the worker have expired
 	timerProbe                        // allow one task on a quarantined worker
 	timerReopen                       // place tasks again on a worker that refused a start
 	timerRetry                        // queue a failed task again
@@ -117,8 +117,8 @@
 			t.worker.nextSyncAt = time.Time{}
 			sh.sendSync(t.worker)
 		}
-	case timerLapse:
-		sh.releaseLapsed(t.worker)
+	case timerLeaseExpiry:
+		sh.releaseExpired(t.worker)
 	case timerProbe:
 		sh.allowProbe(t.worker)
 	case timerReopen:
--- a/internal/control/reducer/view.go
+++ b/internal/control/reducer/view.go
@@ -14,10 +14,10 @@
 	keys           map[string]claimedKey // claimed idempotency keys
 	quarantined    map[string]string     // reason of the quarantine by worker name
 	restored       map[string]string     // id of the latest drain whose restore ended, by worker name
-	drainedPending map[string]int        // pending tasks that were drained off a worker, by worker name
+	drainedPending map[string]int        // pending tasks that were drained from a worker, by worker name
 	lastSeq        uint64                // acceptance sequence number of the latest job
 	finished       int                   // tasks finished since this daemon claimed the shard
-	evictions      int64                 // runs evicted or drained off since this daemon claimed the shard
+	evictions      int64                 // runs evicted or drained since this daemon claimed the shard
 }
 
 // claimedKey records who claimed an idempotency key, and when.
@@ -182,14 +182,14 @@
 	}
 }
 
-// countDrained adds delta to the number of pending tasks that were drained off the
+// countDrained adds delta to the number of pending tasks that were drained from the
 // same worker as t.
 func (sh *shard) countDrained(t *task, delta int) {
-	if t.drainedOff == "" {
+	if t.drainedFrom == "" {
 		return
 	}
-	sh.view.drainedPending[t.drainedOff] += delta
-	if sh.view.drainedPending[t.drainedOff] == 0 {
-		delete(sh.view.drainedPending, t.drainedOff)
+	sh.view.drainedPending[t.drainedFrom] += delta
+	if sh.view.drainedPending[t.drainedFrom] == 0 {
+		delete(sh.view.drainedPending, t.drainedFrom)
 	}
 }
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -27,20 +27,20 @@
 	runs         []*task
 	pendingStops int // stops that have no answer yet
 
-	syncs          uint64             // number of syncs sent
-	syncPending    bool               // whether the latest sync has no outcome yet
-	syncSentAt     time.Time          // time of the latest sync
-	synced         bool               // whether it has answered a sync under this epoch
-	missedSyncs    int                // unanswered syncs in a row
-	clock          time.Time          // the worker's clock at its latest inventory
-	clockReadAt    time.Time          // this daemon's clock at the start of that sync
-	clockError     time.Duration      // upper bound of the duration of that sync
-	nextSyncAt     time.Time          // time of the next scheduled sync
-	lapseScheduled bool               // whether a timer for the expiry of its leases is set
-	leasesEnd      time.Time          // end of the longest lease granted so far, without the margin
-	ackTasks       []describer.TaskID // finished runs to acknowledge with the next sync
-	ackTokens      []describer.Token  // tokens of the runs in ackTasks
-	pausedUntil    time.Time          // nothing is placed before this time
+	syncs           uint64             // number of syncs sent
+	syncPending     bool               // whether the latest sync has no outcome yet
+	syncSentAt      time.Time          // time of the latest sync
+	synced          bool               // whether it has answered a sync under this epoch
+	missedSyncs     int                // unanswered syncs in a row
+	clock           time.Time          // the worker's clock at its latest inventory
+	clockReadAt     time.Time          // this daemon's clock at the start of that sync
+	clockError      time.Duration      // upper bound of the duration of that sync
+	nextSyncAt      time.Time          // time of the next scheduled sync
+	expiryScheduled bool               // whether a timer for the expiry of its leases is set
+	leasesEnd       time.Time          // end of the longest lease granted so far, without the margin
+	ackTasks        []describer.TaskID // finished runs to acknowledge with the next sync
+	ackTokens       []describer.Token  // tokens of the runs in ackTasks
+	pausedUntil     time.Time          // nothing is placed before this time
 
 	failureStreak   failureStreak
 	probeAllowed    bool // whether one task may be placed in spite of the quarantine
@@ -202,7 +202,7 @@
 		Kind:      t.job.Kind,
 		Priority:  t.job.Priority,
 		Resources: t.granted,
-		ReturnTo:  t.drainedOff,
+		ReturnTo:  t.drainedFrom,
 		Since:     sh.state.now,
 	}
 	if w.account.Allocate(t.id(), g) != nil {
