--- a/internal/control/reducer/event.go
+++ b/internal/control/reducer/event.go
@@ -119,7 +119,7 @@
 	Shard  string
 	Epoch  int64
 	Worker string
-	SentAt time.Time // start of the call
+	SentAt time.Time // start of the call; the worker read its clock after it
 	Synced runner.SyncResult
 }
 
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -36,7 +36,8 @@
 }
 
 // adaptGrant resizes the grant of one batch run towards its measured use and reports
-// whether it did. Grants grow only while no task is pending.
+// whether it did. Grants grow only while no task is pending, to leave capacity to tasks
+// that wait.
 func (sh *shard) adaptGrant(t *task, w *worker, r *runner.ActiveRun) bool {
 	if t.job.Kind != describer.Batch {
 		return false
--- a/internal/control/reducer/timer.go
+++ b/internal/control/reducer/timer.go
@@ -15,8 +15,9 @@
 	timerRepeatStop                   // repeat an unanswered stop
 )
 
-// timer is an action of a shard at a later time. It is ignored if the shard is lost or
-// owned under another epoch by then.
+// timer is an action of a shard at a later time. It is plain data rather than a callback,
+// so that it can be discarded: it is ignored if the shard is lost or owned under another
+// epoch by then.
 type timer struct {
 	at       time.Time
 	sequence uint64 // order of creation, to break ties
