--- a/internal/control/reducer/reducer.go
+++ b/internal/control/reducer/reducer.go
@@ -81,7 +81,7 @@
 	options          Options
 	policies         Policies
 	placer           placer.Policy
-	services         map[string]describer.Service // by name
+	services         map[string]describer.Service // configured services by name
 	timeline         learner.Timeline             // batch tasks on each worker over time
 	usage            placer.Usage                 // measured resource use by team and class of job
 	now              time.Time
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -53,10 +53,10 @@
 	claimedAt      time.Time
 	formerRelease  describer.Record   // last record of a former owner that released the shard; zero if none did
 	lastSequence   int64              // sequence number of the latest token or throttle
-	workers        map[string]*worker // by name
+	workers        map[string]*worker // workers of the shard by name
 	sortedWorkers  []*worker          // values of workers, sorted by name
 	fleet          *accountant.Fleet
-	teams          map[string]*team // by name
+	teams          map[string]*team // teams with tasks in the shard by name
 	journal        journal
 	lastPassAt     time.Time // last placement pass
 	placementIdle  bool      // whether nothing changed since a pass that placed all it could
--- a/internal/control/reducer/simulation_test.go
+++ b/internal/control/reducer/simulation_test.go
@@ -119,14 +119,14 @@
 	if sim.chance(0.05) {
 		return
 	}
-	there := sim.randomDuration(2e6, 2e8)
+	delay := sim.randomDuration(2e6, 2e8)
 	if sim.chance(0.06) {
-		there = sim.randomDuration(simCallTimeout, simMaxDelay)
+		delay = sim.randomDuration(simCallTimeout, simMaxDelay)
 	}
 	if _, ok := failed.(StartAnswered); ok && sim.startDelay > 0 {
-		there = sim.startDelay
+		delay = sim.startDelay
 	}
-	sim.after(there, func() {
+	sim.after(delay, func() {
 		if m.down || d.unreachable[worker] {
 			return
 		}
