--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -70,7 +70,7 @@
 		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
-		out.RoundTrip = remoteDistance
+		out.RoundTrip = remoteRoundTrip
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -39,7 +39,7 @@
 	initialRetryDelay     = 40 * time.Millisecond   // first delay before a failed store call is repeated
 	maxRetryDelay         = 500 * time.Millisecond  // maximum delay before a failed store call is repeated
 	unavailableRetryAfter = time.Second             // Retry-After while the store doesn't answer
-	remoteDistance        = 60 * time.Millisecond   // penalty for a shard in another failure domain
+	remoteRoundTrip       = 60 * time.Millisecond   // assumed round trip to a shard in another failure domain
 	maxContactAge         = 2500 * time.Millisecond // if the store's last answer is older, submissions are refused
 	maxLoadAge            = 10 * time.Second        // older load summaries are ignored
 	acceptTimeout         = 1200 * time.Millisecond // limit for the write that accepts a job, with all attempts
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -53,7 +53,8 @@
 	return recorder.Load{Service: "desk", Workers: 4, Free: describer.Resources{CPU: 64000, Memory: 9000}, UnusedCPU: 64000}
 }
 
-// fullLoad is the load summary of a shard with 1,000 s of waiting work.
+// fullLoad is the load summary of a shard with 1,000 core-seconds of waiting
+// work.
 func fullLoad() recorder.Load {
 	return recorder.Load{Service: "desk", Workers: 4, FiniteCPU: 1000, Backlog: []recorder.Backlog{{ReservedWork: 1_000_000}}}
 }
--- a/internal/job/specifier/catalog.go
+++ b/internal/job/specifier/catalog.go
@@ -24,7 +24,7 @@
 	Attempts   int           // failed runs of a task after which its job fails; 0 is no limit
 	Slack      float64       // factor on the critical path in the completion target
 	Completion time.Duration // constant part of the completion target
-	Timeout    time.Duration // limit for a caller's request
+	Timeout    time.Duration // timeout of a request to the queue
 	Advice     Advice        // zero if every worker may run its steps
 }
 
