--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -22,26 +22,27 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// fleet is a set of workers that run tasks in virtual time.
+// fleet simulates workers in virtual time.
 type fleet struct {
-	mu     sync.Mutex
-	start  time.Time
-	token  map[string]int64
-	active map[string]map[specifier.TaskID]specifier.Run
-	ended  map[string][]specifier.End
-	last   map[string]int64
-	starts map[specifier.TaskID]int
-	took   time.Duration    // by a task
-	cut    map[string]int64 // calls with a token above this do not reach the worker
-	ids    []string
-	domain map[string]string // by worker; "bne" if there is none
+	mu       sync.Mutex
+	start    time.Time
+	token    map[string]int64
+	active   map[string]map[specifier.TaskID]specifier.Run
+	ended    map[string][]specifier.End
+	lastEnd  map[string]int64
+	starts   map[specifier.TaskID]int
+	runTime  time.Duration    // run time of a task
+	maxToken map[string]int64 // calls with a higher token don't reach the worker, by worker
+	ids      []string
+	domain   map[string]string // by worker; "bne" by default
 }
 
+// newFleet returns workers of 4,000 millicores each without runs.
 func newFleet(ids ...string) *fleet {
 	f := &fleet{
 		start: time.Now(), token: make(map[string]int64), active: make(map[string]map[specifier.TaskID]specifier.Run),
-		ended: make(map[string][]specifier.End), last: make(map[string]int64), starts: make(map[specifier.TaskID]int),
-		took: 500 * time.Millisecond, ids: ids,
+		ended: make(map[string][]specifier.End), lastEnd: make(map[string]int64), starts: make(map[specifier.TaskID]int),
+		runTime: 500 * time.Millisecond, ids: ids,
 	}
 	for _, id := range ids {
 		f.active[id] = make(map[specifier.TaskID]specifier.Run)
@@ -59,19 +60,22 @@
 	return out, nil
 }
 
-// reaches reports whether a call reaches the worker; otherwise it waits in vain.
+// reaches reports whether a call reaches the worker. If not, it returns when ctx
+// ends.
 func (f *fleet) reaches(ctx context.Context, id string, token int64) bool {
 	f.mu.Lock()
-	limit, isCut := f.cut[id]
+	maxToken, isCut := f.maxToken[id]
 	f.mu.Unlock()
-	if isCut && token > limit {
+	if isCut && token > maxToken {
 		<-ctx.Done()
 		return false
 	}
 	return true
 }
 
-func (f *fleet) fenced(id string, token int64) bool {
+// isFenced reports whether a token is lower than the highest so far, which it
+// updates.
+func (f *fleet) isFenced(id string, token int64) bool {
 	if token < f.token[id] {
 		return true
 	}
@@ -86,36 +90,37 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := o.Worker.ID
-	if f.fenced(id, token) {
+	if f.isFenced(id, token) {
 		return dispatcher.Fenced
 	}
 	f.starts[o.Task]++
 	f.active[id][o.Task] = specifier.Run{Task: o.Task, Number: o.Run}
-	time.AfterFunc(f.took, func() {
+	time.AfterFunc(f.runTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.end(id, o.Task, specifier.OutcomeDone)
+		f.endRun(id, o.Task, specifier.OutcomeDone)
 	})
 	return dispatcher.NoFault
 }
 
-func (f *fleet) end(id string, task specifier.TaskID, outcome specifier.Outcome) {
+// endRun ends a run and lists the end until it is acknowledged.
+func (f *fleet) endRun(id string, task specifier.TaskID, outcome specifier.Outcome) {
 	r, ok := f.active[id][task]
 	if !ok {
 		return
 	}
 	delete(f.active[id], task)
-	f.last[id]++
-	f.ended[id] = append(f.ended[id], specifier.End{Number: f.last[id], Task: task, Run: r.Number, Outcome: outcome})
+	f.lastEnd[id]++
+	f.ended[id] = append(f.ended[id], specifier.End{Number: f.lastEnd[id], Task: task, Run: r.Number, Outcome: outcome})
 }
 
 func (f *fleet) Stop(_ context.Context, token int64, o dispatcher.StopRun) dispatcher.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fenced(o.Worker.ID, token) {
+	if f.isFenced(o.Worker.ID, token) {
 		return dispatcher.Fenced
 	}
-	f.end(o.Worker.ID, o.Task, specifier.OutcomeStopped)
+	f.endRun(o.Worker.ID, o.Task, specifier.OutcomeStopped)
 	return dispatcher.NoFault
 }
 
@@ -131,7 +136,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := o.Worker.ID
-	if f.fenced(id, token) {
+	if f.isFenced(id, token) {
 		return specifier.Inventory{}, dispatcher.Fenced
 	}
 	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Acknowledged {
@@ -139,7 +144,7 @@
 	}
 	out := specifier.Inventory{Incarnation: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
 	for _, r := range f.active[id] {
-		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // it makes progress
+		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // increases with time
 		out.Active = append(out.Active, r)
 	}
 	return out, dispatcher.NoFault
@@ -149,13 +154,14 @@
 	{Name: "menus", Service: "desk", Attempts: 2, Slack: 3, Completion: 5 * time.Second},
 }}
 
-// daemon is a manager with its receiver.
+// daemon is a manager and its receiver.
 type daemon struct {
 	*manager.Manager
 	receiver *receiver.Receiver
 	store    *faker.Client
 }
 
+// newDaemon starts a manager in domain "bne" and its receiver.
 func newDaemon(name string, store *faker.Store, workers *fleet) *daemon {
 	client := store.Client(name)
 	m := manager.New(manager.Options{
@@ -169,6 +175,7 @@
 	}, m, client), client}
 }
 
+// job returns job n: a step of 3 tasks, then one of 2 tasks.
 func job(n int) specifier.Job {
 	return specifier.Job{ID: fmt.Sprintf("%016x", n), Steps: []specifier.Step{
 		{Count: 3, Needs: describer.Resources{CPU: 500}, Estimate: time.Second},
@@ -176,30 +183,32 @@
 	}}
 }
 
+// submit submits job n.
 func (d *daemon) submit(g Gomega, n int) {
 	g.Expect(d.receiver.Submit(context.Background(), catalog.Queues[0], job(n))).To(Succeed())
 }
 
+// state returns the state of job n.
 func (d *daemon) state(g Gomega, n int) specifier.State {
 	state, err := d.receiver.State(context.Background(), job(n).ID)
 	g.Expect(err).NotTo(HaveOccurred())
 	return state
 }
 
-// inBubble runs a spec with two daemons in virtual time.
+// inBubble runs a test with two daemons and three workers in virtual time.
 func inBubble(t *testing.T, spec func(g Gomega, a, b *daemon, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		store, workers := faker.New(), newFleet("w1", "w2", "w3")
 		a, b := newDaemon("a", store, workers), newDaemon("b", store, workers)
-		time.Sleep(6 * time.Second) // the layout is written and the shard claimed
+		time.Sleep(6 * time.Second) // until the layout is written and the shard claimed
 		spec(NewWithT(t), a, b, workers)
 		a.Close()
 		b.Close()
 	})
 }
 
-// ownerOf returns the daemon that owns the shard, and the other.
+// ownerOf returns the daemon that owns the shard, and the other one.
 func ownerOf(g Gomega, a, b *daemon) (owner, other *daemon) {
 	name := a.View().Shards["desk"].Owner
 	g.Expect(name).To(BeElementOf("a", "b"))
@@ -209,6 +218,7 @@
 	return b, a
 }
 
+// expectOnce checks that each of the 5 tasks of each job started once.
 func expectOnce(g Gomega, f *fleet, jobs int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -221,7 +231,7 @@
 		for n := range 6 {
 			[]*daemon{a, b}[n%2].submit(g, n)
 		}
-		a.submit(g, 1) // repeated through another daemon
+		a.submit(g, 1) // repeated on another daemon
 		time.Sleep(5 * time.Second)
 		for n := range 6 {
 			g.Expect(a.state(g, n)).To(Equal(specifier.Succeeded))
@@ -234,7 +244,7 @@
 func TestCancellationThroughTheOtherDaemon(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = time.Minute
+		f.runTime = time.Minute
 		owner.submit(g, 1)
 		time.Sleep(time.Second)
 		g.Expect(other.receiver.Cancel(context.Background(), job(1).ID)).To(Succeed())
@@ -251,10 +261,10 @@
 func TestOwnerCrashes(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = 3 * time.Second
+		f.runTime = 3 * time.Second
 		owner.submit(g, 1)
 		time.Sleep(time.Second)
-		owner.Close() // as a crash: its lease has to lapse
+		owner.Close() // as a crash: its lease has to expire
 		other.submit(g, 2)
 		time.Sleep(20 * time.Second)
 		g.Expect(other.state(g, 1)).To(Equal(specifier.Succeeded))
@@ -297,12 +307,12 @@
 	})
 }
 
-// A former owner that is cut off from the store stops when a worker has seen
-// its successor.
+// An earlier owner that is cut off from the store must stop once a worker has
+// seen the new owner's fencing token.
 func TestOwnerCutOffFromTheStore(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
-		f.took = 2 * time.Second
+		f.runTime = 2 * time.Second
 		owner.submit(g, 1)
 		time.Sleep(100 * time.Millisecond)
 		owner.store.SetDown(true)
@@ -315,13 +325,13 @@
 	})
 }
 
-// An owner whose lease lapsed while it reads the store sees the claim of its
-// successor, and leaves the jobs that come after it alone.
+// An owner whose lease has expired while it can still read the store sees the
+// new owner's claim and must not start jobs that were accepted after it.
 func TestReplacedOwnerLeavesNewJobs(t *testing.T) {
 	inBubble(t, func(g Gomega, a, b *daemon, f *fleet) {
 		owner, other := ownerOf(g, a, b)
 		f.mu.Lock()
-		f.cut = map[string]int64{"w1": f.token["w1"]} // the successor does not reach w1
+		f.maxToken = map[string]int64{"w1": f.token["w1"]} // the new owner doesn't reach w1
 		f.mu.Unlock()
 		owner.store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "renew" || c.Operation == "grant" {
