--- a/internal/traffic/lender/borrower.go
+++ b/internal/traffic/lender/borrower.go
@@ -9,209 +9,217 @@
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
 )
 
-// account is what this entry host may use of one worker and uses.
-type account struct {
-	backend  describer.Backend
-	lent     int
-	until    time.Time // of the loan
-	usedLent int
-	usedBase int
-	peak     int  // most in use at once since the last renewal
-	unmet    int  // requests that found no slot since then
-	wanted   int  // in the latest call
-	short    bool // the latest call failed or brought less: another at once won't help
-}
-
-// Limit implements router.Slots.
+// workerSlots tracks which slots of one worker this entry host may use and how
+// many are in use.
+type workerSlots struct {
+	backend     describer.Backend
+	leased      int
+	expires     time.Time // end of the lease on the leased slots
+	leasedInUse int
+	baseInUse   int
+	peak        int  // most slots in use at once since the last renewal
+	missed      int  // requests that found no slot since then
+	requested   int  // in the latest renewal
+	unfulfilled bool // the latest renewal failed or granted less than requested, so missed requests trigger no other
+}
+
+// Limit implements router.SlotSource.
 func (l *Lender) Limit(b describer.Backend) int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	now := time.Now()
-	base, _ := l.base(b, now)
-	return base + l.account(b).usable(now.Add(l.Options.Grace))
+	base, _ := l.baseSlots(b, now)
+	return base + l.worker(b).usableLeased(now.Add(l.Options.Grace))
 }
 
-// Acquire implements router.Slots. Lent slots go first: base slots also serve
-// requests whose deadline is later than a loan's end.
+// Acquire implements router.SlotSource. It takes a leased slot if possible:
+// base slots also serve requests whose deadline is after the end of the lease.
 func (l *Lender) Acquire(b describer.Backend, deadline time.Time) (release func(), ok bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	a := l.account(b)
+	w := l.worker(b)
 	now := time.Now()
-	if a.usedLent < a.usable(now.Add(l.Options.Grace)) && !deadline.After(a.until) {
-		a.usedLent++
-		a.note()
-		return func() { l.release(&a.usedLent) }, true
+	if w.leasedInUse < w.usableLeased(now.Add(l.Options.Grace)) && !deadline.After(w.expires) {
+		w.leasedInUse++
+		w.updatePeak()
+		return func() { l.release(&w.leasedInUse) }, true
 	}
-	if base, until := l.base(b, now); a.usedBase < base && !deadline.After(until) {
-		a.usedBase++
-		a.note()
-		return func() { l.release(&a.usedBase) }, true
+	if base, until := l.baseSlots(b, now); w.baseInUse < base && !deadline.After(until) {
+		w.baseInUse++
+		w.updatePeak()
+		return func() { l.release(&w.baseInUse) }, true
 	}
-	a.unmet++
-	if !a.short {
-		l.rouse()
+	w.missed++
+	if !w.unfulfilled {
+		l.triggerRenewal()
 	}
 	return nil, false
 }
 
-func (l *Lender) release(used *int) {
+func (l *Lender) release(inUse *int) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	*used--
+	*inUse--
 }
 
-// rouse asks for more at once, and does not wait.
-func (l *Lender) rouse() {
+// triggerRenewal makes run renew the leases now. It does not block.
+func (l *Lender) triggerRenewal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *Lender) account(b describer.Backend) *account {
-	a := l.accounts[b.Worker]
-	if a == nil {
-		a = new(account)
-		l.accounts[b.Worker] = a
+// worker returns the slots of b's worker; the lock must be held.
+func (l *Lender) worker(b describer.Backend) *workerSlots {
+	w := l.workers[b.Worker]
+	if w == nil {
+		w = new(workerSlots)
+		l.workers[b.Worker] = w
 	}
-	a.backend = b
-	return a
+	w.backend = b
+	return w
 }
 
-// base returns this entry host's share of the worker's base pool, and until
-// when it lasts.
-func (l *Lender) base(b describer.Backend, now time.Time) (int, time.Time) {
-	if l.seat == nil || b.Domain != l.Options.Domain {
+// baseSlots returns the worker's slots that belong to this entry host's base
+// share, and the end of the share lease.
+func (l *Lender) baseSlots(b describer.Backend, now time.Time) (int, time.Time) {
+	if l.share == nil || b.Domain != l.Options.Domain {
 		return 0, time.Time{}
 	}
-	number, count, until := l.seat.Held(now)
+	index, count, until := l.share.Held(now)
 	if count == 0 {
 		return 0, time.Time{}
 	}
-	return share(b, number, count), until
+	return baseShare(b, index, count), until
 }
 
-func (a *account) usable(at time.Time) int {
-	if !at.Before(a.until) {
+// usableLeased returns the leased slots if the lease has not expired at the
+// time.
+func (w *workerSlots) usableLeased(at time.Time) int {
+	if !at.Before(w.expires) {
 		return 0
 	}
-	return a.lent
+	return w.leased
 }
 
-func (a *account) note() { a.peak = max(a.peak, a.usedLent+a.usedBase) }
+func (w *workerSlots) updatePeak() { w.peak = max(w.peak, w.leasedInUse+w.baseInUse) }
 
-// held returns the lent slots that this entry host may still occupy, with
-// requests or with open connections.
-func (a *account) held(now time.Time, open, base int) int {
-	held := max(a.usable(now), a.usedLent)
-	if a.backend.Slots > 0 && a.backend.Connections > 0 {
-		slots := (open*a.backend.Slots + a.backend.Connections - 1) / a.backend.Connections
+// heldLeased returns how many leased slots this entry host may still occupy,
+// with requests or with open connections.
+func (w *workerSlots) heldLeased(now time.Time, connections, base int) int {
+	held := max(w.usableLeased(now), w.leasedInUse)
+	if w.backend.Slots > 0 && w.backend.Connections > 0 {
+		slots := (connections*w.backend.Slots + w.backend.Connections - 1) / w.backend.Connections
 		held = max(held, slots-base)
 	}
 	return held
 }
 
-// shards returns the shards of which something is wanted or held.
-func (l *Lender) shards() []string {
+// activeShards returns the shards from which slots are wanted or held. It drops
+// workers of which neither is true.
+func (l *Lender) activeShards() []string {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	now := time.Now()
 	var out []string
-	for worker, a := range l.accounts {
-		if a.peak == 0 && a.unmet == 0 && a.usedLent+a.usedBase == 0 && a.usable(now) == 0 {
-			delete(l.accounts, worker)
+	for worker, w := range l.workers {
+		if w.peak == 0 && w.missed == 0 && w.leasedInUse+w.baseInUse == 0 && w.usableLeased(now) == 0 {
+			delete(l.workers, worker)
 			continue
 		}
-		if !slices.Contains(out, a.backend.Shard) {
-			out = append(out, a.backend.Shard)
+		if !slices.Contains(out, w.backend.Shard) {
+			out = append(out, w.backend.Shard)
 		}
 	}
 	return out
 }
 
-// borrow makes one call to the shard's owner. A failure changes nothing: the
-// loans in force last until their time.
-func (l *Lender) borrow(ctx context.Context, shard string) {
+// renew sends one lease request to the shard's owner. If it fails, the leases
+// in force stay valid until they expire.
+func (l *Lender) renew(ctx context.Context, shard string) {
 	table := l.table()
 	if table == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.Options.Interval)
 	defer cancel()
-	a := l.ask(shard)
+	a := l.newRequest(shard)
 	sent := time.Now()
-	out, err := l.call(ctx, table, a)
+	out, err := l.send(ctx, table, a)
 	if err != nil {
-		l.log.Debug().Err(err).Str("shard", shard).Msg("No loan.")
-		l.setShort(shard)
+		l.log.Debug().Err(err).Str("shard", shard).Msg("slot lease renewal failed")
+		l.setUnfulfilled(shard)
 		return
 	}
-	if l.take(out, sent) {
-		l.grown()
+	if l.apply(out, sent) {
+		l.onGrowth()
 	}
 }
 
-func (l *Lender) call(ctx context.Context, table *describer.RoutingTable, a *ask) (*loans, error) {
+// send passes the request to the shard's owner, which may be this daemon.
+func (l *Lender) send(ctx context.Context, table *describer.RoutingTable, a *leaseRequest) (*leaseReply, error) {
 	if _, ok := table.Owned[a.Shard]; ok {
-		return l.lend(a)
+		return l.grant(a)
 	}
 	address, ok := table.Owners[a.Shard]
 	if !ok {
 		return nil, errNotOwner
 	}
-	out := new(loans)
+	out := new(leaseReply)
 	return out, l.caller.Call(ctx, address, messenger.Lend, a, out)
 }
 
-// ask says what is wanted: what was in use at the peak, what was missed, and
-// one slot in reserve.
-func (l *Lender) ask(shard string) *ask {
-	open := l.opened(shard)
+// newRequest builds the lease request for a shard. It asks for the peak number
+// of slots in use, one for each missed request, and one in reserve.
+func (l *Lender) newRequest(shard string) *leaseRequest {
+	connections := l.connections(shard)
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.sequence++
 	now := time.Now()
-	out := &ask{Host: l.Options.Name, Born: l.born, Sequence: l.sequence, Shard: shard}
-	for worker, a := range l.accounts {
-		if a.backend.Shard != shard {
+	out := &leaseRequest{Host: l.Options.Name, Incarnation: l.incarnation, Sequence: l.sequence, Shard: shard}
+	for worker, w := range l.workers {
+		if w.backend.Shard != shard {
 			continue
 		}
-		base, _ := l.base(a.backend, now)
-		w := want{Worker: worker, Held: a.held(now, open[worker], base)}
-		if a.peak+a.unmet > 0 && !l.closing {
-			w.Want = max(0, a.peak+min(a.unmet, a.backend.Slots)+1-base)
+		base, _ := l.baseSlots(w.backend, now)
+		d := demand{Worker: worker, Held: w.heldLeased(now, connections[worker], base)}
+		if w.peak+w.missed > 0 && !l.closing {
+			d.Want = max(0, w.peak+min(w.missed, w.backend.Slots)+1-base)
 		}
-		a.peak = a.usedLent + a.usedBase
-		a.unmet = 0
-		a.wanted = w.Want
-		out.Wants = append(out.Wants, w)
+		w.peak = w.leasedInUse + w.baseInUse
+		w.missed = 0
+		w.requested = d.Want
+		out.Demands = append(out.Demands, d)
 	}
 	return out
 }
 
-// setShort keeps unmet wants from causing calls before the next interval.
-func (l *Lender) setShort(shard string) {
+// setUnfulfilled keeps missed requests from triggering renewals of the shard's
+// leases before the next interval.
+func (l *Lender) setUnfulfilled(shard string) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	for _, a := range l.accounts {
-		if a.backend.Shard == shard {
-			a.short = true
+	for _, w := range l.workers {
+		if w.backend.Shard == shard {
+			w.unfulfilled = true
 		}
 	}
 }
 
-// opened counts open connections. The lock is not held meanwhile, since the
-// holder of the connections asks for limits under locks of its own.
-func (l *Lender) opened(shard string) map[string]int {
+// connections returns the number of open connections to each of the shard's
+// workers. It must not hold the lock while it calls openConnections, whose
+// implementation calls Limit under locks of its own.
+func (l *Lender) connections(shard string) map[string]int {
 	l.lock.Lock()
 	out := make(map[string]int)
-	for worker, a := range l.accounts {
-		if a.backend.Shard == shard {
+	for worker, w := range l.workers {
+		if w.backend.Shard == shard {
 			out[worker] = 0
 		}
 	}
-	open := l.open
+	open := l.openConnections
 	l.lock.Unlock()
 	for worker := range out {
 		out[worker] = open(worker)
@@ -219,22 +227,22 @@
 	return out
 }
 
-// take puts the answer to the latest call in force, and reports whether it
-// brought more. That it may come from a former owner does no harm: its
-// successor lends nothing until the loan has lapsed.
-func (l *Lender) take(out *loans, sent time.Time) (grown bool) {
+// apply puts the granted leases in force and reports whether one has grown. A
+// reply from a former owner is safe to apply: the new owner grants nothing
+// until those leases have expired.
+func (l *Lender) apply(out *leaseReply, sent time.Time) (grown bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	until := sent.Add(min(out.Term, l.Options.Term) - l.Options.Margin)
-	for _, g := range out.Loans {
-		account := l.accounts[g.Worker]
-		if account == nil {
+	expires := sent.Add(min(out.Term, l.Options.Term) - l.Options.Margin)
+	for _, g := range out.Grants {
+		w := l.workers[g.Worker]
+		if w == nil {
 			continue
 		}
-		grown = grown || g.Slots > account.lent
-		account.lent = g.Slots
-		account.until = until
-		account.short = g.Slots < account.wanted
+		grown = grown || g.Slots > w.leased
+		w.leased = g.Slots
+		w.expires = expires
+		w.unfulfilled = g.Slots < w.requested
 	}
 	return grown
 }
--- a/internal/traffic/lender/lender.go
+++ b/internal/traffic/lender/lender.go
@@ -1,28 +1,32 @@
 // Package lender shares the slots of each worker among entry hosts, so that
-// the requests they have in flight never add up to more than the worker has.
+// the requests they have in flight never add up to more than the worker's
+// slots. An entry host runs a limited number of requests on a worker at a time;
+// a slot is the right to run one.
 //
 // # Model
 //
-// Half of a worker's slots form the base pool, divided into equal shares for
-// the seats of its failure domain. An entry host holds a [ShareLease] for many
-// hours, recorded in the store, and uses its share without asking anybody;
-// that is what serves callers while the store or the shard's owner is away.
+// Half of a worker's slots form the base pool. It is divided into equal base
+// shares, a fixed number in each failure domain. An entry host holds a
+// [ShareLease] on one of them for many hours, recorded in the store, and uses
+// its slots without asking anybody. They serve callers while the store or the
+// owner of the worker's shard is unavailable.
 //
-// The other half is lent by the owner of the worker's shard for Options.Term
-// at a time, in max-min fair shares of what the entry hosts want. A [Lender]
-// is both sides: it borrows for this entry host, and lends for the shards
-// that this daemon owns.
+// The other half is leased by the owner of the worker's shard for Options.Term
+// at a time, in max-min fair shares of what the entry hosts ask for. A [Lender]
+// is both sides: it requests slot leases for this entry host, and grants them
+// for the shards that this daemon owns.
 //
-//	l := lender.New(options, table, caller, lease.IsValid, seat, log)
+//	l := lender.New(options, table, caller, lease.IsValid, share, log)
 //	node.Handle(messenger.Lend, l.Serve)
 //
 // # Safety
 //
-// A loan is counted by the lending side from when the request for it arrived,
-// by the borrowing side from when it was sent. A request takes a lent slot only
-// if its deadline is within the loan, so nothing is in flight on a lapsed one.
-// A new owner lends nothing until a whole Term has passed; a former one lends
-// only while its lease in the store holds for certain.
+// The owner counts the term of a slot lease from the arrival of the request for
+// it, the entry host from the moment at which it sent the request. A request
+// takes a leased slot only if its deadline is before the lease expires, so
+// nothing is in flight on an expired lease. A new owner grants nothing until a
+// whole Term has passed, and a former owner grants slots only while its lease on
+// the shard in the store is certain to hold.
 package lender
 
 import (
@@ -37,20 +41,20 @@
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
 )
 
-// Caller sends a call to a peer.
+// Caller sends a call to a peer and decodes the response into result.
 type Caller interface {
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Options are the bounds of lending. All entry hosts must have the same Term.
-// Zero fields take defaults.
+// Options configure a Lender. All entry hosts must have the same Term. Zero
+// fields take defaults.
 type Options struct {
-	Name     string        // of the entry host
-	Domain   string        // its failure domain
-	Term     time.Duration // of a loan; requests with a later deadline use base slots
-	Margin   time.Duration // for clocks that run at different speeds
-	Grace    time.Duration // loans this close to their end are not used; idle connections close meanwhile
-	Interval time.Duration // between renewals
+	Name     string        // name of the entry host
+	Domain   string        // failure domain of the entry host
+	Term     time.Duration // lifetime of a slot lease; requests with a later deadline use base slots
+	Margin   time.Duration // subtracted from Term, for clocks that run at different speeds
+	Grace    time.Duration // a slot lease this close to its end is not used, so that idle connections can close in time
+	Interval time.Duration // between renewals of slot leases
 }
 
 // Defaults of Options.
@@ -61,60 +65,61 @@
 	DefaultInterval = 2 * time.Second
 )
 
-// Lender borrows slots for this entry host and lends those of its shards.
+// Lender leases slots for this entry host and grants those of the shards that
+// this daemon owns.
 type Lender struct {
 	Options Options
 	Done    chan struct{} // closed when renewals have ended
 
-	table  func() *describer.RoutingTable
-	caller Caller
-	valid  func() bool
-	seat   *ShareLease
-	log    zerolog.Logger
-	stop   context.CancelFunc
-	wake   chan struct{}
-	born   int64
-
-	lock     sync.Mutex
-	accounts map[string]*account // by worker
-	asking   map[string]bool     // by shard
-	sequence int64
-	closing  bool
-	open     func(worker string) int
-	grown    func()
-
-	books books
+	table       func() *describer.RoutingTable
+	caller      Caller
+	isOwner     func() bool
+	share       *ShareLease
+	log         zerolog.Logger
+	stop        context.CancelFunc
+	wake        chan struct{} // triggers a renewal before the next interval
+	incarnation int64         // start time in Unix nanoseconds
+
+	lock            sync.Mutex
+	workers         map[string]*workerSlots
+	renewing        map[string]bool // shards with a renewal in progress
+	sequence        int64           // of the latest lease request
+	closing         bool            // renewals ask for no slots
+	openConnections func(worker string) int
+	onGrowth        func() // called when more slots were granted
+
+	grants grantTable
 }
 
-// New returns a lender that renews loans until Close. Valid reports whether
-// this daemon's ownership of its shards holds for certain. Seat may be nil,
-// which means no base share.
+// New returns a lender that renews slot leases until Close. table returns the
+// current routing table, which may be nil. isOwner reports whether this daemon's
+// ownership of its shards is certain. A nil share means no base share.
 func New(
 	o Options,
 	table func() *describer.RoutingTable,
 	caller Caller,
-	valid func() bool,
-	seat *ShareLease,
+	isOwner func() bool,
+	share *ShareLease,
 	log zerolog.Logger,
 ) *Lender {
 	ctx, stop := context.WithCancel(context.Background())
 	o = o.withDefaults()
 	l := &Lender{
-		Options:  o,
-		Done:     make(chan struct{}),
-		table:    table,
-		caller:   caller,
-		valid:    valid,
-		seat:     seat,
-		log:      log.With().Str("part", "lender").Logger(),
-		stop:     stop,
-		wake:     make(chan struct{}, 1),
-		born:     time.Now().UnixNano(),
-		accounts: make(map[string]*account),
-		asking:   make(map[string]bool),
-		open:     func(string) int { return 0 },
-		grown:    func() {},
-		books:    books{wait: o.Term + o.Margin, term: o.Term, shards: make(map[string]*book)},
+		Options:         o,
+		Done:            make(chan struct{}),
+		table:           table,
+		caller:          caller,
+		isOwner:         isOwner,
+		share:           share,
+		log:             log.With().Str("part", "lender").Logger(),
+		stop:            stop,
+		wake:            make(chan struct{}, 1),
+		incarnation:     time.Now().UnixNano(),
+		workers:         make(map[string]*workerSlots),
+		renewing:        make(map[string]bool),
+		openConnections: func(string) int { return 0 },
+		onGrowth:        func() {},
+		grants:          grantTable{startupDelay: o.Term + o.Margin, term: o.Term, shards: make(map[string]*shardGrants)},
 	}
 	go func() {
 		defer close(l.Done)
@@ -139,25 +144,28 @@
 	return o
 }
 
-// Attach tells the lender how many connections are open to a worker and whom
-// to tell when more slots were lent.
+// Attach sets two functions: open returns the number of open connections to a
+// worker, and the lender calls grown when more slots were granted.
 func (l *Lender) Attach(open func(worker string) int, grown func()) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.open = open
-	l.grown = grown
+	l.openConnections = open
+	l.onGrowth = grown
 }
 
-// Serve answers messenger.Lend for the shards that this daemon owns.
+// Serve handles messenger.Lend: it grants slot leases for the shards that this
+// daemon owns. Its errors are *classifier.Error values with verdict NotRun.
 func (l *Lender) Serve(_ context.Context, params json.RawMessage) (any, error) {
-	var a ask
+	var a leaseRequest
 	if err := json.Unmarshal(params, &a); err != nil {
 		return nil, errMalformed
 	}
-	return l.lend(&a)
+	return l.grant(&a)
 }
 
-func (l *Lender) lend(a *ask) (*loans, error) {
+// grant answers a lease request. It fails unless this daemon is certain to own
+// the shard.
+func (l *Lender) grant(a *leaseRequest) (*leaseReply, error) {
 	table := l.table()
 	if table == nil {
 		return nil, errNotOwner
@@ -166,35 +174,40 @@
 	if !ok {
 		return nil, errNotOwner
 	}
-	out, ok := l.books.lend(a, epoch, table, l.valid, time.Now())
+	out, ok := l.grants.grant(a, epoch, table, l.isOwner, time.Now())
 	if !ok {
 		return nil, errNotOwner
 	}
 	return out, nil
 }
 
-// HandBack gives up every loan, for a planned stop after the last request.
+// HandBack returns all leased slots and the base share, so that other entry
+// hosts can use them at once. It is for a planned stop, after the last request
+// has ended.
 func (l *Lender) HandBack(ctx context.Context) {
 	l.lock.Lock()
 	l.closing = true
 	l.lock.Unlock()
-	for _, shard := range l.shards() {
-		l.borrow(ctx, shard)
-		l.borrow(ctx, shard)
+	// The first request still reports the leased slots as held, the second one
+	// reports them free.
+	for _, shard := range l.activeShards() {
+		l.renew(ctx, shard)
+		l.renew(ctx, shard)
 	}
-	if l.seat != nil {
-		l.seat.Release(ctx)
+	if l.share != nil {
+		l.share.Release(ctx)
 	}
 }
 
-// Close ends renewals. Loans lapse by themselves.
+// Close ends renewals. The slot leases expire by themselves.
 func (l *Lender) Close() error {
 	l.stop()
 	<-l.Done
 	return nil
 }
 
-// run renews loans at every interval, and at once when a request found no slot.
+// run renews the slot leases at every interval, and soon after a request found
+// no slot.
 func (l *Lender) run(ctx context.Context) {
 	tick := time.NewTicker(l.Options.Interval)
 	defer tick.Stop()
@@ -207,24 +220,24 @@
 		case <-tick.C:
 		case <-l.wake:
 		}
-		for _, shard := range l.shards() {
-			if !l.begin(shard) {
+		for _, shard := range l.activeShards() {
+			if !l.startRenewal(shard) {
 				continue
 			}
 			calls.Go(func() {
-				defer l.end(shard)
-				l.borrow(ctx, shard)
+				defer l.endRenewal(shard)
+				l.renew(ctx, shard)
 			})
 		}
-		l.pause(ctx)
+		l.waitPause(ctx)
 	}
 }
 
-// wakeDelay bounds how often unmet wants cause calls.
-const wakeDelay = 50 * time.Millisecond
+// minRenewalPause is the shortest time between two rounds of renewals.
+const minRenewalPause = 50 * time.Millisecond
 
-func (l *Lender) pause(ctx context.Context) {
-	timer := time.NewTimer(wakeDelay)
+func (l *Lender) waitPause(ctx context.Context) {
+	timer := time.NewTimer(minRenewalPause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -232,20 +245,21 @@
 	}
 }
 
-func (l *Lender) begin(shard string) bool {
+// startRenewal returns false if a renewal for the shard is in progress.
+func (l *Lender) startRenewal(shard string) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if l.asking[shard] {
+	if l.renewing[shard] {
 		return false
 	}
-	l.asking[shard] = true
+	l.renewing[shard] = true
 	return true
 }
 
-func (l *Lender) end(shard string) {
+func (l *Lender) endRenewal(shard string) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	delete(l.asking, shard)
+	delete(l.renewing, shard)
 }
 
 var _ messenger.Handler = (*Lender)(nil).Serve
--- a/internal/traffic/lender/lender_test.go
+++ b/internal/traffic/lender/lender_test.go
@@ -16,27 +16,28 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-var errLost = errors.New("lost")
+var errNoReply = errors.New("no reply")
 
-// world is a worker with 8 slots, entry hosts that share it, and owners that
-// change. Calls are delayed, lost, and answered after the caller has gone.
-type world struct {
-	t       *testing.T
-	lock    sync.Mutex
-	random  *rand.Rand
-	lenders map[string]*Lender
-	owner   string
-	epoch   int64
-	stale   bool // tables lag behind
-	cut     bool // no call arrives
-	flight  int
-	most    int
-	bound   int // requests in flight that are allowed
+// cluster simulates entry hosts that share one worker with 8 slots, whose shard
+// changes owners. Calls are delayed or lost, or answered after the caller has
+// given up.
+type cluster struct {
+	t        *testing.T
+	lock     sync.Mutex
+	random   *rand.Rand
+	lenders  map[string]*Lender
+	owner    string
+	epoch    int64
+	stale    bool // every routing table names its own host as the owner
+	isolated bool // no call arrives
+	inFlight int
+	peak     int // most requests in flight at once
+	limit    int // requests allowed in flight
 }
 
 var worker = describer.Backend{Worker: "w1", Shard: "s", Domain: "d", Region: "r", Slots: 8, Connections: 64}
 
-func (w *world) table(name string) func() *describer.RoutingTable {
+func (w *cluster) table(name string) func() *describer.RoutingTable {
 	return func() *describer.RoutingTable {
 		w.lock.Lock()
 		defer w.lock.Unlock()
@@ -52,29 +53,29 @@
 	}
 }
 
-func (w *world) Call(ctx context.Context, address, _ string, params, result any) error {
+func (w *cluster) Call(ctx context.Context, address, _ string, params, result any) error {
 	w.lock.Lock()
-	there, back := w.delay(), w.delay()
-	lost, cut, target := w.random.IntN(10) == 0, w.cut, w.lenders[address]
+	requestDelay, replyDelay := w.delay(), w.delay()
+	lost, isolated, target := w.random.IntN(10) == 0, w.isolated, w.lenders[address]
 	w.lock.Unlock()
-	if cut || target == nil {
-		return errLost
+	if isolated || target == nil {
+		return errNoReply
 	}
 	data, _ := json.Marshal(params)
-	answers := make(chan any, 1)
+	replies := make(chan any, 1)
 	go func() {
-		time.Sleep(there)
+		time.Sleep(requestDelay)
 		out, err := target.Serve(context.Background(), data)
-		time.Sleep(back)
+		time.Sleep(replyDelay)
 		if err != nil || lost {
 			out = nil
 		}
-		answers <- out
+		replies <- out
 	}()
 	select {
-	case out := <-answers:
+	case out := <-replies:
 		if out == nil {
-			return errLost
+			return errNoReply
 		}
 		data, _ := json.Marshal(out)
 		return json.Unmarshal(data, result)
@@ -83,134 +84,139 @@
 	}
 }
 
-func (w *world) delay() time.Duration {
+func (w *cluster) delay() time.Duration {
 	if w.random.IntN(20) == 0 {
 		return time.Duration(w.random.IntN(5000)) * time.Millisecond
 	}
 	return time.Duration(w.random.IntN(5)) * time.Millisecond
 }
 
-func (w *world) add(name string, seat *ShareLease) *Lender {
-	valid := func() bool {
+func (w *cluster) add(name string, share *ShareLease) *Lender {
+	isOwner := func() bool {
 		w.lock.Lock()
 		defer w.lock.Unlock()
 		return w.owner == name
 	}
-	l := New(Options{Name: name, Domain: "d"}, w.table(name), w, valid, seat, zerolog.Nop())
+	l := New(Options{Name: name, Domain: "d"}, w.table(name), w, isOwner, share, zerolog.Nop())
 	w.lock.Lock()
 	w.lenders[name] = l
 	w.lock.Unlock()
 	return l
 }
 
-func (w *world) own(name string) {
+// own makes the host the owner of the shard, in a new epoch.
+func (w *cluster) own(name string) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.owner = name
 	w.epoch++
 }
 
-// request occupies a slot until somewhat before its deadline.
-func (w *world) request(l *Lender, deadline, takes time.Duration) bool {
+// request takes a slot for the given time, at most until the deadline. It
+// returns false if there is no slot.
+func (w *cluster) request(l *Lender, deadline, duration time.Duration) bool {
 	release, ok := l.Acquire(worker, time.Now().Add(deadline))
 	if !ok {
 		return false
 	}
-	w.count(1)
+	w.addInFlight(1)
 	go func() {
-		time.Sleep(min(takes, deadline))
-		w.count(-1)
+		time.Sleep(min(duration, deadline))
+		w.addInFlight(-1)
 		release()
 	}()
 	return true
 }
 
-func (w *world) count(n int) {
+func (w *cluster) addInFlight(n int) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.flight += n
-	w.most = max(w.most, w.flight)
-	if w.flight > w.bound {
-		w.t.Errorf("%d requests in flight on %d slots", w.flight, w.bound)
+	w.inFlight += n
+	w.peak = max(w.peak, w.inFlight)
+	if w.inFlight > w.limit {
+		w.t.Errorf("%d requests in flight on %d slots", w.inFlight, w.limit)
 	}
 }
 
-func (w *world) close() {
+// close ends all lenders and lets requests and late replies end.
+func (w *cluster) close() {
 	for _, l := range w.lenders {
 		l.Close()
 	}
 	time.Sleep(time.Minute)
 }
 
-// TestSlotsNeverExceeded lets entry hosts come and go and owners change.
+// TestSlotsNeverExceeded guards against more requests in flight than slots, while
+// entry hosts restart, the shard changes owners, and calls are delayed or lost.
 func TestSlotsNeverExceeded(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { exercise(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runRandomLoad(t, seed) })
 		})
 	}
 }
 
-func exercise(t *testing.T, seed uint64) {
-	w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), lenders: map[string]*Lender{}, bound: worker.Slots - pool(worker)}
-	local := rand.New(rand.NewPCG(seed, 2))
+func runRandomLoad(t *testing.T, seed uint64) {
+	w := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
+	random := rand.New(rand.NewPCG(seed, 2))
 	w.own("a")
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
 		w.add(name, nil)
 	}
 	for i := range 3000 {
-		name := names[local.IntN(len(names))]
-		if local.IntN(10) > 0 {
-			name = names[i/250%len(names)] // demand wanders from host to host
+		name := names[random.IntN(len(names))]
+		if random.IntN(10) > 0 {
+			name = names[i/250%len(names)] // most requests go to one host, in turn
 		}
-		switch n := local.IntN(1200); {
+		switch n := random.IntN(1200); {
 		case n < 2:
 			w.own(name)
 		case n < 8:
 			w.lenders[name].Close()
 			w.add(name, nil)
 		}
-		deadline := time.Duration(1+local.IntN(30000)) * time.Millisecond
-		w.request(w.lenders[name], deadline, time.Duration(local.IntN(15000))*time.Millisecond)
-		time.Sleep(time.Duration(local.IntN(100)) * time.Millisecond)
+		deadline := time.Duration(1+random.IntN(30000)) * time.Millisecond
+		w.request(w.lenders[name], deadline, time.Duration(random.IntN(15000))*time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 	}
 	w.close()
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if w.most == 0 {
-		t.Error("nothing was ever lent")
+	if w.peak == 0 {
+		t.Error("no slot was ever leased")
 	}
 }
 
-// TestBaseShareServesWithoutOwner cuts the owner and the store off.
+// TestBaseShareServesWithoutOwner checks that base shares serve requests while
+// the shard's owner and the store are unavailable, and that they are bounded.
 func TestBaseShareServesWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, random: rand.New(rand.NewPCG(1, 1)), lenders: map[string]*Lender{}, cut: true, bound: 2}
+		w := &cluster{t: t, random: rand.New(rand.NewPCG(1, 1)), lenders: map[string]*Lender{}, isolated: true, limit: 2}
 		store := newStore()
-		seats := []*ShareLease{seat(store, "a"), seat(store, "b")}
+		shares := []*ShareLease{newTestShare(store, "a"), newTestShare(store, "b")}
 		time.Sleep(5 * time.Second)
 		store.setDown()
-		a, b := w.add("a", seats[0]), w.add("b", seats[1])
+		a, b := w.add("a", shares[0]), w.add("b", shares[1])
 		time.Sleep(time.Hour)
 		if !w.request(a, time.Second, time.Second) || !w.request(b, time.Minute, time.Second) {
-			t.Error("the base share must serve while owner and store are away")
+			t.Error("the base share must serve while owner and store are unavailable")
 		}
 		if w.request(a, time.Second, time.Second) {
 			t.Error("the base share must be bounded")
 		}
 		w.close()
-		for _, s := range seats {
+		for _, s := range shares {
 			s.Close()
 		}
 	})
 }
 
-// TestGrowth shows that a host alone gets the lendable half, and that two get
-// equal parts of it.
+// TestGrowth checks that a single host gets all lendable slots, and that two
+// hosts get half of them each.
 func TestGrowth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, random: rand.New(rand.NewPCG(9, 9)), lenders: map[string]*Lender{}, bound: worker.Slots - pool(worker)}
+		w := &cluster{t: t, random: rand.New(rand.NewPCG(9, 9)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
 		w.own("a")
 		a, b := w.add("a", nil), w.add("b", nil)
 		use := func(l *Lender) {
@@ -224,7 +230,7 @@
 		time.Sleep(DefaultTerm)
 		use(a)
 		if got := a.Limit(worker); got != 4 {
-			t.Errorf("alone: limit %d, want 4", got)
+			t.Errorf("single host: limit %d, want 4", got)
 		}
 		for range 200 {
 			w.request(a, 400*time.Millisecond, 300*time.Millisecond)
@@ -232,16 +238,17 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		if x, y := a.Limit(worker), b.Limit(worker); x != 2 || y != 2 {
-			t.Errorf("two: limits %d and %d, want 2 and 2", x, y)
+			t.Errorf("two hosts: limits %d and %d, want 2 and 2", x, y)
 		}
 		w.close()
 	})
 }
 
-// TestRefusals covers what lending rests on, one by one.
+// TestRefusals checks each rule that lending relies on: deadlines within the
+// lease, requests in order, and grants by the current owner only.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, random: rand.New(rand.NewPCG(4, 4)), lenders: map[string]*Lender{}, bound: 4}
+		w := &cluster{t: t, random: rand.New(rand.NewPCG(4, 4)), lenders: map[string]*Lender{}, limit: 4}
 		w.own("a")
 		a := w.add("a", nil)
 		a.Acquire(worker, time.Now().Add(time.Second))
@@ -251,75 +258,77 @@
 		}
 		time.Sleep(time.Second)
 		if _, ok := a.Acquire(worker, time.Now().Add(DefaultTerm)); ok {
-			t.Error("a request that outlasts the loan must not take a lent slot")
+			t.Error("a request that outlasts the lease must not take a leased slot")
 		}
 		if _, ok := a.Acquire(worker, time.Now().Add(time.Second)); !ok {
-			t.Error("a request within the loan must take a lent slot")
+			t.Error("a request within the lease must take a leased slot")
 		}
-		wants := []want{{Worker: worker.Worker, Want: 1}}
-		if _, err := a.lend(&ask{Host: "b", Sequence: 2, Shard: "s", Wants: wants}); err != nil {
+		demands := []demand{{Worker: worker.Worker, Want: 1}}
+		if _, err := a.grant(&leaseRequest{Host: "b", Sequence: 2, Shard: "s", Demands: demands}); err != nil {
 			t.Error(err)
 		}
-		if _, err := a.lend(&ask{Host: "b", Sequence: 1, Shard: "s"}); err == nil {
-			t.Error("a call overtaken by a later one must have no effect")
+		if _, err := a.grant(&leaseRequest{Host: "b", Sequence: 1, Shard: "s"}); err == nil {
+			t.Error("a request that arrives after a later one must have no effect")
 		}
 		w.add("b", nil)
 		w.lock.Lock()
-		w.owner, w.stale = "b", true // a's table lags behind, but its lease does not hold
+		w.owner, w.stale = "b", true // a's routing table is stale, but it no longer holds the shard's lease
 		w.lock.Unlock()
-		if _, err := a.lend(&ask{Host: "b", Sequence: 3, Shard: "s", Wants: wants}); err == nil {
-			t.Error("a former owner must not lend")
+		if _, err := a.grant(&leaseRequest{Host: "b", Sequence: 3, Shard: "s", Demands: demands}); err == nil {
+			t.Error("a former owner must not grant slots")
 		}
 		w.close()
 	})
 }
 
-// slow answers every call with a loan, after a while.
-type slow struct{}
+// slowOwner grants 4 slots in reply to every call, after a delay.
+type slowOwner struct{}
 
-func (slow) Call(_ context.Context, _, _ string, _, result any) error {
+func (slowOwner) Call(_ context.Context, _, _ string, _, result any) error {
 	time.Sleep(1500 * time.Millisecond)
-	*result.(*loans) = loans{Epoch: 1, Term: DefaultTerm, Loans: []grant{{Worker: worker.Worker, Slots: 4}}}
+	*result.(*leaseReply) = leaseReply{Epoch: 1, Term: DefaultTerm, Grants: []grant{{Worker: worker.Worker, Slots: 4}}}
 	return nil
 }
 
-// TestLoanCountsFromWhenSent delays the answer: the owner may have counted
-// from the moment at which the call was sent.
+// TestLoanCountsFromWhenSent guards against a lease that the entry host uses
+// after the owner takes it for expired: with a delayed reply, the owner may have
+// counted the term from the moment at which the request was sent.
 func TestLoanCountsFromWhenSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, owner: "elsewhere"}
-		l := New(Options{Name: "a"}, w.table("a"), slow{}, func() bool { return false }, nil, zerolog.Nop())
+		w := &cluster{t: t, owner: "elsewhere"}
+		l := New(Options{Name: "a"}, w.table("a"), slowOwner{}, func() bool { return false }, nil, zerolog.Nop())
 		sent := time.Now()
 		l.Acquire(worker, sent.Add(time.Second))
 		time.Sleep(1600 * time.Millisecond)
 		if got := l.Limit(worker); got != 4 {
-			t.Errorf("limit %d", got)
+			t.Errorf("limit %d, want 4", got)
 		}
 		if _, ok := l.Acquire(worker, sent.Add(DefaultTerm)); ok {
-			t.Error("the loan must end a term after it was asked for")
+			t.Error("the lease must end one term after the request was sent")
 		}
 		l.Close()
 	})
 }
 
-// counter counts calls and bytes, and lends nothing.
-type counter struct {
+// callCounter counts calls and bytes, and grants nothing.
+type callCounter struct {
 	calls int
 	bytes int
 }
 
-func (c *counter) Call(_ context.Context, _, _ string, params, _ any) error {
+func (c *callCounter) Call(_ context.Context, _, _ string, params, _ any) error {
 	data, _ := json.Marshal(params)
 	c.calls++
 	c.bytes += len(data)
-	return errLost
+	return errNoReply
 }
 
-// TestUnmetWantsDoNotFlood lets requests find no slot all the time.
+// TestUnmetWantsDoNotFlood checks that requests which find no slot do not cause
+// a call to the owner each.
 func TestUnmetWantsDoNotFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{t: t, owner: "elsewhere"}
-		c := new(counter)
+		w := &cluster{t: t, owner: "elsewhere"}
+		c := new(callCounter)
 		l := New(Options{Name: "a"}, w.table("a"), c, func() bool { return false }, nil, zerolog.Nop())
 		for range 10000 {
 			l.Acquire(worker, time.Now().Add(time.Second))
@@ -332,13 +341,14 @@
 	})
 }
 
-// TestCallSize logs what a worker adds to a call and its answer.
+// TestCallSize bounds the bytes that each worker adds to a lease request and its
+// reply.
 func TestCallSize(t *testing.T) {
 	size := func(workers int) (int, int) {
-		a, out := &ask{Host: "seq-bne-entry-1", Born: 1 << 60, Sequence: 1 << 20, Shard: "seq-bne-1"}, &loans{Epoch: 100, Term: DefaultTerm}
+		a, out := &leaseRequest{Host: "seq-bne-entry-1", Incarnation: 1 << 60, Sequence: 1 << 20, Shard: "seq-bne-1"}, &leaseReply{Epoch: 100, Term: DefaultTerm}
 		for i := range workers {
-			a.Wants = append(a.Wants, want{Worker: fmt.Sprintf("seq-bne-w%05d", i), Want: 3, Held: 2})
-			out.Loans = append(out.Loans, grant{Worker: fmt.Sprintf("seq-bne-w%05d", i), Slots: 3})
+			a.Demands = append(a.Demands, demand{Worker: fmt.Sprintf("seq-bne-w%05d", i), Want: 3, Held: 2})
+			out.Grants = append(out.Grants, grant{Worker: fmt.Sprintf("seq-bne-w%05d", i), Slots: 3})
 		}
 		x, _ := json.Marshal(a)
 		y, _ := json.Marshal(out)
@@ -346,8 +356,8 @@
 	}
 	x0, y0 := size(0)
 	x, y := size(100)
-	t.Logf("call %d + %.1f bytes a worker, answer %d + %.1f", x0, float64(x-x0)/100, y0, float64(y-y0)/100)
+	t.Logf("request %d + %.1f bytes per worker, reply %d + %.1f", x0, float64(x-x0)/100, y0, float64(y-y0)/100)
 	if (x-x0)/100 > 60 || (y-y0)/100 > 50 {
-		t.Error("more bytes for each worker than docs/notes/slots.md says")
+		t.Error("more bytes per worker than docs/notes/slots.md states")
 	}
 }
