--- a/internal/traffic/forwarder/claims.go
+++ b/internal/traffic/forwarder/claims.go
@@ -11,183 +11,196 @@
 )
 
 const (
-	claimTimeout = 2 * time.Second // of one call to the claimer, with a change of owner
-	maxClaims    = 1024            // keys remembered
-	maxCopied    = 16 << 10        // bytes of an answer that is remembered
+	claimTimeout   = 2 * time.Second // covers a change of the key's owner during the call
+	maxSavedClaims = 1024            // idempotency keys
+	maxSavedBody   = 16 << 10        // bytes
 )
 
-// claimState is what this entry host knows of a key.
+// claimState is how the request with a key has ended, as far as this entry host
+// knows.
 type claimState uint8
 
 const (
-	sending claimState = iota
-	mayHaveRun
-	notRun
-	answered
+	stateSending claimState = iota
+	stateMayHaveRun
+	stateNotRun
+	stateAnswered
 )
 
-// claims remembers the keys of requests that this entry host has sent or is
-// sending. Forgetting one is safe: the claimer still knows that it is taken.
-type claims struct {
-	lock  sync.Mutex
-	known map[string]*claimed
-	order []string // oldest first
+// claimTable holds the idempotency keys of requests that this entry host has
+// sent or is sending. An evicted key stays safe: the Claimer still knows that
+// it is claimed.
+type claimTable struct {
+	lock    sync.Mutex
+	entries map[string]*claimEntry
+	order   []string // oldest first
 }
 
-type claimed struct {
-	state claimState
-	owner string
-	owned map[string]bool // all names under which this entry host claimed the key
-	copy  *copied
+// claimEntry is the state of one key.
+type claimEntry struct {
+	state    claimState
+	owner    string
+	owners   map[string]bool // every owner name this entry host used for the key
+	response *savedResponse  // only for stateAnswered
 }
 
-// enter notes that owner is about to send. It returns the earlier entry when
-// the key is taken here.
-func (x *claims) enter(key, owner string) (earlier *claimed, ok bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	if x.known == nil {
-		x.known = make(map[string]*claimed)
+// begin registers that owner is about to send the request. It returns the
+// existing entry and false if the key is in use and its request may have run.
+func (t *claimTable) begin(key, owner string) (earlier *claimEntry, ok bool) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if t.entries == nil {
+		t.entries = make(map[string]*claimEntry)
 	}
-	e := x.known[key]
+	e := t.entries[key]
 	if e == nil {
-		x.forget()
-		x.known[key] = &claimed{owner: owner, owned: map[string]bool{owner: true}}
-		x.order = append(x.order, key)
+		t.evict()
+		t.entries[key] = &claimEntry{owner: owner, owners: map[string]bool{owner: true}}
+		t.order = append(t.order, key)
 		return nil, true
 	}
-	if e.state != notRun {
+	if e.state != stateNotRun {
 		earlier := *e
 		return &earlier, false
 	}
-	e.state = sending
+	e.state = stateSending
 	e.owner = owner
-	e.owned[owner] = true
+	e.owners[owner] = true
 	return nil, true
 }
 
-// forget makes room for one key. Keys that are being sent are kept.
-func (x *claims) forget() {
-	for i := 0; len(x.order) >= maxClaims && i < len(x.order); i++ {
-		key := x.order[0]
-		x.order = x.order[1:]
-		if x.known[key].state == sending {
-			x.order = append(x.order, key)
+// evict makes room for one key, oldest first. Keys of requests in flight are
+// kept.
+func (t *claimTable) evict() {
+	for i := 0; len(t.order) >= maxSavedClaims && i < len(t.order); i++ {
+		key := t.order[0]
+		t.order = t.order[1:]
+		if t.entries[key].state == stateSending {
+			t.order = append(t.order, key)
 			continue
 		}
-		delete(x.known, key)
+		delete(t.entries, key)
 	}
 }
 
-func (x *claims) isOwn(key, owner string) bool {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	e := x.known[key]
-	return e != nil && e.owned[owner]
+// isClaimedHere reports whether this entry host claimed the key under owner.
+func (t *claimTable) isClaimedHere(key, owner string) bool {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	e := t.entries[key]
+	return e != nil && e.owners[owner]
 }
 
-func (x *claims) failed(key, owner string, failure *classifier.Error) {
-	state := mayHaveRun
+// recordFailure notes that the request failed. The key can be used again if the
+// verdict says that the request has not run.
+func (t *claimTable) recordFailure(key, owner string, failure *classifier.Error) {
+	state := stateMayHaveRun
 	if failure.Verdict == classifier.NotRun {
-		state = notRun
+		state = stateNotRun
 	}
-	x.end(key, owner, state, nil)
+	t.finish(key, owner, state, nil)
 }
 
-func (x *claims) answered(key, owner string, c *copied) {
-	if c.cut {
-		x.end(key, owner, mayHaveRun, nil)
+// recordResponse keeps the response for a repetition of the request.
+func (t *claimTable) recordResponse(key, owner string, r *savedResponse) {
+	if r.tooLarge {
+		t.finish(key, owner, stateMayHaveRun, nil)
 		return
 	}
-	x.end(key, owner, answered, c)
+	t.finish(key, owner, stateAnswered, r)
 }
 
-func (x *claims) end(key, owner string, state claimState, c *copied) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	e := x.known[key]
+// finish sets the state of the key, unless another request has taken it over.
+func (t *claimTable) finish(key, owner string, state claimState, r *savedResponse) {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	e := t.entries[key]
 	if e == nil || e.owner != owner {
 		return
 	}
 	e.state = state
-	e.copy = c
+	e.response = r
 }
 
-// copied is a whole answer kept for a caller that repeats its request.
-type copied struct {
-	status int
-	header http.Header
-	body   []byte
-	cut    bool // too large to keep
+// savedResponse is a whole response, kept for a caller that repeats its request.
+type savedResponse struct {
+	status   int
+	header   http.Header
+	body     []byte
+	tooLarge bool // body exceeded maxSavedBody
 }
 
-func newCopied(a *answer) *copied {
-	c := &copied{status: a.StatusCode, header: make(http.Header)}
-	passHeaders(c.header, a.Header)
-	return c
+func newSavedResponse(r *backendResponse) *savedResponse {
+	s := &savedResponse{status: r.StatusCode, header: make(http.Header)}
+	copyEndToEndHeaders(s.header, r.Header)
+	return s
 }
 
-func (c *copied) add(b []byte) {
-	if c == nil || c.cut {
+// add appends a piece of the body. It accepts a nil receiver, for requests
+// without a key.
+func (s *savedResponse) add(b []byte) {
+	if s == nil || s.tooLarge {
 		return
 	}
-	if len(c.body)+len(b) > maxCopied {
-		c.cut = true
-		c.body = nil
+	if len(s.body)+len(b) > maxSavedBody {
+		s.tooLarge = true
+		s.body = nil
 		return
 	}
-	c.body = append(c.body, b...)
+	s.body = append(s.body, b...)
 }
 
-// replay answers a repeated key from memory or refuses it. Otherwise it notes
-// that the request is about to be sent, and returns false.
-func (f *Forwarder) replay(w http.ResponseWriter, c *call) bool {
+// answerRepeat answers a request whose key was used before, with the saved
+// response or a refusal, and returns true. For a new key it registers the request
+// and returns false.
+func (f *Forwarder) answerRepeat(w http.ResponseWriter, c *call) bool {
 	c.key = c.tenant + "/" + c.service + "/" + c.key
-	c.owner = fmt.Sprintf("%s/%d/%d", f.Options.Name, f.born, f.serial.Add(1))
-	earlier, ok := f.claims.enter(c.key, c.owner)
+	c.owner = fmt.Sprintf("%s/%d/%d", f.Options.Name, f.incarnation, f.claimSequence.Add(1))
+	earlier, ok := f.claims.begin(c.key, c.owner)
 	if ok {
 		return false
 	}
-	if earlier.state != answered {
-		classifier.WriteError(w, repeated(earlier.owner))
+	if earlier.state != stateAnswered {
+		classifier.WriteError(w, errRepeated(earlier.owner))
 		return true
 	}
-	passHeaders(w.Header(), earlier.copy.header)
+	copyEndToEndHeaders(w.Header(), earlier.response.header)
 	w.Header().Set(VerdictHeader, classifier.Ran.String())
-	w.WriteHeader(earlier.copy.status)
-	_, _ = w.Write(earlier.copy.body)
+	w.WriteHeader(earlier.response.status)
+	_, _ = w.Write(earlier.response.body)
 	return true
 }
 
-// claim takes the key before the first byte is sent. A retry holds it already.
-func (f *Forwarder) claim(ctx context.Context, c *call) error {
+// claimKey records the key with the Claimer before the first byte is sent. A
+// retry has claimed it already.
+func (f *Forwarder) claimKey(ctx context.Context, c *call) error {
 	if c.key == "" || c.claimed {
 		return nil
 	}
 	if f.claimer == nil {
-		return errUnclaimed(nil)
+		return errNotClaimed(nil)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	fresh, first, err := f.claimer.Claim(ctx, c.key, c.owner)
 	if err != nil {
-		return errUnclaimed(err)
+		return errNotClaimed(err)
 	}
-	if !fresh && !f.claims.isOwn(c.key, first) {
-		return repeated(first)
+	if !fresh && !f.claims.isClaimedHere(c.key, first) {
+		return errRepeated(first)
 	}
 	c.claimed = true
 	return nil
 }
 
-func errUnclaimed(err error) error {
+func errNotClaimed(err error) error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusServiceUnavailable, Code: "unclaimed", Field: KeyHeader,
 		Message: "the idempotency key could not be recorded", RetryAfter: time.Second, Err: err,
 	}
 }
 
-func repeated(first string) error {
+func errRepeated(first string) error {
 	return &classifier.Error{
 		Verdict: classifier.MayHaveRun, Status: http.StatusConflict, Code: "repeated", Field: KeyHeader,
 		Message: "the key was used before, by " + first,
--- a/internal/traffic/forwarder/claims_test.go
+++ b/internal/traffic/forwarder/claims_test.go
@@ -13,14 +13,14 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/forwarder"
 )
 
-// ledger is a Claimer that several entry hosts share.
-type ledger struct {
-	lock   sync.Mutex
-	owners map[string]string
-	lose   bool // record the claim, lose the answer
+// sharedClaims is a Claimer that several entry hosts use.
+type sharedClaims struct {
+	lock      sync.Mutex
+	owners    map[string]string
+	loseReply bool // the next claim is recorded, but its reply is lost
 }
 
-func (l *ledger) Claim(_ context.Context, key, owner string) (bool, string, error) {
+func (l *sharedClaims) Claim(_ context.Context, key, owner string) (bool, string, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if first, ok := l.owners[key]; ok {
@@ -30,24 +30,24 @@
 		l.owners = make(map[string]string)
 	}
 	l.owners[key] = owner
-	if l.lose {
-		l.lose = false
-		return false, "", errors.New("answer lost")
+	if l.loseReply {
+		l.loseReply = false
+		return false, "", errors.New("reply lost")
 	}
 	return true, owner, nil
 }
 
 var _ = Describe("Idempotency key", func() {
 	var (
-		shared *ledger
+		shared *sharedClaims
 		runs   atomic.Int64
-		one    *bench
-		two    *bench
+		one    *testHost
+		two    *testHost
 	)
 	start := func(handler http.HandlerFunc) {
-		shared = new(ledger)
+		shared = new(sharedClaims)
 		runs.Store(0)
-		one, two = &bench{claimer: shared}, &bench{claimer: shared}
+		one, two = &testHost{claimer: shared}, &testHost{claimer: shared}
 		one.add(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodHead {
 				return
@@ -61,7 +61,7 @@
 	}
 	key := []string{forwarder.KeyHeader, "7f3a"}
 
-	It("replays the remembered answer at the same entry host", func() {
+	It("answers a repetition at the same entry host with the saved response", func() {
 		start(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("held")) })
 		Expect(text(one.do("POST", "/svc/desk/", "hold", key...))).To(Equal("held"))
 		Expect(text(one.do("POST", "/svc/desk/", "hold", key...))).To(Equal("held"))
@@ -99,9 +99,9 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("sends nothing when the key cannot be recorded, and lets the same entry host try again", func() {
+	It("sends nothing when the key cannot be recorded, and accepts a repetition at the same entry host", func() {
 		start(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("held")) })
-		shared.lose = true
+		shared.loseReply = true
 		status, f := one.failure("POST", "/svc/desk/", "hold", key...)
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
 		Expect(f.Verdict).To(Equal("not-run"))
@@ -111,7 +111,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("does not send again after an answer that broke off", func() {
+	It("does not send the request again after a truncated response", func() {
 		start(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 		_, f := one.failure("POST", "/svc/desk/", "hold", key...)
 		Expect(f.Verdict).To(Equal("may-have-run"))
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -22,36 +22,37 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/router"
 )
 
-// The compared fleet serves 800 requests a second.
+// The simulated fleet can serve 800 requests a second.
 const (
 	fleetSize  = 4
-	slots      = 8
+	slots      = 8 // per server
 	meanWork   = 40 * time.Millisecond
-	fleetRate  = 800.0
+	fleetRate  = 800.0 // requests a second
 	runTime    = 4 * time.Second
 	callerTime = 400 * time.Millisecond
 )
 
-// machine is a backend server whose requests queue for its real slots.
-type machine struct {
+// testServer is a backend server that works on a limited number of requests at a
+// time and queues the others.
+type testServer struct {
 	*httptest.Server
 	slots  chan struct{}
-	slow   float64
-	thrash bool        // work takes longer with more than half of the slots in use
-	silent atomic.Bool // the next request's connection falls silent
-	dead   sync.Map    // silent connections by remote address
+	slow   float64     // factor on the work
+	thrash bool        // requests take longer when more than half of the slots are in use
+	silent atomic.Bool // the connection of the next request stalls
+	dead   sync.Map    // stalled connections by remote address
 
 	lock   sync.Mutex
 	random *rand.Rand
 }
 
-func newMachine(seed uint64) *machine {
-	m := &machine{slots: make(chan struct{}, slots), slow: 1, random: rand.New(rand.NewPCG(seed, 3))}
+func newTestServer(seed uint64) *testServer {
+	m := &testServer{slots: make(chan struct{}, slots), slow: 1, random: rand.New(rand.NewPCG(seed, 3))}
 	m.Server = httptest.NewServer(m)
 	return m
 }
 
-func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (m *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if m.silent.CompareAndSwap(true, false) {
 		m.dead.Store(r.RemoteAddr, true)
 	}
@@ -82,46 +83,46 @@
 	io.WriteString(w, "held")
 }
 
-// thrash lets half of the declared slots serve what all should, and work take
-// longer beyond that.
-func thrash(all []*machine) {
+// thrash makes each server reach its full rate with half of its slots in use,
+// and slow down beyond that.
+func thrash(all []*testServer) {
 	for _, m := range all {
 		m.slow = 0.5
 		m.thrash = true
 	}
 }
 
-// variant is a way of forwarding that is compared.
+// variant is a configuration of the forwarder.
 type variant struct {
-	name   string
-	policy router.Policy
-	hedge  float64
-	open   bool // no limits: every request is sent at once
-	plain  bool // no outlier ejection
+	name       string
+	policy     router.Policy
+	hedge      float64
+	noLimits   bool // every request is sent at once
+	noEjection bool
 }
 
 var variants = []variant{
 	{name: "dotterelcart"},
-	{name: "random", policy: router.Random{}, hedge: -1, plain: true},
-	{name: "roundrobin", policy: new(router.RoundRobin), hedge: -1, plain: true},
-	{name: "nolimits", hedge: -1, plain: true, open: true},
+	{name: "random", policy: router.Random{}, hedge: -1, noEjection: true},
+	{name: "roundrobin", policy: new(router.RoundRobin), hedge: -1, noEjection: true},
+	{name: "nolimits", hedge: -1, noEjection: true, noLimits: true},
 	{name: "nohedging", hedge: -1},
 }
 
 var situations = []struct {
-	name string
-	load float64 // times what the fleet can serve
-	harm func(all []*machine)
+	name    string
+	load    float64 // as a multiple of fleetRate
+	disturb func(all []*testServer)
 }{
-	{"steady", 0.6, func([]*machine) {}},
-	{"noisy", 0.6, func(all []*machine) { all[0].slow = 4 }},
-	{"silent", 0.6, func(all []*machine) { all[0].silent.Store(true) }},
+	{"steady", 0.6, func([]*testServer) {}},
+	{"noisy", 0.6, func(all []*testServer) { all[0].slow = 4 }},
+	{"silent", 0.6, func(all []*testServer) { all[0].silent.Store(true) }},
 	{"thrash", 1.5, thrash},
-	{"overload1.5", 1.5, func([]*machine) {}},
-	{"overload3", 3, func([]*machine) {}},
+	{"overload1.5", 1.5, func([]*testServer) {}},
+	{"overload3", 3, func([]*testServer) {}},
 }
 
-// BenchmarkCompare runs every variant in every situation on the same seed:
+// BenchmarkCompare runs every variant in every situation with the same seed:
 //
 //	go test -run xxx -bench Compare -benchtime 1x ./internal/traffic/forwarder
 func BenchmarkCompare(b *testing.B) {
@@ -129,8 +130,8 @@
 		for _, v := range variants {
 			b.Run(s.name+"/"+v.name, func(b *testing.B) {
 				for b.Loop() {
-					report := compare(b, v, s.load, s.harm, []loader.Kind{kind("minara", 1)})
-					show(b, report.Rows[0])
+					report := compare(b, v, s.load, s.disturb, []loader.Kind{kind("minara", 1)})
+					reportMetrics(b, report.Rows[0])
 					b.ReportMetric(report.Goodput(), "good/s")
 				}
 			})
@@ -138,15 +139,15 @@
 	}
 }
 
-// BenchmarkTenants shows the tenant with a tenth of its share beside one with
-// ten times its share.
+// BenchmarkTenants measures a tenant that uses a tenth of its share beside one that
+// offers ten times its share.
 func BenchmarkTenants(b *testing.B) {
 	for _, v := range variants {
 		b.Run(v.name, func(b *testing.B) {
 			for b.Loop() {
 				mix := []loader.Kind{kind("minara", 0.05), kind("council", 5)}
-				report := compare(b, v, 5.05, func([]*machine) {}, mix)
-				show(b, report.Rows[0])
+				report := compare(b, v, 5.05, func([]*testServer) {}, mix)
+				reportMetrics(b, report.Rows[0])
 				b.ReportMetric(float64(report.Rows[1].Answered)/runTime.Seconds(), "council-good/s")
 			}
 		})
@@ -157,28 +158,28 @@
 	return loader.Kind{Tenant: tenant, Service: "desk", Share: share, Deadline: parser.Duration(callerTime)}
 }
 
-func compare(b *testing.B, v variant, load float64, harm func([]*machine), mix []loader.Kind) loader.Report {
-	var all []*machine
+func compare(b *testing.B, v variant, load float64, disturb func([]*testServer), mix []loader.Kind) loader.Report {
+	var all []*testServer
 	table := &describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{}}
 	for i := range fleetSize {
-		m := newMachine(uint64(i))
+		m := newTestServer(uint64(i))
 		defer m.Close()
 		defer m.CloseClientConnections()
 		all = append(all, m)
 		lent := slots
-		if v.open {
+		if v.noLimits {
 			lent = 10000
 		}
 		table.Services["desk"] = append(table.Services["desk"], describer.Backend{
 			Worker: fmt.Sprint(i), Address: m.Listener.Addr().String(), Domain: "d", Region: "r", Slots: lent, Connections: 8 * lent,
 		})
 	}
-	harm(all)
+	disturb(all)
 	options := forwarder.Options{
 		Domain: "d", Region: "r", Policy: v.policy, HedgeRatio: v.hedge, Slots: &router.FixedShare{Hosts: 1},
 		Traffic: parser.Traffic{Silence: parser.Duration(300 * time.Millisecond)},
 	}
-	if v.plain {
+	if v.noEjection {
 		options.Health = router.Health{MaxFailures: 1 << 30, SlowFactor: 1 << 30}
 	}
 	teams := []describer.Team{{Name: "minara", Weight: 1}, {Name: "council", Weight: 1}}
@@ -196,7 +197,7 @@
 	return report
 }
 
-func show(b *testing.B, row *loader.KindReport) {
+func reportMetrics(b *testing.B, row *loader.KindReport) {
 	b.ReportMetric(float64(row.Quantile(0.5).Microseconds())/1000, "p50-ms")
 	b.ReportMetric(float64(row.Quantile(0.99).Microseconds())/1000, "p99-ms")
 	b.ReportMetric(float64(row.Quantile(0.999).Microseconds())/1000, "p99.9-ms")
@@ -205,7 +206,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkHop measures what forwarding adds to a bare request.
+// BenchmarkHop compares a forwarded request with a direct one.
 func BenchmarkHop(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "held") }))
 	defer backend.Close()
@@ -223,12 +224,12 @@
 			for b.Loop() {
 				r, _ := http.NewRequest(http.MethodGet, url+"/svc/desk/", strings.NewReader(""))
 				r.Header.Set(forwarder.TenantHeader, "minara")
-				answer, err := http.DefaultClient.Do(r)
+				response, err := http.DefaultClient.Do(r)
 				if err != nil {
 					b.Fatal(err)
 				}
-				io.Copy(io.Discard, answer.Body)
-				answer.Body.Close()
+				io.Copy(io.Discard, response.Body)
+				response.Body.Close()
 			}
 		})
 	}
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -1,22 +1,24 @@
-// Package forwarder answers callers' requests to services by sending them to
-// backend servers.
+// Package forwarder is the reverse proxy of an entry host: it forwards callers'
+// requests for a service to the service's backend servers, with queueing, retries
+// and hedging.
 //
 // # Requests
 //
-// A caller asks for /svc/<service>/<rest>; the backend server is asked for
-// /<rest>. These headers say how:
+// A request for /svc/<service>/<rest> is forwarded as a request for /<rest>.
+// Callers set these headers:
 //
-//	Dotterel-Tenant: minara        who asks; must be a configured team
-//	Dotterel-Class: hold           queue and histograms; "default" if absent
-//	Dotterel-Deadline: 1500ms      time left for the whole answer
-//	Dotterel-Idempotent: true      a POST or PATCH that may be repeated
-//	Idempotency-Key: 7f3a          a POST or PATCH that is sent at most once for this key
+//	Dotterel-Tenant: minara        name of the tenant, a configured team; required
+//	Dotterel-Class: hold           selects the queue and the metrics; "default" if absent
+//	Dotterel-Deadline: 1500ms      time limit for the whole response
+//	Dotterel-Idempotent: true      the POST or PATCH may be sent more than once
+//	Idempotency-Key: 7f3a          the POST or PATCH is sent at most once for this key
 //
-// # Answers
+// # Responses
 //
-// An answer of the backend server is passed on as it arrives. If it breaks
-// off, the caller's connection is aborted, so that no part of an answer looks
-// like the whole. Any failure before that is JSON with a verdict:
+// The response of the backend server is streamed to the caller. If it is
+// truncated, the caller's connection is aborted, so that the caller can't take it
+// for the whole. A failure before that is reported in JSON, with a verdict that
+// says whether the request may have run (see package classifier):
 //
 //	{"code":"late","message":"...","field":"","verdict":"not-run","retry":"350ms"}
 package forwarder
@@ -41,56 +43,60 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/router"
 )
 
-// Claimer records who sends a request with an idempotency key. It is asked
-// before the first byte of the request is sent.
+// Claimer records which request first used an idempotency key. The forwarder
+// asks it before it sends the first byte of the request.
 type Claimer interface {
-	// Claim returns fresh if owner is the first to claim the key, and the
-	// first owner otherwise. After an error the key may have been claimed.
+	// Claim records owner for the key. fresh is true if the key was not
+	// claimed before; otherwise first is the owner that claimed it. After an
+	// error the key may or may not have been claimed.
 	Claim(ctx context.Context, key, owner string) (fresh bool, first string, err error)
 }
 
 // Options are the settings of a forwarder. Zero fields take defaults.
 type Options struct {
-	Name       string // of the entry host
-	Domain     string // its failure domain
-	Region     string
+	Name       string // name of the entry host
+	Domain     string // failure domain of the entry host
+	Region     string // region of the entry host
 	Traffic    parser.Traffic
-	Slots      router.SlotSource // nil: a third of each worker's slots, for tests
-	Policy     router.Policy     // router.LeastLoaded if nil
+	Slots      router.SlotSource // nil takes a third of each worker's slots, for tests
+	Policy     router.Policy     // nil takes router.LeastLoaded
 	Health     router.Health
-	HedgeRatio float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
+	HedgeRatio float64 // second attempts per first attempt; 0 takes 0.05, negative disables hedging
 	Seed       uint64
 	// Connections returns how many connections to the backend server may be
-	// open; nil takes eight for each slot lent.
+	// open; nil takes those that belong to this entry host's share of slots.
 	Connections func(b describer.Backend) int
 }
 
-// Forwarder is an http.Handler for callers.
+// Forwarder is the http.Handler for callers' requests.
 type Forwarder struct {
 	Options    Options
 	Router     *router.Router
 	Dialer     *dialer.Dialer
 	Limiter    *limiter.Limiter[*router.Slot]
 	LinkBudget *router.LinkBudget
-	Done       chan struct{} // closed when upkeep has ended
+	Done       chan struct{} // closed when the background goroutine has ended
 
-	table   func() *describer.RoutingTable
-	teams   func() []describer.Team
-	claimer Claimer
-	log     zerolog.Logger
-	metrics *metrics
-	weights weights
-	retries *retrier.Budget
-	hedges  *retrier.Budget
-	delays  delays
-	claims  claims
-	gate    gate
-	stop    context.CancelFunc
-	serial  atomic.Int64
-	born    int64 // tells this process from earlier ones of the same name
+	table         func() *describer.RoutingTable
+	teams         func() []describer.Team
+	claimer       Claimer
+	log           zerolog.Logger
+	metrics       *metrics
+	weights       teamWeights
+	retries       *retrier.Budget
+	hedges        *retrier.Budget
+	stats         responseStats
+	claims        claimTable
+	tracker       requestTracker
+	stop          context.CancelFunc
+	claimSequence atomic.Int64
+	incarnation   int64 // start time in Unix nanoseconds; differs from earlier processes of this name
 }
 
-// New returns a forwarder that is ready to serve. Close ends its probes.
+// New returns a forwarder that is ready to serve. table returns the current
+// routing table, which may be nil; teams returns the configured tenants. Without a
+// claimer, requests with an idempotency key are refused. A nil scope disables
+// metrics. Close ends the forwarder.
 func New(
 	o Options,
 	table func() *describer.RoutingTable,
@@ -100,26 +106,26 @@
 	log zerolog.Logger,
 ) *Forwarder {
 	o = withDefaults(o)
-	link := router.NewLinkBudget(o.Traffic.Link)
+	linkBudget := router.NewLinkBudget(o.Traffic.Link)
 	f := &Forwarder{
-		Options:    o,
-		born:       time.Now().UnixNano(),
-		LinkBudget: link,
-		Done:       make(chan struct{}),
-		table:      table,
-		teams:      teams,
-		claimer:    claimer,
-		log:        log.With().Str("part", "forwarder").Logger(),
-		metrics:    newMetrics(scope),
-		retries:    retrier.NewBudget(o.Traffic.Budget, retryReserve),
-		hedges:     retrier.NewBudget(o.HedgeRatio, hedgeReserve),
+		Options:     o,
+		incarnation: time.Now().UnixNano(),
+		LinkBudget:  linkBudget,
+		Done:        make(chan struct{}),
+		table:       table,
+		teams:       teams,
+		claimer:     claimer,
+		log:         log.With().Str("part", "forwarder").Logger(),
+		metrics:     newMetrics(scope),
+		retries:     retrier.NewBudget(o.Traffic.Budget, retryReserve),
+		hedges:      retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
 		Domain:     o.Domain,
 		Region:     o.Region,
 		Policy:     o.Policy,
 		Health:     o.Health,
-		LinkBudget: link,
+		LinkBudget: linkBudget,
 		Seed:       o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
@@ -127,28 +133,30 @@
 		Connections:  o.Connections,
 	})
 	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
-	if s, ok := o.Slots.(attacher); ok {
+	if s, ok := o.Slots.(dynamicSlots); ok {
 		s.Attach(f.Dialer.OpenConnections, f.Limiter.Dispatch)
 	}
-	f.gate.init()
+	f.tracker.init()
 	ctx, stop := context.WithCancel(context.Background())
 	f.stop = stop
 	go func() {
 		defer close(f.Done)
-		f.upkeep(ctx)
+		f.runMaintenance(ctx)
 	}()
 	return f
 }
 
-// attacher is implemented by Slots that change: they ask how many connections
-// are open, and tell when there are more slots than before.
-type attacher interface {
+// dynamicSlots is implemented by a SlotSource whose limits change. It calls open
+// for the number of connections to a worker, and grown when there are more slots.
+type dynamicSlots interface {
 	Attach(open func(worker string) int, grown func())
 }
 
-// writeSlack is how long after its deadline a failure may still be written.
-const writeSlack = time.Second
+// writeGrace is how long after its deadline a request's failure may still be
+// written.
+const writeGrace = time.Second
 
+// Defaults and bounds of Options.
 const (
 	retryReserve = 10
 	hedgeReserve = 2
@@ -158,7 +166,7 @@
 	defaultDeadline = 10 * time.Second
 	defaultBudget   = 0.1
 	defaultHedge    = 0.05
-	entryHosts      = 3
+	defaultHosts    = 3
 )
 
 func withDefaults(o Options) Options {
@@ -179,7 +187,7 @@
 		o.HedgeRatio = defaultHedge
 	}
 	if o.Slots == nil {
-		o.Slots = &router.FixedShare{Hosts: entryHosts}
+		o.Slots = &router.FixedShare{Hosts: defaultHosts}
 	}
 	if o.Connections == nil {
 		slots := o.Slots
@@ -193,94 +201,95 @@
 // ServeHTTP implements http.Handler.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
-	ctx, leave, ok := f.gate.enter(r.Context())
+	ctx, end, ok := f.tracker.begin(r.Context())
 	if !ok {
 		w.Header().Set("Connection", "close")
 		classifier.WriteError(w, errStopping)
 		return
 	}
-	defer leave()
-	call, err := f.read(r)
+	defer end()
+	call, err := f.parseRequest(r)
 	if err != nil {
-		f.metrics.refused(call)
+		f.metrics.countRefusal(call)
 		classifier.WriteError(w, err)
 		return
 	}
-	call.ends = start.Add(call.deadline)
-	defer func() { f.metrics.finished(call, time.Since(start)) }()
-	ctx, cancel := context.WithDeadline(ctx, call.ends)
+	call.deadline = start.Add(call.timeout)
+	defer func() { f.metrics.recordRequest(call, time.Since(start)) }()
+	ctx, cancel := context.WithDeadline(ctx, call.deadline)
 	defer cancel()
 	control := http.NewResponseController(w)
-	_ = control.SetWriteDeadline(call.ends.Add(writeSlack))
+	_ = control.SetWriteDeadline(call.deadline.Add(writeGrace))
 	defer func() { _ = control.SetWriteDeadline(time.Time{}) }()
 	f.handle(ctx, w, r, call)
 }
 
-// handle answers a request that was read without a fault.
+// handle answers a request whose headers are valid.
 func (f *Forwarder) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
-	body, err := newPayload(w, r, f.Options.Traffic.Body, c.ends)
+	body, err := newRequestBody(w, r, f.Options.Traffic.Body, c.deadline)
 	if err != nil {
-		f.metrics.refused(c)
+		f.metrics.countRefusal(c)
 		classifier.WriteError(w, err)
 		return
 	}
 	c.body = body
-	if c.key != "" && f.replay(w, c) {
+	if c.key != "" && f.answerRepeat(w, c) {
 		return
 	}
 	if c.body.source != nil {
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
-	answer, err := f.send(ctx, c)
+	response, err := f.sendWithRetries(ctx, c)
 	if err != nil {
-		c.body.release(w)
+		c.body.abandon(w)
 		f.fail(w, c, err)
 		return
 	}
-	defer answer.close()
-	f.pass(ctx, w, c, answer)
+	defer response.close()
+	f.writeResponse(ctx, w, c, response)
 }
 
-// fail answers with a failure and notes whether it was a refusal.
+// fail writes an error response and records the end of the request's key.
 func (f *Forwarder) fail(w http.ResponseWriter, c *call, err error) {
-	failure := asFailure(err)
+	e := asError(err)
 	if c.key != "" {
-		f.claims.failed(c.key, c.owner, failure)
+		f.claims.recordFailure(c.key, c.owner, e)
 	}
-	if failure.Verdict == classifier.NotRun {
-		f.metrics.refused(c)
+	if e.Verdict == classifier.NotRun {
+		f.metrics.countRefusal(c)
 	}
-	f.log.Debug().Str("tenant", c.tenant).Str("class", c.class).Str("code", failure.Code).AnErr("cause", failure.Err).Stringer("verdict", failure.Verdict).Msg("request failed")
-	classifier.WriteError(w, failure)
+	f.log.Debug().Str("tenant", c.tenant).Str("class", c.class).Str("code", e.Code).AnErr("cause", e.Err).Stringer("verdict", e.Verdict).Msg("request failed")
+	classifier.WriteError(w, e)
 }
 
 // Drain refuses new requests and waits until those in flight have ended or
-// ctx is done. It returns how many were cut off then.
-func (f *Forwarder) Drain(ctx context.Context) (cut int) {
-	cut = f.gate.drain(ctx)
-	if cut > 0 {
-		f.log.Warn().Int("cut", cut).Msg("requests cut off")
+// ctx is done. It then aborts the remaining ones and returns their number.
+func (f *Forwarder) Drain(ctx context.Context) (aborted int) {
+	aborted = f.tracker.drain(ctx)
+	if aborted > 0 {
+		f.log.Warn().Int("cut", aborted).Msg("requests aborted")
 	}
-	return cut
+	return aborted
 }
 
-// Close ends the forwarder's goroutines and closes idle connections.
+// Close ends the background goroutines and closes idle connections.
 func (f *Forwarder) Close() error {
 	f.stop()
 	<-f.Done
 	return f.Dialer.Close()
 }
 
-// Intervals of upkeep.
+// Intervals of runMaintenance.
 const (
-	kickInterval = 20 * time.Millisecond
-	keepEvery    = 250 // kicks between looks for workers that are gone
+	dispatchInterval = 20 * time.Millisecond
+	pruneEvery       = 250 // dispatches between two calls of pruneConnections
 )
 
-// upkeep looks for places that came free without a request's end, such as
-// after an ejection or with a new routing table.
-func (f *Forwarder) upkeep(ctx context.Context) {
-	tick := time.NewTicker(kickInterval)
+// runMaintenance dispatches queued requests to slots that came free without the
+// end of a request, such as after an ejection or with a new routing table. Now
+// and then it closes connections to workers that are gone.
+func (f *Forwarder) runMaintenance(ctx context.Context) {
+	tick := time.NewTicker(dispatchInterval)
 	defer tick.Stop()
 	for i := 1; ; i++ {
 		select {
@@ -289,14 +298,15 @@
 		case <-tick.C:
 		}
 		f.Limiter.Dispatch()
-		if i%keepEvery == 0 {
-			f.keep()
+		if i%pruneEvery == 0 {
+			f.pruneConnections()
 		}
 	}
 }
 
-// keep closes the connections to workers that the table no longer names.
-func (f *Forwarder) keep() {
+// pruneConnections closes the connections to workers that are not in the routing
+// table.
+func (f *Forwarder) pruneConnections() {
 	table := f.table()
 	if table == nil {
 		return
@@ -310,37 +320,40 @@
 	f.Dialer.Prune(func(worker string) bool { return known[worker] })
 }
 
-// weights finds a team's weight in the latest list.
-type weights struct {
+// teamWeights looks up the weights of teams, by an index of the latest list.
+type teamWeights struct {
 	lock  sync.Mutex
 	teams []describer.Team
 	index map[string]int
 }
 
-// of returns the team's weight; ok is false for an unknown team. The index is
-// remade when the list is another one.
-func (x *weights) of(teams []describer.Team, name string) (weight int, ok bool) {
-	x.lock.Lock()
-	defer x.lock.Unlock()
-	if !isSame(x.teams, teams) || x.index == nil {
-		x.teams = teams
-		x.index = make(map[string]int, len(teams))
+// lookup returns the team's weight, or false for an unknown team. It rebuilds the
+// index when teams is another slice than in the last call.
+func (w *teamWeights) lookup(teams []describer.Team, name string) (weight int, ok bool) {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if !isSameSlice(w.teams, teams) || w.index == nil {
+		w.teams = teams
+		w.index = make(map[string]int, len(teams))
 		for _, t := range teams {
-			x.index[t.Name] = max(t.Weight, 1)
+			w.index[t.Name] = max(t.Weight, 1)
 		}
 	}
-	weight, ok = x.index[name]
+	weight, ok = w.index[name]
 	return weight, ok
 }
 
-func isSame(a, b []describer.Team) bool {
+// isSameSlice reports whether a and b share their elements.
+func isSameSlice(a, b []describer.Team) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	return len(a) == 0 || &a[0] == &b[0]
 }
 
-func asFailure(err error) *classifier.Error {
+// asError returns the *classifier.Error in err's chain, or wraps err in one with
+// verdict MayHaveRun.
+func asError(err error) *classifier.Error {
 	var e *classifier.Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/traffic/forwarder/forwarder_suite_test.go
+++ b/internal/traffic/forwarder/forwarder_suite_test.go
@@ -25,8 +25,8 @@
 	RunSpecs(t, "forwarder")
 }
 
-// bench is an entry host with backend servers behind it.
-type bench struct {
+// testHost is an entry host with its backend servers.
+type testHost struct {
 	options  forwarder.Options
 	table    atomic.Pointer[describer.RoutingTable]
 	claimer  forwarder.Claimer
@@ -35,39 +35,41 @@
 	backends []describer.Backend
 }
 
-func (b *bench) add(handler http.HandlerFunc) *httptest.Server {
+// add starts a backend server.
+func (h *testHost) add(handler http.HandlerFunc) *httptest.Server {
 	server := httptest.NewServer(handler)
 	DeferCleanup(server.Close)
-	b.addAddress(server.Listener.Addr().String())
+	h.addAddress(server.Listener.Addr().String())
 	return server
 }
 
-func (b *bench) addAddress(address string) {
-	b.backends = append(b.backends, describer.Backend{
-		Worker: "w" + string(rune('a'+len(b.backends))), Address: address,
+func (h *testHost) addAddress(address string) {
+	h.backends = append(h.backends, describer.Backend{
+		Worker: "w" + string(rune('a'+len(h.backends))), Address: address,
 		Domain: "d", Region: "r", Slots: 8, Connections: 64,
 	})
 }
 
-func (b *bench) start() {
-	b.publish()
-	b.options.Name, b.options.Domain, b.options.Region = "entry", "d", "r"
+func (h *testHost) start() {
+	h.publish()
+	h.options.Name, h.options.Domain, h.options.Region = "entry", "d", "r"
 	teams := []describer.Team{{Name: "minara", Weight: 1}, {Name: "council", Weight: 1}}
-	b.entry = forwarder.New(b.options, b.table.Load, func() []describer.Team { return teams }, b.claimer, nil, zerolog.Nop())
-	b.front = httptest.NewServer(b.entry)
+	h.entry = forwarder.New(h.options, h.table.Load, func() []describer.Team { return teams }, h.claimer, nil, zerolog.Nop())
+	h.front = httptest.NewServer(h.entry)
 	DeferCleanup(func() {
-		b.front.CloseClientConnections()
-		b.front.Close()
-		b.entry.Close()
+		h.front.CloseClientConnections()
+		h.front.Close()
+		h.entry.Close()
 	})
 }
 
-func (b *bench) publish() {
-	b.table.Store(&describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{"desk": b.backends}})
+// publish puts a routing table with the current backend servers in force.
+func (h *testHost) publish() {
+	h.table.Store(&describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{"desk": h.backends}})
 }
 
-func (b *bench) do(method, path, body string, headers ...string) (*http.Response, error) {
-	r, err := http.NewRequestWithContext(context.Background(), method, b.front.URL+path, strings.NewReader(body))
+func (h *testHost) do(method, path, body string, headers ...string) (*http.Response, error) {
+	r, err := http.NewRequestWithContext(context.Background(), method, h.front.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	r.Header.Set(forwarder.TenantHeader, "minara")
 	for i := 0; i < len(headers); i += 2 {
@@ -76,24 +78,28 @@
 	return http.DefaultClient.Do(r)
 }
 
+// failure is the JSON body of an error response.
 type failure struct{ Code, Message, Field, Verdict, Retry string }
 
-func (b *bench) failure(method, path, body string, headers ...string) (int, failure) {
-	answer, err := b.do(method, path, body, headers...)
+// failure sends a request and decodes the error response.
+func (h *testHost) failure(method, path, body string, headers ...string) (int, failure) {
+	response, err := h.do(method, path, body, headers...)
 	Expect(err).NotTo(HaveOccurred())
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var out failure
-	Expect(json.NewDecoder(answer.Body).Decode(&out)).To(Succeed())
-	Expect(answer.Header.Get(forwarder.VerdictHeader)).To(Equal(out.Verdict))
-	return answer.StatusCode, out
+	Expect(json.NewDecoder(response.Body).Decode(&out)).To(Succeed())
+	Expect(response.Header.Get(forwarder.VerdictHeader)).To(Equal(out.Verdict))
+	return response.StatusCode, out
 }
 
-func text(answer *http.Response, err error) string {
+// text returns the body of the response.
+func text(response *http.Response, err error) string {
 	Expect(err).NotTo(HaveOccurred())
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
 	return string(data)
 }
 
-func silence(d time.Duration) parser.Traffic { return parser.Traffic{Silence: parser.Duration(d)} }
+// stallTimeout returns settings with this limit for connections without progress.
+func stallTimeout(d time.Duration) parser.Traffic { return parser.Traffic{Silence: parser.Duration(d)} }
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -10,7 +10,7 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/dialer"
 )
 
-// Headers that callers set.
+// Headers of requests and responses.
 const (
 	TenantHeader     = "Dotterel-Tenant"
 	ClassHeader      = "Dotterel-Class"
@@ -20,55 +20,56 @@
 	VerdictHeader    = dialer.VerdictHeader
 )
 
-// PathPrefix is the path below which services are reached.
+// PathPrefix starts the path of every request to a service.
 const PathPrefix = "/svc/"
 
 const (
-	maxName      = 64  // bytes of a tenant or class
-	maxKey       = 256 // bytes of an idempotency key
-	maxDeadline  = time.Hour
-	defaultClass = "default"
+	maxNameLength = 64  // bytes, of a tenant or class
+	maxKeyLength  = 256 // bytes
+	maxDeadline   = time.Hour
+	defaultClass  = "default"
 )
 
-// call is one request of a caller with what its headers say.
+// call is a caller's request with the values of its headers.
 type call struct {
-	service    string
-	path       string // escaped, for the backend server
-	tenant     string
-	class      string
-	weight     int
-	deadline   time.Duration
-	ends       time.Time
-	key        string
-	owner      string // name under which the key is claimed
-	claimed    bool
-	idempotent bool
-	body       *payload
-	request    *http.Request
-	retries    int
-	queued     time.Duration
-	afar       int64 // bytes across regions
+	service          string
+	path             string // escaped path for the backend server
+	tenant           string
+	class            string
+	weight           int
+	timeout          time.Duration
+	deadline         time.Time
+	key              string
+	owner            string // names this request when it claims the key
+	claimed          bool   // the Claimer has recorded the key
+	idempotent       bool   // may be sent more than once
+	body             *requestBody
+	request          *http.Request
+	retries          int
+	queueTime        time.Duration
+	crossRegionBytes int64 // request and response bodies
 }
 
-// read checks the request. The failures name the offending field and have
-// verdict NotRun.
-func (f *Forwarder) read(r *http.Request) (*call, error) {
+// parseRequest reads and validates the request. Errors name the offending field
+// and have verdict NotRun; the call is valid as far as it was read.
+func (f *Forwarder) parseRequest(r *http.Request) (*call, error) {
 	c := &call{request: r}
 	for _, step := range []func(*http.Request) error{
-		c.readMethod, c.readPath, c.readTenant, c.readClass, c.readDeadline, c.readIdempotence,
+		c.parseMethod, c.parsePath, c.parseTenant, c.parseClass, c.parseDeadline, c.parseIdempotence,
 	} {
 		if err := step(r); err != nil {
 			return c, err
 		}
 	}
-	return c, f.check(c)
+	return c, f.validate(c)
 }
 
-// check holds the call against settings and configuration.
-func (f *Forwarder) check(c *call) error {
-	weight, ok := f.weights.of(f.teams(), c.tenant)
+// validate checks the call against settings and routing table, and fills in its
+// weight, default deadline and class.
+func (f *Forwarder) validate(c *call) error {
+	weight, ok := f.weights.lookup(f.teams(), c.tenant)
 	if !ok {
-		return invalid(http.StatusForbidden, "tenant", TenantHeader, "unknown tenant")
+		return invalidField(http.StatusForbidden, "tenant", TenantHeader, "unknown tenant")
 	}
 	c.weight = weight
 	table := f.table()
@@ -76,60 +77,60 @@
 		return errStarting
 	}
 	if _, err := table.Backends(c.service); err != nil {
-		return invalid(http.StatusNotFound, "service", "path", "unknown service")
+		return invalidField(http.StatusNotFound, "service", "path", "unknown service")
 	}
-	if c.deadline == 0 {
-		c.deadline = time.Duration(f.Options.Traffic.Deadline)
+	if c.timeout == 0 {
+		c.timeout = time.Duration(f.Options.Traffic.Deadline)
 	}
 	if c.request.ContentLength > f.Options.Traffic.Body {
-		return invalid(http.StatusRequestEntityTooLarge, "body", "Content-Length", "the body is too large")
+		return invalidField(http.StatusRequestEntityTooLarge, "body", "Content-Length", "the body is too large")
 	}
-	c.class = f.metrics.class(c.tenant, c.class)
+	c.class = f.metrics.boundedClass(c.tenant, c.class)
 	return nil
 }
 
-func (c *call) readMethod(r *http.Request) error {
+func (c *call) parseMethod(r *http.Request) error {
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		c.idempotent = true
 	case http.MethodPost, http.MethodPatch:
 	default:
-		return invalid(http.StatusMethodNotAllowed, "method", "method", "the method is not supported")
+		return invalidField(http.StatusMethodNotAllowed, "method", "method", "the method is not supported")
 	}
 	if r.Header.Get("Upgrade") != "" {
-		return invalid(http.StatusNotImplemented, "upgrade", "Upgrade", "protocol upgrades are not supported")
+		return invalidField(http.StatusNotImplemented, "upgrade", "Upgrade", "protocol upgrades are not supported")
 	}
 	return nil
 }
 
-func (c *call) readPath(r *http.Request) error {
+func (c *call) parsePath(r *http.Request) error {
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), PathPrefix)
 	if !ok {
-		return invalid(http.StatusNotFound, "path", "path", "the path must begin with "+PathPrefix)
+		return invalidField(http.StatusNotFound, "path", "path", "the path must begin with "+PathPrefix)
 	}
 	service, path, _ := strings.Cut(rest, "/")
 	if !isName(service) {
-		return invalid(http.StatusNotFound, "service", "path", "the path must be "+PathPrefix+"<service>/<rest>")
+		return invalidField(http.StatusNotFound, "service", "path", "the path must be "+PathPrefix+"<service>/<rest>")
 	}
 	c.service = service
 	c.path = "/" + path
 	return nil
 }
 
-func (c *call) readTenant(r *http.Request) error {
-	value, err := single(r.Header, TenantHeader)
+func (c *call) parseTenant(r *http.Request) error {
+	value, err := singleValue(r.Header, TenantHeader)
 	if err != nil {
 		return err
 	}
 	if !isName(value) {
-		return invalid(http.StatusBadRequest, "tenant", TenantHeader, "a tenant must be named")
+		return invalidField(http.StatusBadRequest, "tenant", TenantHeader, "a tenant must be named")
 	}
 	c.tenant = value
 	return nil
 }
 
-func (c *call) readClass(r *http.Request) error {
-	value, err := single(r.Header, ClassHeader)
+func (c *call) parseClass(r *http.Request) error {
+	value, err := singleValue(r.Header, ClassHeader)
 	if err != nil {
 		return err
 	}
@@ -137,27 +138,27 @@
 		value = defaultClass
 	}
 	if !isName(value) {
-		return invalid(http.StatusBadRequest, "class", ClassHeader, "a class is letters, digits, dots, hyphens and underscores")
+		return invalidField(http.StatusBadRequest, "class", ClassHeader, "a class is letters, digits, dots, hyphens and underscores")
 	}
 	c.class = value
 	return nil
 }
 
-func (c *call) readDeadline(r *http.Request) error {
-	value, err := single(r.Header, DeadlineHeader)
+func (c *call) parseDeadline(r *http.Request) error {
+	value, err := singleValue(r.Header, DeadlineHeader)
 	if err != nil || value == "" {
 		return err
 	}
 	d, parseErr := time.ParseDuration(value)
 	if parseErr != nil || d <= 0 || d > maxDeadline {
-		return invalid(http.StatusBadRequest, "deadline", DeadlineHeader, "a deadline is text such as 1500ms, above 0 and at most 1h")
+		return invalidField(http.StatusBadRequest, "deadline", DeadlineHeader, "a deadline is text such as 1500ms, above 0 and at most 1h")
 	}
-	c.deadline = d
+	c.timeout = d
 	return nil
 }
 
-func (c *call) readIdempotence(r *http.Request) error {
-	value, err := single(r.Header, IdempotentHeader)
+func (c *call) parseIdempotence(r *http.Request) error {
+	value, err := singleValue(r.Header, IdempotentHeader)
 	if err != nil {
 		return err
 	}
@@ -166,14 +167,14 @@
 	case "true":
 		c.idempotent = true
 	default:
-		return invalid(http.StatusBadRequest, "idempotent", IdempotentHeader, "must be true or false")
+		return invalidField(http.StatusBadRequest, "idempotent", IdempotentHeader, "must be true or false")
 	}
-	key, err := single(r.Header, KeyHeader)
+	key, err := singleValue(r.Header, KeyHeader)
 	if err != nil {
 		return err
 	}
-	if len(key) > maxKey {
-		return invalid(http.StatusBadRequest, "key", KeyHeader, "the key is too long")
+	if len(key) > maxKeyLength {
+		return invalidField(http.StatusBadRequest, "key", KeyHeader, "the key is too long")
 	}
 	if r.Method == http.MethodPost || r.Method == http.MethodPatch {
 		c.key = key
@@ -184,12 +185,12 @@
 	return nil
 }
 
-// single returns the value of a header that may appear once. Two values would
-// let two readers see different requests.
-func single(h http.Header, name string) (string, error) {
+// singleValue returns the value of a header that may appear once. Two values
+// could be read differently by this host and by the backend server.
+func singleValue(h http.Header, name string) (string, error) {
 	values := h[textproto.CanonicalMIMEHeaderKey(name)]
 	if len(values) > 1 {
-		return "", invalid(http.StatusBadRequest, "header", name, "the header must appear once")
+		return "", invalidField(http.StatusBadRequest, "header", name, "the header must appear once")
 	}
 	if len(values) == 0 {
 		return "", nil
@@ -198,7 +199,7 @@
 }
 
 func isName(s string) bool {
-	if s == "" || len(s) > maxName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for i := range len(s) {
@@ -212,18 +213,19 @@
 	return true
 }
 
-func invalid(status int, code, field, message string) error {
+func invalidField(status int, code, field, message string) error {
 	return &classifier.Error{Verdict: classifier.NotRun, Status: status, Code: code, Field: field, Message: message}
 }
 
-// hopHeaders concern one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders belong to one connection and are not forwarded (RFC 9110,
+// section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// passHeaders copies the end-to-end headers of src to dst.
-func passHeaders(dst, src http.Header) {
+// copyEndToEndHeaders copies the headers of src to dst, except hop-by-hop ones.
+func copyEndToEndHeaders(dst, src http.Header) {
 	named := make(map[string]bool)
 	for _, value := range src["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
@@ -235,7 +237,7 @@
 			dst[name] = append([]string(nil), values...)
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(dst, name)
 	}
 }
--- a/internal/traffic/forwarder/headers_test.go
+++ b/internal/traffic/forwarder/headers_test.go
@@ -12,16 +12,16 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// FuzzHeaders feeds callers' headers to the reader: whatever it accepts is
-// within its bounds, whatever it refuses names a field and was not run.
+// FuzzHeaders checks that an accepted request has valid values, and that a
+// refusal names a field and has verdict NotRun.
 func FuzzHeaders(f *testing.F) {
 	f.Add("POST", "/svc/desk/nights", "minara", "hold", "1500ms", "true", "7f3a")
 	f.Add("GET", "/svc/desk/..%2f", "minara", "", "", "", "")
 	f.Add("PUT", "/svc//x", "minara", "a b", "-1s", "maybe", "")
 	teams := []describer.Team{{Name: "minara"}}
 	table := &describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{"desk": nil}}
-	x := New(Options{}, func() *describer.RoutingTable { return table }, func() []describer.Team { return teams }, nil, nil, zerolog.Nop())
-	f.Cleanup(func() { x.Close() })
+	forwarder := New(Options{}, func() *describer.RoutingTable { return table }, func() []describer.Team { return teams }, nil, nil, zerolog.Nop())
+	f.Cleanup(func() { forwarder.Close() })
 	f.Fuzz(func(t *testing.T, method, path, tenant, class, deadline, idempotent, key string) {
 		r := httptest.NewRequest(http.MethodGet, "/", nil)
 		r.Method = method
@@ -30,9 +30,9 @@
 			TenantHeader: {tenant}, ClassHeader: {class}, DeadlineHeader: {deadline},
 			IdempotentHeader: {idempotent}, KeyHeader: {key},
 		}
-		c, err := x.read(r)
+		c, err := forwarder.parseRequest(r)
 		if err != nil {
-			e := asFailure(err)
+			e := asError(err)
 			if e.Verdict != classifier.NotRun || e.Field == "" || e.Status < 400 {
 				t.Fatalf("refusal %+v", e)
 			}
@@ -41,8 +41,8 @@
 		if c.service != "desk" || c.tenant != "minara" || !isName(c.class) || c.path == "" {
 			t.Fatalf("accepted %+v", c)
 		}
-		if c.deadline <= 0 || c.deadline > maxDeadline || c.deadline > time.Hour {
-			t.Fatalf("deadline %s", c.deadline)
+		if c.timeout <= 0 || c.timeout > maxDeadline || c.timeout > time.Hour {
+			t.Fatalf("deadline %s", c.timeout)
 		}
 		if c.key != "" && c.idempotent {
 			t.Fatal("a request with a key must not be repeated")
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -8,95 +8,99 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/router"
 )
 
-// result is how one of two attempts ended.
-type result struct {
-	number int
-	answer *answer
-	err    error
+// attemptResult is how one of two concurrent attempts ended.
+type attemptResult struct {
+	index    int // 0 for the first attempt, 1 for the hedge
+	response *backendResponse
+	err      error
 }
 
-// attempt sends the request to the place and, for an idempotent request that
-// takes unusually long, to a second one. The first answer wins.
-func (f *Forwarder) attempt(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool) (*answer, error) {
-	avoid[place.Backend.Worker] = true
+// sendHedged sends the request to the slot's backend server. If the request is
+// idempotent and takes unusually long, it also sends it to a second one; the first
+// response wins.
+func (f *Forwarder) sendHedged(ctx context.Context, c *call, slot *router.Slot, avoid map[string]bool) (*backendResponse, error) {
+	avoid[slot.Backend.Worker] = true
 	if f.Options.HedgeRatio < 0 || !c.idempotent || c.body.source != nil {
-		return f.dispatch(ctx, c, place)
+		return f.sendAttempt(ctx, c, slot)
 	}
-	delay := f.delays.hedge(c.service)
+	delay := f.stats.hedgeDelay(c.service)
 	if delay == 0 {
-		return f.dispatch(ctx, c, place)
+		return f.sendAttempt(ctx, c, slot)
 	}
-	return f.race(ctx, c, place, avoid, delay)
+	return f.raceHedge(ctx, c, slot, avoid, delay)
 }
 
-func (f *Forwarder) race(ctx context.Context, c *call, place *router.Slot, avoid map[string]bool, delay time.Duration) (*answer, error) {
-	ends := make(chan result, 2)
+// raceHedge runs the first attempt, and the second one if there is no response
+// after delay. It returns the first response, or the last error.
+func (f *Forwarder) raceHedge(ctx context.Context, c *call, slot *router.Slot, avoid map[string]bool, delay time.Duration) (*backendResponse, error) {
+	results := make(chan attemptResult, 2)
 	var cancels []context.CancelFunc
-	run := func(p *router.Slot) {
-		number := len(cancels)
+	start := func(p *router.Slot) {
+		index := len(cancels)
 		ctx, cancel := context.WithCancel(ctx)
 		cancels = append(cancels, cancel)
 		go func() {
-			a, err := f.dispatch(ctx, c, p)
-			ends <- result{number, a, err}
+			response, err := f.sendAttempt(ctx, c, p)
+			results <- attemptResult{index, response, err}
 		}()
 	}
-	run(place)
+	start(slot)
 	running, sent := 1, false
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-			if second := f.second(c, avoid); second != nil {
+			if slot := f.takeHedgeSlot(c, avoid); slot != nil {
 				running++
-				f.metrics.hedged(c)
-				run(second)
+				f.metrics.countHedge(c)
+				start(slot)
 			}
-		case r := <-ends:
+		case r := <-results:
 			running--
 			if r.err != nil && running > 0 {
 				sent = sent || classifier.VerdictOf(r.err) != classifier.NotRun
 				continue
 			}
 			if r.err != nil {
-				return nil, withHistory(r.err, sent)
+				return nil, withEarlierAttempts(r.err, sent)
 			}
 			if running > 0 {
-				cancels[1-r.number]()
-				go discard(ends)
+				cancels[1-r.index]()
+				go discardLoser(results)
 			}
-			return r.answer, nil
+			return r.response, nil
 		}
 	}
 }
 
-// second takes another place in the own region if one is free and the budget
-// allows it.
-func (f *Forwarder) second(c *call, avoid map[string]bool) *router.Slot {
+// takeHedgeSlot takes a slot of another backend server in the own region, or
+// returns nil if none is free or the hedge budget is used up.
+func (f *Forwarder) takeHedgeSlot(c *call, avoid map[string]bool) *router.Slot {
 	if !f.hedges.TryWithdraw() {
 		return nil
 	}
-	q := f.request(c, avoid)
-	q.Take = func(bool) (*router.Slot, error) {
-		return f.Router.Take(f.table(), router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid})
+	request := f.slotRequest(c, avoid)
+	request.Take = func(bool) (*router.Slot, error) {
+		return f.Router.Take(f.table(), router.Request{Service: c.service, Deadline: c.deadline, Avoid: avoid})
 	}
-	place, err := f.Limiter.TryAcquire(q)
+	slot, err := f.Limiter.TryAcquire(request)
 	if err != nil {
 		return nil
 	}
-	avoid[place.Backend.Worker] = true
-	return place
+	avoid[slot.Backend.Worker] = true
+	return slot
 }
 
-// discard closes the answer of the attempt that lost.
-func discard(ends <-chan result) {
-	if r := <-ends; r.answer != nil {
-		r.answer.lost()
+// discardLoser waits for the slower attempt and discards its response.
+func discardLoser(results <-chan attemptResult) {
+	if r := <-results; r.response != nil {
+		r.response.discard()
 	}
 }
 
-func (f *Forwarder) giveBack(c *call, place *router.Slot) {
-	place.Release(router.Unknown)
+// releaseUnused gives back a slot over which nothing was sent.
+func (f *Forwarder) releaseUnused(c *call, slot *router.Slot) {
+	slot.Release(router.Unknown)
 	f.Limiter.Release(c.service, 0)
 }
--- a/internal/traffic/forwarder/hedge_test.go
+++ b/internal/traffic/forwarder/hedge_test.go
@@ -16,34 +16,34 @@
 )
 
 var _ = Describe("Forwarder under load", func() {
-	It("answers each caller with its own answer when answers are late and out of order", func() {
-		b := new(bench)
-		b.options.Traffic.Queue = 200
+	It("gives each caller its own response when responses are late and out of order", func() {
+		h := new(testHost)
+		h.options.Traffic.Queue = 200
 		for range 4 {
-			b.add(func(w http.ResponseWriter, r *http.Request) {
+			h.add(func(w http.ResponseWriter, r *http.Request) {
 				var n int
 				fmt.Sscanf(r.URL.Path, "/%d", &n)
 				time.Sleep(time.Duration(n*7%13) * time.Millisecond)
 				fmt.Fprintf(w, "answer %d", n)
 			})
 		}
-		b.start()
+		h.start()
 		var all sync.WaitGroup
 		for n := range 100 {
 			all.Go(func() {
 				defer GinkgoRecover()
-				Expect(text(b.do("GET", fmt.Sprintf("/svc/desk/%d", n), ""))).To(Equal(fmt.Sprintf("answer %d", n)))
+				Expect(text(h.do("GET", fmt.Sprintf("/svc/desk/%d", n), ""))).To(Equal(fmt.Sprintf("answer %d", n)))
 			})
 		}
 		all.Wait()
 	})
 
 	It("sends an idempotent request that takes long to a second backend server", func() {
-		b := new(bench)
-		b.options.HedgeRatio = 1
+		h := new(testHost)
+		h.options.HedgeRatio = 1
 		var stuck atomic.Int64
 		for range 2 {
-			b.add(func(w http.ResponseWriter, r *http.Request) {
+			h.add(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Path == "/stuck" && stuck.Add(1) == 1 {
 					<-r.Context().Done()
 					return
@@ -51,65 +51,65 @@
 				w.Write([]byte("whole"))
 			})
 		}
-		b.start()
+		h.start()
 		for range 64 {
-			text(b.do("GET", "/svc/desk/", ""))
+			text(h.do("GET", "/svc/desk/", ""))
 		}
-		Expect(text(b.do("GET", "/svc/desk/stuck", ""))).To(Equal("whole"))
+		Expect(text(h.do("GET", "/svc/desk/stuck", ""))).To(Equal("whole"))
 		Expect(stuck.Load()).To(Equal(int64(2)))
 		stuck.Store(0)
-		_, f := b.failure("POST", "/svc/desk/stuck", "", forwarder.DeadlineHeader, "100ms")
+		_, f := h.failure("POST", "/svc/desk/stuck", "", forwarder.DeadlineHeader, "100ms")
 		Expect(f.Verdict).To(Equal("may-have-run"))
 		Expect(stuck.Load()).To(Equal(int64(1)))
 	})
 
 	It("uses another region only when its own has no open backend server, within the byte budget", func() {
-		b := new(bench)
-		b.options.Traffic.Link = 40 << 10
+		h := new(testHost)
+		h.options.Traffic.Link = 40 << 10
 		name := func(s string) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) { w.Write(append([]byte(s), make([]byte, 30<<10)...)) }
 		}
-		b.add(name("near"))
-		b.add(name("afar"))
-		b.backends[1].Region, b.backends[1].Domain = "other", "other"
-		b.start()
+		h.add(name("near"))
+		h.add(name("afar"))
+		h.backends[1].Region, h.backends[1].Domain = "other", "other"
+		h.start()
 		for range 8 {
-			Expect(text(b.do("GET", "/svc/desk/", ""))).To(HavePrefix("near"))
+			Expect(text(h.do("GET", "/svc/desk/", ""))).To(HavePrefix("near"))
 		}
-		b.backends = append([]describer.Backend(nil), b.backends...)
-		b.backends[0].Closed = true
-		b.publish()
-		Expect(text(b.do("GET", "/svc/desk/", ""))).To(HavePrefix("afar"))
-		_, f := b.failure("GET", "/svc/desk/", "")
+		h.backends = append([]describer.Backend(nil), h.backends...)
+		h.backends[0].Closed = true
+		h.publish()
+		Expect(text(h.do("GET", "/svc/desk/", ""))).To(HavePrefix("afar"))
+		_, f := h.failure("GET", "/svc/desk/", "")
 		Expect(f.Code).To(Equal("link"))
 		Expect(f.Verdict).To(Equal("not-run"))
 		Expect(f.Retry).NotTo(BeEmpty())
 	})
 
-	It("refuses at once what would miss its deadline", func() {
-		b := new(bench)
+	It("refuses a request at once when it would miss its deadline", func() {
+		h := new(testHost)
 		arrived := make(chan struct{}, 2)
-		b.add(func(_ http.ResponseWriter, r *http.Request) {
+		h.add(func(_ http.ResponseWriter, r *http.Request) {
 			arrived <- struct{}{}
 			select {
 			case <-r.Context().Done():
 			case <-time.After(100 * time.Millisecond):
 			}
 		})
-		b.start()
-		text(b.do("GET", "/svc/desk/", ""))
+		h.start()
+		text(h.do("GET", "/svc/desk/", ""))
 		<-arrived
 		ctx, cancel := context.WithCancel(context.Background())
 		for range 2 {
 			go func() {
-				r, _ := http.NewRequestWithContext(ctx, http.MethodPost, b.front.URL+"/svc/desk/", nil)
+				r, _ := http.NewRequestWithContext(ctx, http.MethodPost, h.front.URL+"/svc/desk/", nil)
 				r.Header.Set(forwarder.TenantHeader, "minara")
 				http.DefaultClient.Do(r)
 			}()
 			<-arrived
 		}
 		defer cancel()
-		_, f := b.failure("POST", "/svc/desk/", "", forwarder.DeadlineHeader, "10ms")
+		_, f := h.failure("POST", "/svc/desk/", "", forwarder.DeadlineHeader, "10ms")
 		Expect(f.Code).To(Equal("late"))
 		Expect(f.Verdict).To(Equal("not-run"))
 		Expect(f.Retry).NotTo(BeEmpty())
--- a/internal/traffic/forwarder/metrics.go
+++ b/internal/traffic/forwarder/metrics.go
@@ -7,51 +7,52 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Bounds of the histograms.
+// Buckets of the histograms.
 var (
-	timeBuckets  = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 1.5, 30) // to 64 s
+	timeBuckets  = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 1.5, 30) // up to 64 s
 	countBuckets = tally.ValueBuckets{0, 1, 2, 3, 5, 10}
-	byteBuckets  = tally.MustMakeExponentialValueBuckets(256, 4, 12) // to 1 GB
+	byteBuckets  = tally.MustMakeExponentialValueBuckets(256, 4, 12) // up to 1 GB
 )
 
 const (
-	maxClasses = 16 // with histograms of their own, for each tenant
-	otherClass = "other"
+	maxClassesPerTenant = 16 // further classes share otherClass
+	otherClass          = "other"
 )
 
-// metrics holds the histograms of every tenant and class.
+// metrics holds the metrics of every tenant and class.
 type metrics struct {
 	scope tally.Scope
 
 	lock    sync.RWMutex
-	tenants map[string]map[string]*series
+	tenants map[string]map[string]*classMetrics // by tenant and class
 }
 
-// series are the metrics of one tenant and class.
-type series struct {
-	latency   tally.Histogram
-	queueing  tally.Histogram
-	retries   tally.Histogram
-	afar      tally.Histogram
-	refusals  tally.Counter
-	hedges    tally.Counter
-	truncated tally.Counter
-	bytes     tally.Counter
+// classMetrics are the metrics of one tenant and class.
+type classMetrics struct {
+	latency          tally.Histogram
+	queueing         tally.Histogram
+	retries          tally.Histogram
+	crossRegion      tally.Histogram
+	refusals         tally.Counter
+	hedges           tally.Counter
+	truncated        tally.Counter
+	crossRegionBytes tally.Counter
 }
 
 func newMetrics(scope tally.Scope) *metrics {
 	if scope == nil {
 		scope = tally.NoopScope
 	}
-	return &metrics{scope: scope.SubScope("traffic"), tenants: make(map[string]map[string]*series)}
+	return &metrics{scope: scope.SubScope("traffic"), tenants: make(map[string]map[string]*classMetrics)}
 }
 
-// class returns the name under which the class is queued and counted. Callers
-// choose class names, so their number is bounded for each tenant.
-func (m *metrics) class(tenant, class string) string {
+// boundedClass returns the class under which the request is queued and counted:
+// otherClass when the tenant has too many. Callers choose class names, so their
+// number must be bounded.
+func (m *metrics) boundedClass(tenant, class string) string {
 	m.lock.RLock()
-	known := m.tenants[tenant]
-	full := known[class] == nil && len(known) >= maxClasses
+	classes := m.tenants[tenant]
+	full := classes[class] == nil && len(classes) >= maxClassesPerTenant
 	m.lock.RUnlock()
 	if full {
 		return otherClass
@@ -59,62 +60,64 @@
 	return class
 }
 
-func (m *metrics) of(c *call) *series {
+func (m *metrics) classMetrics(c *call) *classMetrics {
 	m.lock.RLock()
-	s := m.tenants[c.tenant][c.class]
+	series := m.tenants[c.tenant][c.class]
 	m.lock.RUnlock()
-	if s != nil {
-		return s
+	if series != nil {
+		return series
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.add(c.tenant, c.class)
+	return m.create(c.tenant, c.class)
 }
 
-func (m *metrics) add(tenant, class string) *series {
+// create adds the metrics of the tenant and class; the lock must be held.
+func (m *metrics) create(tenant, class string) *classMetrics {
 	classes := m.tenants[tenant]
 	if classes == nil {
-		classes = make(map[string]*series)
+		classes = make(map[string]*classMetrics)
 		m.tenants[tenant] = classes
 	}
-	if s := classes[class]; s != nil {
-		return s
+	if series := classes[class]; series != nil {
+		return series
 	}
 	scope := m.scope.Tagged(map[string]string{"tenant": tenant, "class": class})
-	s := &series{
-		latency:   scope.Histogram("latency", timeBuckets),
-		queueing:  scope.Histogram("queueing", timeBuckets),
-		retries:   scope.Histogram("retries", countBuckets),
-		afar:      scope.Histogram("afar", byteBuckets),
-		refusals:  scope.Counter("refusals"),
-		hedges:    scope.Counter("hedges"),
-		truncated: scope.Counter("truncated"),
-		bytes:     scope.Counter("afar_bytes"),
+	series := &classMetrics{
+		latency:          scope.Histogram("latency", timeBuckets),
+		queueing:         scope.Histogram("queueing", timeBuckets),
+		retries:          scope.Histogram("retries", countBuckets),
+		crossRegion:      scope.Histogram("afar", byteBuckets),
+		refusals:         scope.Counter("refusals"),
+		hedges:           scope.Counter("hedges"),
+		truncated:        scope.Counter("truncated"),
+		crossRegionBytes: scope.Counter("afar_bytes"),
 	}
-	classes[class] = s
-	return s
+	classes[class] = series
+	return series
 }
 
-// refused counts a failure with verdict NotRun. Requests without a configured
-// tenant count together, since anybody could make names up.
-func (m *metrics) refused(c *call) {
+// countRefusal counts a failure with verdict NotRun. Unknown tenants are counted
+// together, since callers can make up any number of names.
+func (m *metrics) countRefusal(c *call) {
 	if c.weight == 0 {
-		m.of(&call{tenant: "unknown", class: defaultClass}).refusals.Inc(1)
+		m.classMetrics(&call{tenant: "unknown", class: defaultClass}).refusals.Inc(1)
 		return
 	}
-	m.of(c).refusals.Inc(1)
+	m.classMetrics(c).refusals.Inc(1)
 }
 
-func (m *metrics) hedged(c *call)    { m.of(c).hedges.Inc(1) }
-func (m *metrics) truncated(c *call) { m.of(c).truncated.Inc(1) }
+func (m *metrics) countHedge(c *call)      { m.classMetrics(c).hedges.Inc(1) }
+func (m *metrics) countTruncation(c *call) { m.classMetrics(c).truncated.Inc(1) }
 
-func (m *metrics) finished(c *call, took time.Duration) {
-	s := m.of(c)
-	s.latency.RecordDuration(took)
-	s.queueing.RecordDuration(c.queued)
-	s.retries.RecordValue(float64(c.retries))
-	if c.afar > 0 {
-		s.afar.RecordValue(float64(c.afar))
-		s.bytes.Inc(c.afar)
+// recordRequest records the durations, retries and bytes of a finished request.
+func (m *metrics) recordRequest(c *call, took time.Duration) {
+	series := m.classMetrics(c)
+	series.latency.RecordDuration(took)
+	series.queueing.RecordDuration(c.queueTime)
+	series.retries.RecordValue(float64(c.retries))
+	if c.crossRegionBytes > 0 {
+		series.crossRegion.RecordValue(float64(c.crossRegionBytes))
+		series.crossRegionBytes.Inc(c.crossRegionBytes)
 	}
 }
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -14,40 +14,42 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/router"
 )
 
-// send makes attempts until one brings the head of an answer, or until the
-// verdict, the retry budget or the deadline forbids another.
-func (f *Forwarder) send(ctx context.Context, c *call) (*answer, error) {
+// sendWithRetries makes attempts until one yields response headers, or until the
+// verdict, the retry budget or the deadline forbids another. The caller must
+// close the response.
+func (f *Forwarder) sendWithRetries(ctx context.Context, c *call) (*backendResponse, error) {
 	f.retries.Deposit()
 	f.hedges.Deposit()
-	tries := retrier.New()
+	backoff := retrier.New()
 	avoid := make(map[string]bool)
 	sent := false
 	for {
-		place, err := f.acquire(ctx, c, avoid)
+		slot, err := f.acquireSlot(ctx, c, avoid)
 		if err != nil {
-			return nil, withHistory(err, sent)
+			return nil, withEarlierAttempts(err, sent)
 		}
-		if err := f.claim(ctx, c); err != nil {
-			f.giveBack(c, place)
+		if err := f.claimKey(ctx, c); err != nil {
+			f.releaseUnused(c, slot)
 			return nil, err
 		}
-		out, err := f.attempt(ctx, c, place, avoid)
+		out, err := f.sendHedged(ctx, c, slot, avoid)
 		if err == nil {
 			return out, nil
 		}
-		again := retrier.IsRetryable(err, c.idempotent) && c.body.isReplayable()
-		if !again || ctx.Err() != nil || !f.retries.TryWithdraw() || !tries.Wait(ctx) {
-			return nil, withHistory(err, sent)
+		retry := retrier.IsRetryable(err, c.idempotent) && c.body.detach()
+		if !retry || ctx.Err() != nil || !f.retries.TryWithdraw() || !backoff.Wait(ctx) {
+			return nil, withEarlierAttempts(err, sent)
 		}
 		sent = sent || classifier.VerdictOf(err) != classifier.NotRun
 		c.retries++
 	}
 }
 
-// withHistory keeps a failure from promising "not run" for a request of which
-// an earlier attempt may have run, and says when to come back.
-func withHistory(err error, sent bool) error {
-	out := *asFailure(err)
+// withEarlierAttempts turns the last attempt's error into that of the whole
+// request: it is not NotRun if an earlier attempt may have run. It also sets
+// RetryAfter for a NotRun error without one.
+func withEarlierAttempts(err error, sent bool) error {
+	out := *asError(err)
 	if sent {
 		out.Verdict = classifier.MayHaveRun
 	}
@@ -57,51 +59,54 @@
 	return &out
 }
 
-// acquire waits for a place in the order of the limiter.
-func (f *Forwarder) acquire(ctx context.Context, c *call, avoid map[string]bool) (*router.Slot, error) {
+// acquireSlot waits in the limiter's queue for a slot. Errors have verdict NotRun.
+func (f *Forwarder) acquireSlot(ctx context.Context, c *call, avoid map[string]bool) (*router.Slot, error) {
 	start := time.Now()
-	place, err := f.Limiter.Acquire(ctx, f.request(c, avoid))
-	c.queued += time.Since(start)
+	slot, err := f.Limiter.Acquire(ctx, f.slotRequest(c, avoid))
+	c.queueTime += time.Since(start)
 	if err == nil {
-		return place, nil
+		return slot, nil
 	}
-	return nil, admission(ctx, err)
+	return nil, admissionError(ctx, err)
 }
 
-func (f *Forwarder) request(c *call, avoid map[string]bool) limiter.Request[*router.Slot] {
+// slotRequest returns the limiter's request for a slot for the call.
+func (f *Forwarder) slotRequest(c *call, avoid map[string]bool) limiter.Request[*router.Slot] {
 	return limiter.Request[*router.Slot]{
 		Service:  c.service,
 		Tenant:   c.tenant,
 		Class:    c.class,
 		Weight:   c.weight,
-		Deadline: c.ends,
-		Take:     func(late bool) (*router.Slot, error) { return f.take(c, avoid, late) },
+		Deadline: c.deadline,
+		Take:     func(late bool) (*router.Slot, error) { return f.takeSlot(c, avoid, late) },
 	}
 }
 
-// take seeks a place in the own region, and in others if the request would
-// miss its deadline here.
-func (f *Forwarder) take(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
+// takeSlot takes a free slot in the own region, or in others if the request would
+// miss its deadline otherwise or no backend server here is open. When all open
+// backend servers have been tried, it starts over with all of them.
+func (f *Forwarder) takeSlot(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
 	table := f.table()
-	q := router.Request{Service: c.service, Deadline: c.ends, Avoid: avoid, CrossRegion: late}
-	q.Bytes = max(c.body.length, 0) + f.delays.bytes(c.service)
-	place, err := f.Router.Take(table, q)
+	request := router.Request{Service: c.service, Deadline: c.deadline, Avoid: avoid, CrossRegion: late}
+	request.Bytes = max(c.body.length, 0) + f.stats.expectedBytes(c.service)
+	slot, err := f.Router.Take(table, request)
 	if errors.Is(err, router.ErrNoBackend) && !late {
-		q.CrossRegion = true
-		place, err = f.Router.Take(table, q)
+		request.CrossRegion = true
+		slot, err = f.Router.Take(table, request)
 	}
 	if errors.Is(err, router.ErrNoBackend) && len(avoid) > 0 {
 		clear(avoid)
-		place, err = f.Router.Take(table, q)
+		slot, err = f.Router.Take(table, request)
 	}
 	if errors.Is(err, router.ErrNoSlot) {
 		return nil, limiter.ErrBusy
 	}
-	return place, err
+	return slot, err
 }
 
-// admission turns the reasons for which there is no place into failures.
-func admission(ctx context.Context, err error) error {
+// admissionError converts the reason why there is no slot into an error with
+// verdict NotRun.
+func admissionError(ctx context.Context, err error) error {
 	out := &classifier.Error{Verdict: classifier.NotRun, Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Err: err}
 	var e *classifier.Error
 	switch {
@@ -126,35 +131,38 @@
 	return out
 }
 
-// dispatch sends one attempt to one backend server.
-func (f *Forwarder) dispatch(ctx context.Context, c *call, place *router.Slot) (*answer, error) {
+// sendAttempt sends the request to the slot's backend server and waits for the
+// response headers. It releases the slot if that fails.
+func (f *Forwarder) sendAttempt(ctx context.Context, c *call, slot *router.Slot) (*backendResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	out := &answer{forwarder: f, call: c, place: place, cancel: cancel, start: time.Now()}
-	response, err := f.Dialer.Send(place.Backend, f.outgoing(ctx, c, place)) //nolint:bodyclose // answer.close does
+	out := &backendResponse{forwarder: f, call: c, slot: slot, cancel: cancel, started: time.Now()}
+	response, err := f.Dialer.Send(slot.Backend, f.backendRequest(ctx, c, slot)) //nolint:bodyclose // backendResponse.close does
 	if err != nil {
-		out.release(f.outcome(ctx, c, err, time.Since(out.start)))
+		out.release(f.outcome(ctx, c, err, time.Since(out.started)))
 		return nil, err
 	}
 	out.Response = response
-	f.delays.observe(c.service, time.Since(out.start))
+	f.stats.observeLatency(c.service, time.Since(out.started))
 	return out, nil
 }
 
+// outcome says what the failure tells about the backend server. A cancelled
+// request counts as a failure only if it took longer than usual.
 func (f *Forwarder) outcome(ctx context.Context, c *call, err error, took time.Duration) router.Outcome {
-	e := asFailure(err)
+	e := asError(err)
 	switch {
 	case e.Code == "refused":
 		return router.Overloaded
 	case e.Code == "connections":
 		return router.Unknown
-	case ctx.Err() != nil && took < f.delays.slow(c.service):
+	case ctx.Err() != nil && took < f.stats.slowThreshold(c.service):
 		return router.Unknown
 	}
 	return router.Failed
 }
 
-// outgoing makes the request for the backend server.
-func (f *Forwarder) outgoing(ctx context.Context, c *call, place *router.Slot) *http.Request {
+// backendRequest builds the request to the backend server.
+func (f *Forwarder) backendRequest(ctx context.Context, c *call, slot *router.Slot) *http.Request {
 	in := c.request
 	path, err := url.PathUnescape(c.path)
 	if err != nil {
@@ -162,16 +170,16 @@
 	}
 	out := &http.Request{
 		Method:        in.Method,
-		URL:           &url.URL{Scheme: "http", Host: place.Backend.Address, Path: path, RawPath: c.path, RawQuery: in.URL.RawQuery},
+		URL:           &url.URL{Scheme: "http", Host: slot.Backend.Address, Path: path, RawPath: c.path, RawQuery: in.URL.RawQuery},
 		Host:          in.Host,
 		Header:        make(http.Header, len(in.Header)+2),
 		Body:          c.body.open(),
 		ContentLength: c.body.length,
 	}
-	passHeaders(out.Header, in.Header)
+	copyEndToEndHeaders(out.Header, in.Header)
 	out.Header.Del("Expect")
 	out.Header.Del(VerdictHeader)
-	out.Header.Set(DeadlineHeader, time.Until(c.ends).Round(time.Millisecond).String())
+	out.Header.Set(DeadlineHeader, time.Until(c.deadline).Round(time.Millisecond).String())
 	out.Header["User-Agent"] = in.Header["User-Agent"]
 	if host, _, err := net.SplitHostPort(in.RemoteAddr); err == nil {
 		out.Header.Add("X-Forwarded-For", host)
