--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -28,18 +28,18 @@
 
 // Worker is the account of one worker.
 type Worker struct {
-	Host     describer.Host
-	Grants   map[describer.TaskID]Grant      // changed by Hold, Adopt, Resize and Drop only, but for reports
-	Granted  describer.Resources             // sum of Grants
-	Reserved describer.Resources             // kept for the backend server, never granted
-	Used     describer.Resources             // latest lagging report
-	Reports  map[string]runner.LatencyReport // latest lagging report by service
-	Closed   bool                            // draining, drained, leaving or set aside: nothing is placed here
-	Opened   time.Time                       // when Closed last became false; gradual restore starts from it
-	KeepOff  time.Time                       // no batch task is placed before this time
-	Limited  bool                            // restoring: batch grants stay within Limit
-	Limit    int64                           // millicores of batch grants while Limited
-	Heard    time.Time                       // last inventory
+	Host              describer.Host
+	Grants            map[describer.TaskID]Grant      // changed by Hold, Adopt, Resize and Drop only, but for reports
+	Granted           describer.Resources             // sum of Grants
+	Reserved          describer.Resources             // kept for the backend server, never granted
+	Used              describer.Resources             // latest lagging report
+	Reports           map[string]runner.LatencyReport // latest lagging report by service
+	Closed            bool                            // draining, drained, leaving or set aside: nothing is placed here
+	OpenedAt          time.Time                       // when Closed last became false; gradual restore starts from it
+	BatchBlockedUntil time.Time                       // no batch task is placed before this time
+	BatchLimited      bool                            // restoring: batch grants stay within Limit
+	BatchLimit        int64                           // millicores of batch grants while Limited
+	LastInventory     time.Time                       // last inventory
 
 	jobs    map[string]int   // grants by job
 	classes map[string]int64 // millicores of batch grants by class
@@ -48,17 +48,17 @@
 
 // Grant is what one run holds.
 type Grant struct {
-	Token     describer.Token
-	Class     string
-	Team      string
-	Kind      describer.Kind
-	Priority  describer.Priority
-	Resources describer.Resources
-	Used      describer.Resources // latest lagging report
-	Progress  float64             // latest lagging report, 0 to 1
-	Ceiling   int64               // millicores it is throttled to for a service's sake; 0 is not throttled
-	HomeTo    string              // drained worker that the task is owed back to, or empty
-	Since     time.Time
+	Token       describer.Token
+	Class       string
+	Team        string
+	Kind        describer.Kind
+	Priority    describer.Priority
+	Resources   describer.Resources
+	Used        describer.Resources // latest lagging report
+	Progress    float64             // latest lagging report, 0 to 1
+	ThrottledTo int64               // millicores it is throttled to for a service's sake; 0 is not throttled
+	ReturnTo    string              // drained worker that the task is owed back to, or empty
+	Since       time.Time
 }
 
 // Names returns the workers' names in order. The slice must not be changed.
@@ -97,15 +97,15 @@
 	return w.Host.Capacity.Sub(w.Granted).Sub(w.Reserved)
 }
 
-// Room returns what a new batch grant may take: Free, within Limit while the
+// FreeForBatch returns what a new batch grant may take: Free, within Limit while the
 // worker is being restored, and nothing while it is closed.
-func (w *Worker) Room() describer.Resources {
+func (w *Worker) FreeForBatch() describer.Resources {
 	if w.Closed {
 		return describer.Resources{}
 	}
 	free := w.Free()
-	if w.Limited {
-		free.CPU = min(free.CPU, w.Limit-w.BatchCPU())
+	if w.BatchLimited {
+		free.CPU = min(free.CPU, w.BatchLimit-w.BatchCPU())
 	}
 	return free
 }
@@ -126,9 +126,9 @@
 	return float64(r.CPU) / float64(max(w.Host.Capacity.CPU, 1))
 }
 
-// Shares returns for each class of batch tasks the share of the worker's
+// BatchShares returns for each class of batch tasks the share of the worker's
 // processors, 0 to 1, that its grants hold.
-func (w *Worker) Shares() map[string]float64 {
+func (w *Worker) BatchShares() map[string]float64 {
 	if w.Host.Capacity.CPU <= 0 {
 		return nil
 	}
@@ -148,9 +148,9 @@
 	return load
 }
 
-// Hold adds a grant. It returns an error and changes nothing if the grant does not fit or
+// Allocate adds a grant. It returns an error and changes nothing if the grant does not fit or
 // the task holds one already.
-func (w *Worker) Hold(task describer.TaskID, g Grant) error {
+func (w *Worker) Allocate(task describer.TaskID, g Grant) error {
 	if _, ok := w.Grants[task]; ok {
 		return fmt.Errorf("accountant: %s already holds a grant on %s", task, w.Host.Name)
 	}
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// Drop removes the task's grant if it is of the given token.
-func (w *Worker) Drop(task describer.TaskID, token describer.Token) {
+// Release removes the task's grant if it is of the given token.
+func (w *Worker) Release(task describer.TaskID, token describer.Token) {
 	g, ok := w.Grants[task]
 	if !ok || g.Token != token {
 		return
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -42,7 +42,7 @@
 	First       uint64
 	Parallel    int          // simulations at once; default 2
 	Deployments []Deployment // default both
-	Contenders  []Contender  // default all
+	Variants    []Variant    // default all
 }
 
 // Report holds one result for each deployment and contender.
@@ -53,18 +53,18 @@
 
 // Result is a contender's mean over all seeds in one deployment.
 type Result struct {
-	Deployment string
-	Contender  string
-	P99        time.Duration // of all requests of a morning
-	P99Worst   time.Duration // of the worst seed
-	Within     float64       // share of worker intervals whose 99th percentile is within the target
-	Work       float64       // share of batch work, by true core seconds, done by its deadline
-	Evictions  float64       // for the sake of services or urgent tasks, each morning
-	Drained    float64       // evictions by the drain, each morning
-	Restore    time.Duration // from the end of the drain until all workers are restored
-	Urgent     float64       // share of urgent tasks that started in bound
-	Refused    float64       // share of urgent tasks that did not, with a reason
-	Seeds      []Outcome     // by seed, in order
+	Deployment   string
+	Variant      string
+	P99          time.Duration // of all requests of a morning
+	P99Worst     time.Duration // of the worst seed
+	WithinTarget float64       // share of worker intervals whose 99th percentile is within the target
+	Work         float64       // share of batch work, by true core seconds, done by its deadline
+	Evictions    float64       // for the sake of services or urgent tasks, each morning
+	Drained      float64       // evictions by the drain, each morning
+	Restore      time.Duration // from the end of the drain until all workers are restored
+	Urgent       float64       // share of urgent tasks that started in bound
+	Refused      float64       // share of urgent tasks that did not, with a reason
+	Seeds        []Outcome     // by seed, in order
 }
 
 // Run plays all mornings.
@@ -78,12 +78,12 @@
 	if o.Deployments == nil {
 		o.Deployments = Deployments()
 	}
-	if o.Contenders == nil {
-		o.Contenders = Contenders()
+	if o.Variants == nil {
+		o.Variants = Variants()
 	}
 	report := Report{Seeds: o.Seeds}
 	for _, d := range o.Deployments {
-		for _, c := range o.Contenders {
+		for _, c := range o.Variants {
 			report.Results = append(report.Results, result(d, c, mornings(o, d, c)))
 		}
 	}
@@ -91,7 +91,7 @@
 }
 
 // mornings plays one contender's mornings, a few at once.
-func mornings(o Options, d Deployment, c Contender) []Outcome {
+func mornings(o Options, d Deployment, c Variant) []Outcome {
 	outcomes := make([]Outcome, o.Seeds)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, o.Parallel)
@@ -106,13 +106,13 @@
 	return outcomes
 }
 
-func result(d Deployment, c Contender, outcomes []Outcome) Result {
-	r := Result{Deployment: d.Name, Contender: c.Name, Seeds: outcomes}
+func result(d Deployment, c Variant, outcomes []Outcome) Result {
+	r := Result{Deployment: d.Name, Variant: c.Name, Seeds: outcomes}
 	n := float64(len(outcomes))
 	for _, o := range outcomes {
 		r.P99 += o.P99 / time.Duration(n)
 		r.P99Worst = max(r.P99Worst, o.P99)
-		r.Within += o.Within / n
+		r.WithinTarget += o.WithinTarget / n
 		r.Work += o.Work / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
@@ -131,7 +131,7 @@
 	fmt.Fprintln(t, "deployment\tpolicy\tp99\tworst\twithin target\twork by deadline\tevictions\tby drain\trestore\turgent in bound\trefused\t")
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
-			s.Deployment, s.Contender, ms(s.P99), ms(s.P99Worst), 100*s.Within, 100*s.Work,
+			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.Work,
 			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.Urgent, 100*s.Refused)
 	}
 	if t.Flush() != nil {
@@ -147,17 +147,17 @@
 func (r Report) goals() []string {
 	var out []string
 	for _, s := range r.Results {
-		if s.Contender != DefaultName {
+		if s.Variant != DefaultName {
 			continue
 		}
 		alone, best := r.baselines(s.Deployment)
-		if alone.Contender == "" || best.Contender == "" {
+		if alone.Variant == "" || best.Variant == "" {
 			continue
 		}
 		out = append(out, fmt.Sprintf(
 			"%s: p99 %+.1f %% against no colocation (goal +5 %%), work %.1f %% of %s (goal 90 %%), evictions %.1f %% of it (goal 10 %%)",
 			s.Deployment, 100*(float64(s.P99)/float64(alone.P99)-1),
-			100*s.Work/best.Work, best.Contender, 100*s.Evictions/max(best.Evictions, 1e-9)))
+			100*s.Work/best.Work, best.Variant, 100*s.Evictions/max(best.Evictions, 1e-9)))
 	}
 	return out
 }
@@ -166,10 +166,10 @@
 func (r Report) baselines(deployment string) (alone, best Result) {
 	for _, s := range r.Results {
 		switch {
-		case s.Deployment != deployment || s.Contender == DefaultName:
-		case s.Contender == AloneName:
+		case s.Deployment != deployment || s.Variant == DefaultName:
+		case s.Variant == NoColocationName:
 			alone = s
-		case s.Work > best.Work && slices.Contains(packing, s.Contender):
+		case s.Work > best.Work && slices.Contains(packing, s.Variant):
 			best = s
 		}
 	}
--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -20,7 +20,7 @@
 
 func (silentLedger) Do(effect reducer.Effect) bool {
 	switch effect.(type) {
-	case reducer.Claim, reducer.Release, reducer.Append, reducer.SaveSnapshot:
+	case reducer.ClaimShard, reducer.ReleaseShard, reducer.AppendRecords, reducer.SaveSnapshot:
 		return true
 	}
 	return false
@@ -33,7 +33,7 @@
 		Publish:  func(*describer.RoutingTable) {},
 		Interval: time.Second,
 		Timeout:  time.Second,
-		Calls:    1,
+		MaxCalls: 1,
 		Scope:    tally.NoopScope,
 		Log:      zerolog.Nop(),
 	})
@@ -57,7 +57,7 @@
 		e := newTest()
 		defer e.Close()
 		_, err := e.Ask(t.Context(), func(id reducer.RequestID) reducer.Event {
-			return reducer.Inquired{Request: id, Job: "nobody's"}
+			return reducer.JobStatusRequested{Request: id, Job: "nobody's"}
 		})
 		var refusal *classifier.Error
 		if !errors.As(err, &refusal) || refusal.Verdict != classifier.NotRun {
@@ -73,7 +73,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := e.Ask(ctx, func(reducer.RequestID) reducer.Event {
-			return reducer.StoreReached{OK: true} // has no reply
+			return reducer.StoreChecked{Reachable: true} // has no reply
 		})
 		if err == nil || classifier.VerdictOf(err) != classifier.MayHaveRun {
 			t.Fatalf("error %v", err)
@@ -86,7 +86,7 @@
 		e := newTest()
 		e.Close()
 		for len(e.inbox) < cap(e.inbox) {
-			e.inbox <- reducer.StoreReached{} // nobody reads any more
+			e.inbox <- reducer.StoreChecked{} // nobody reads any more
 		}
 		_, err := e.Ask(t.Context(), status)
 		if classifier.VerdictOf(err) != classifier.NotRun {
--- a/internal/control/placer/default.go
+++ b/internal/control/placer/default.go
@@ -10,9 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/learner"
 )
 
-// Default weighs the expected slow-down of services against their targets,
+// InterferenceAware weighs the expected slow-down of services against their targets,
 // spread over racks, and drained tasks that are owed back to their worker.
-type Default struct {
+type InterferenceAware struct {
 	Learner  *learner.Learner
 	Services map[string]describer.Service // by name
 	Weights  describer.Weights
@@ -21,53 +21,53 @@
 
 // Limits bound what Default accepts. Zero fields take defaults.
 type Limits struct {
-	Slowdown float64       // cautious relative slow-down of a service that batch may cause at most
-	Target   float64       // share of the service's target that the expected latency may take
-	Comfort  float64       // share of the service's target below which slow-down does not matter
-	Trial    float64       // share of an idle worker's processors that a task may take while nothing is known
-	Patience time.Duration // before its deadline, in which a task may take twice the slow-down
+	MaxSlowdown    float64       // cautious relative slow-down of a service that batch may cause at most
+	TargetShare    float64       // share of the service's target that the expected latency may take
+	ComfortShare   float64       // share of the service's target below which slow-down does not matter
+	TrialShare     float64       // share of an idle worker's processors that a task may take while nothing is known
+	DeadlineWindow time.Duration // before its deadline, in which a task may take twice the slow-down
 }
 
 // orDefault fills in the defaults. A deployment that weighs latency more
 // accepts less slow-down.
 func (l Limits) orDefault(w describer.Weights) Limits {
-	if l.Slowdown == 0 {
-		l.Slowdown = 0.12
+	if l.MaxSlowdown == 0 {
+		l.MaxSlowdown = 0.12
 		if w.Latency > w.Throughput {
-			l.Slowdown = 0.08
+			l.MaxSlowdown = 0.08
 		}
 	}
-	if l.Target == 0 {
-		l.Target = 0.9
+	if l.TargetShare == 0 {
+		l.TargetShare = 0.9
 	}
-	if l.Comfort == 0 {
-		l.Comfort = 0.47
+	if l.ComfortShare == 0 {
+		l.ComfortShare = 0.47
 	}
-	if l.Trial == 0 {
-		l.Trial = 0.1
+	if l.TrialShare == 0 {
+		l.TrialShare = 0.1
 	}
-	if l.Patience == 0 {
-		l.Patience = 30 * time.Minute
+	if l.DeadlineWindow == 0 {
+		l.DeadlineWindow = 30 * time.Minute
 	}
 	return l
 }
 
 // Place implements Policy.
-func (d Default) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
+func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
 	limits := d.Limits.orDefault(d.Weights)
-	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.Patience {
-		limits.Slowdown *= 2
+	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.DeadlineWindow {
+		limits.MaxSlowdown *= 2
 	}
 	if r.Job.Priority == describer.Urgent {
-		limits.Slowdown *= 4
+		limits.MaxSlowdown *= 4
 	}
 	racks := busyRacks(fleet, r.Job.ID)
 	scarcity := d.scarcity(fleet)
-	best, why := Choice{Why: noRoom}, objection{}
+	best, why := Choice{Reason: noRoom}, objection{}
 	score := 0.0
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
-		if !suits(w, r) || !r.Want.Fits(w.Room()) {
+		if !suits(w, r) || !r.Want.Fits(w.FreeForBatch()) {
 			continue
 		}
 		cost, o := d.effect(w, r, limits, now)
@@ -84,7 +84,7 @@
 		}
 	}
 	if best.Worker == "" && why.kind != none {
-		best.Why = why.String()
+		best.Reason = why.String()
 	}
 	return best
 }
@@ -120,22 +120,22 @@
 // effect returns the cost of the task for the worker's services: what it is
 // expected to add to their relative slow-down, and a part of the whole. Or it
 // returns why the task must stay off.
-func (d Default) effect(
+func (d InterferenceAware) effect(
 	w *accountant.Worker, r Request, limits Limits, now time.Time,
 ) (cost float64, o objection) {
 	if r.Job.Kind == describer.LatencyCritical || len(w.Host.Services) == 0 {
 		return 0, objection{}
 	}
-	if now.Before(w.KeepOff) && r.Job.Priority != describer.Urgent {
+	if now.Before(w.BatchBlockedUntil) && r.Job.Priority != describer.Urgent {
 		return 0, objection{kind: recovering}
 	}
-	before := w.Shares()
+	before := w.BatchShares()
 	shares := maps.Clone(before)
 	shares[r.Job.Class] += w.Share(r.Want)
 	for _, service := range w.Host.Services {
 		load := w.Reports[service].Load
 		mean, upper := d.slowdown(service, shares, load)
-		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.Trial
+		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.TrialShare
 		if o := d.objects(service, load, upper, isTrial, limits); o.kind != none {
 			return 0, o
 		}
@@ -147,7 +147,7 @@
 
 // MayGrow reports whether a running task may get the processors of a greater
 // grant, which is weighed like a placement.
-func (d Default) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
+func (d InterferenceAware) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
 	if to.CPU <= g.Resources.CPU {
 		return true
 	}
@@ -162,10 +162,10 @@
 // objects compares the cautious latency with what the service has at its busy
 // times without batch tasks, and with its target. Without any report, one small
 // task at a time is tried: nothing would ever be known otherwise.
-func (d Default) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
+func (d InterferenceAware) objects(service string, load, upper float64, isTrial bool, limits Limits) objection {
 	base, known := d.baseline(service, load)
 	if !known {
-		if upper > limits.Slowdown && !isTrial {
+		if upper > limits.MaxSlowdown && !isTrial {
 			return objection{slows, service, upper}
 		}
 		return objection{}
@@ -175,22 +175,22 @@
 		return objection{slows, service, upper}
 	}
 	target := d.Services[service].Target
-	if target > 0 && latency > limits.Target*target.Seconds() && upper > 0.01 {
+	if target > 0 && latency > limits.TargetShare*target.Seconds() && upper > 0.01 {
 		return objection{endangers, service, upper}
 	}
 	return objection{}
 }
 
 // bound is the latency that batch tasks may bring a service to.
-func (d Default) bound(service string, base time.Duration, limits Limits) time.Duration {
+func (d InterferenceAware) bound(service string, base time.Duration, limits Limits) time.Duration {
 	busy, _ := d.Learner.BusyLatency(service)
-	comfort := limits.Comfort * float64(d.Services[service].Target)
-	return max(time.Duration(float64(base)*(1+limits.Slowdown)), busy, time.Duration(comfort))
+	comfort := limits.ComfortShare * float64(d.Services[service].Target)
+	return max(time.Duration(float64(base)*(1+limits.MaxSlowdown)), busy, time.Duration(comfort))
 }
 
-// Bounds returns for each service of a worker the latency that batch tasks
+// LatencyBounds returns for each service of a worker the latency that batch tasks
 // may bring it to at its present load, where there is evidence.
-func (d Default) Bounds(w *accountant.Worker) map[string]time.Duration {
+func (d InterferenceAware) LatencyBounds(w *accountant.Worker) map[string]time.Duration {
 	limits := d.Limits.orDefault(d.Weights)
 	bounds := make(map[string]time.Duration)
 	for _, service := range w.Host.Services {
@@ -201,14 +201,14 @@
 	return bounds
 }
 
-func (d Default) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
+func (d InterferenceAware) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
 	if d.Learner == nil {
 		return 0, 0
 	}
 	return d.Learner.Slowdown(service, shares, load)
 }
 
-func (d Default) baseline(service string, load float64) (time.Duration, bool) {
+func (d InterferenceAware) baseline(service string, load float64) (time.Duration, bool) {
 	if d.Learner == nil {
 		return 0, false
 	}
@@ -223,9 +223,9 @@
 	totalWeight = 0.25  // of the worker's whole slow-down, besides what the task adds
 )
 
-func (d Default) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
+func (d InterferenceAware) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
 	score := -cost
-	if r.HomeTo == w.Host.Name {
+	if r.ReturnTo == w.Host.Name {
 		score += homeBonus
 	}
 	score -= rackPenalty * racks[w.Host.Rack]
@@ -237,7 +237,7 @@
 // a service: as much as a typical class slows a service, rising with their
 // use. Classes that do less harm go beside services and leave that room to
 // those that do more.
-func (d Default) scarcity(fleet *accountant.Fleet) float64 {
+func (d InterferenceAware) scarcity(fleet *accountant.Fleet) float64 {
 	var granted, capacity int64
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
--- a/internal/control/placer/room.go
+++ b/internal/control/placer/room.go
@@ -10,15 +10,15 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// UrgentBound is the time within which an urgent task starts or is refused.
-const UrgentBound = 6800 * time.Millisecond
+// UrgentStartLimit is the time within which an urgent task starts or is refused.
+const UrgentStartLimit = 6800 * time.Millisecond
 
 // Costs are the times that making room takes. Zero fields take defaults.
 type Costs struct {
-	Throttle   time.Duration // until a lower processor grant is in force
-	Checkpoint time.Duration // until a run has saved its progress and ended
-	Start      time.Duration // from decision to running, with the durable record
-	Floor      float64       // share of its grant that a throttled task keeps
+	Throttle      time.Duration // until a lower processor grant is in force
+	Checkpoint    time.Duration // until a run has saved its progress and ended
+	Start         time.Duration // from decision to running, with the durable record
+	ThrottleShare float64       // share of its grant that a throttled task keeps
 }
 
 func (c Costs) orDefault() Costs {
@@ -31,39 +31,39 @@
 	if c.Start == 0 {
 		c.Start = 1500 * time.Millisecond
 	}
-	if c.Floor == 0 {
-		c.Floor = 0.5
+	if c.ThrottleShare == 0 {
+		c.ThrottleShare = 0.5
 	}
 	return c
 }
 
-// Room is how an urgent task gets its place. Worker is empty if it can't
+// Preemption is how an urgent task gets its place. Worker is empty if it can't
 // within the bound, and Why says the reason.
-type Room struct {
+type Preemption struct {
 	Worker   string
-	Throttle []Shrink            // lower these processor grants
+	Throttle []GrantReduction    // lower these processor grants
 	Evict    []describer.TaskID  // checkpoint and end these runs, in order
 	Freed    describer.Resources // by Throttle and Evict together
 	Wait     time.Duration       // expected until the urgent task runs
-	Why      string
+	Reason   string
 }
 
-// Shrink lowers the processor grant of a run.
-type Shrink struct {
+// GrantReduction lowers the processor grant of a run.
+type GrantReduction struct {
 	Task describer.TaskID
 	From int64 // millicores
 	To   int64 // millicores
 }
 
-// MakeRoom finds the worker on which the request fits after the cheapest
+// Preempt finds the worker on which the request fits after the cheapest
 // change: none, throttling, or the fewest evictions, at most evictions many.
 // Only batch tasks of normal priority give way. elapsed is how long the
 // request has waited already.
-func MakeRoom(
+func Preempt(
 	fleet *accountant.Fleet, r Request, costs Costs, evictions int, elapsed time.Duration,
-) Room {
+) Preemption {
 	costs = costs.orDefault()
-	best, why := Room{}, "no open worker is large enough"
+	best, why := Preemption{}, "no open worker is large enough"
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
 		if w.Closed || r.Avoid[name] || !r.Want.Fits(w.Host.Capacity.Sub(w.Reserved)) {
@@ -74,8 +74,8 @@
 			why = reason
 			continue
 		}
-		if elapsed+room.Wait > UrgentBound {
-			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentBound)
+		if elapsed+room.Wait > UrgentStartLimit {
+			why = fmt.Sprintf("making room takes %s, more than is left of %s", room.Wait, UrgentStartLimit)
 			continue
 		}
 		if best.Worker == "" || cheaper(room, best) {
@@ -83,12 +83,12 @@
 		}
 	}
 	if best.Worker == "" {
-		best.Why = why
+		best.Reason = why
 	}
 	return best
 }
 
-func cheaper(a, b Room) bool {
+func cheaper(a, b Preemption) bool {
 	if c := cmp.Compare(len(a.Evict), len(b.Evict)); c != 0 {
 		return c < 0
 	}
@@ -97,27 +97,27 @@
 
 // roomOn makes room on one worker: first by throttling, then by evicting the
 // run with the least progress, whose loss is the smallest, and so on.
-func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Room, string) {
-	room := Room{Worker: w.Host.Name, Wait: costs.Start}
+func roomOn(w *accountant.Worker, want describer.Resources, costs Costs, evictions int) (Preemption, string) {
+	room := Preemption{Worker: w.Host.Name, Wait: costs.Start}
 	missing := want.Sub(w.Free())
 	if isMet(missing) {
 		return room, ""
 	}
 	victims := victimsOf(w)
 	for _, task := range victims {
-		if isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
+		if isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
 			break
 		}
 		if len(room.Evict) == evictions {
-			return Room{}, "the eviction budget is used up"
+			return Preemption{}, "the eviction budget is used up"
 		}
 		missing = missing.Sub(w.Grants[task].Resources)
 		room.Evict = append(room.Evict, task)
 	}
-	if !isMet(throttled(w, victims, missing, room.Evict, costs.Floor)) {
-		return Room{}, "latency-critical and urgent tasks hold the capacity"
+	if !isMet(throttled(w, victims, missing, room.Evict, costs.ThrottleShare)) {
+		return Preemption{}, "latency-critical and urgent tasks hold the capacity"
 	}
-	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.Floor)
+	room.Throttle = shrinks(w, victims, missing.CPU, room.Evict, costs.ThrottleShare)
 	room.Freed = want.Sub(w.Free()).Sub(missing)
 	for _, s := range room.Throttle {
 		room.Freed.CPU += s.From - s.To
@@ -156,8 +156,8 @@
 
 func shrinks(
 	w *accountant.Worker, victims []describer.TaskID, cpu int64, evicted []describer.TaskID, floor float64,
-) []Shrink {
-	var out []Shrink
+) []GrantReduction {
+	var out []GrantReduction
 	for _, task := range victims {
 		if cpu <= 0 {
 			break
@@ -171,7 +171,7 @@
 			continue
 		}
 		cpu -= give
-		out = append(out, Shrink{task, from, from - give})
+		out = append(out, GrantReduction{task, from, from - give})
 	}
 	return out
 }
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -51,19 +51,19 @@
 	}
 	for i := range 3 {
 		id := describer.TaskID{Job: "menus", Index: i}
-		Expect(out["s-1"].Workers["w-1"].Hold(id, accountant.Grant{
+		Expect(out["s-1"].Workers["w-1"].Allocate(id, accountant.Grant{
 			Class: "translate", Team: "council", Resources: describer.Resources{CPU: 5000, Memory: 1000},
 		})).To(Succeed())
 	}
 	hold := accountant.Grant{Resources: describer.Resources{CPU: 6000}}
-	Expect(out["s-1"].Workers["w-2"].Hold(describer.TaskID{Job: "other"}, hold)).To(Succeed())
+	Expect(out["s-1"].Workers["w-2"].Allocate(describer.TaskID{Job: "other"}, hold)).To(Succeed())
 	return out
 }
 
 func pending() []placer.Request {
 	job := &describer.Job{ID: "maps", Team: "council", Class: "render"}
 	return []placer.Request{{
-		Task: describer.TaskID{Job: "maps"}, Job: job, Want: describer.Resources{CPU: 3000}, HomeTo: "w-3",
+		Task: describer.TaskID{Job: "maps"}, Job: job, Want: describer.Resources{CPU: 3000}, ReturnTo: "w-3",
 	}}
 }
 
@@ -75,7 +75,7 @@
 	return map[string]describer.Intent{
 		"target":       {ID: "i", Action: describer.SetTarget, Service: "desk", Target: 150 * time.Millisecond},
 		"run":          {ID: "i", Action: describer.Run, Job: job},
-		"drain":        {ID: "i", Action: describer.DrainOff, Workers: []string{"w-4", "w-1"}, For: time.Hour},
+		"drain":        {ID: "i", Action: describer.DrainWorkers, Workers: []string{"w-4", "w-1"}, For: time.Hour},
 		"restore":      {ID: "i", Action: describer.Restore, Drain: "d-old"},
 		"cancel-drain": {ID: "i", Action: describer.Cancel, Drain: "d-old"},
 		"cancel-job":   {ID: "i", Action: describer.Cancel, Job: &describer.Job{ID: "menus"}},
@@ -161,8 +161,8 @@
 		Entry("no target", describer.Intent{Action: describer.SetTarget, Service: "desk"}, "target"),
 		Entry("no such drain", describer.Intent{Action: describer.Restore, Drain: "x"}, "drain"),
 		Entry("nothing to cancel", describer.Intent{Action: describer.Cancel}, "drain"),
-		Entry("no workers", describer.Intent{Action: describer.DrainOff}, "workers"),
-		Entry("drained already", describer.Intent{Action: describer.DrainOff, Workers: []string{"w-3"}}, "workers"),
+		Entry("no workers", describer.Intent{Action: describer.DrainWorkers}, "workers"),
+		Entry("drained already", describer.Intent{Action: describer.DrainWorkers, Workers: []string{"w-3"}}, "workers"),
 		Entry("no job", describer.Intent{Action: describer.Run}, "job"),
 		Entry("no such action", describer.Intent{Action: "x"}, "action"),
 	)
@@ -173,9 +173,9 @@
 		old := plan(intents()["drain"]).Steps
 		renewed := append([]describer.Step(nil), old[:len(old)-1]...)
 		renewed[1].To = "elsewhere"
-		Expect(Difference(old, renewed)).To(BeEmpty())
+		Expect(NewSteps(old, renewed)).To(BeEmpty())
 		renewed = append(old, describer.Step{Verb: describer.Move, Task: "new/0", Worker: "w-1"})
-		Expect(Difference(old, renewed)).To(Equal([]string{"new: move new/0 w-1"}))
+		Expect(NewSteps(old, renewed)).To(Equal([]string{"new: move new/0 w-1"}))
 	})
 })
 
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -33,7 +33,7 @@
 		}
 	}
 	if waiting > 0 {
-		p.add(describer.Step{Verb: describer.Wait, Task: counted(job.ID, waiting), Why: why})
+		p.add(describer.Step{Verb: describer.Wait, Task: counted(job.ID, waiting), Reason: why})
 	}
 }
 
@@ -45,9 +45,9 @@
 func (p *draft) place(fleet *accountant.Fleet, r placer.Request) (worker, why string) {
 	choice := placer.LeastLoaded{}.Place(fleet, r, p.now)
 	if choice.Worker == "" {
-		return "", choice.Why
+		return "", choice.Reason
 	}
-	err := fleet.Workers[choice.Worker].Hold(r.Task, accountant.Grant{
+	err := fleet.Workers[choice.Worker].Allocate(r.Task, accountant.Grant{
 		Class: r.Job.Class, Team: r.Job.Team, Kind: r.Job.Kind, Resources: r.Want,
 	})
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	for _, w := range workers {
 		p.add(describer.Step{
-			Verb: describer.Close, Worker: w.Host.Name, For: p.intent.For, Why: "drain " + p.intent.ID,
+			Verb: describer.Close, Worker: w.Host.Name, For: p.intent.For, Reason: "drain " + p.intent.ID,
 		})
 		if len(w.Host.Services) > 0 {
 			p.closed++
@@ -78,7 +78,7 @@
 
 func (p *draft) leave(w *accountant.Worker, task describer.TaskID) {
 	g := w.Grants[task]
-	w.Drop(task, g.Token)
+	w.Release(task, g.Token)
 	job := &describer.Job{ID: task.Job, Team: g.Team, Class: g.Class, Kind: g.Kind, Priority: g.Priority}
 	request := placer.Request{Task: task, Job: job, Want: g.Resources}
 	to, why := p.place(p.within(p.shard[w.Host.Name]), request)
@@ -86,7 +86,7 @@
 	p.lost += g.Resources.CPU
 	step := describer.Step{Verb: describer.Move, Task: task.String(), Worker: w.Host.Name, To: to, For: moveTime}
 	if to == "" {
-		step.Verb, step.For, step.Why = describer.Wait, p.intent.For, why
+		step.Verb, step.For, step.Reason = describer.Wait, p.intent.For, why
 	}
 	p.add(step)
 }
@@ -98,7 +98,7 @@
 		w.Closed = false
 		p.opens(w, "gradual, by batch limit and service latency")
 		for _, r := range p.pending {
-			if r.HomeTo != w.Host.Name || w.Hold(r.Task, accountant.Grant{Resources: r.Want}) != nil {
+			if r.ReturnTo != w.Host.Name || w.Allocate(r.Task, accountant.Grant{Resources: r.Want}) != nil {
 				continue
 			}
 			p.gained += r.Want.CPU
@@ -111,7 +111,7 @@
 	if len(w.Host.Services) > 0 {
 		p.opened++
 	}
-	p.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Why: why})
+	p.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Reason: why})
 }
 
 // cancel ends a drain at once, or a job.
@@ -140,7 +140,7 @@
 	}
 	if waiting > 0 {
 		p.add(describer.Step{
-			Verb: describer.Stop, Task: counted(p.intent.Job.ID, waiting), Why: "waits to run, and will not",
+			Verb: describer.Stop, Task: counted(p.intent.Job.ID, waiting), Reason: "waits to run, and will not",
 		})
 	}
 }
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -9,148 +9,158 @@
 	"dotterelcart.dev/dotterelcart/internal/control/restorer"
 )
 
-// Times of drains.
 const (
-	goneAfter    = 10 * time.Minute // missing in the host list, a worker can't be restored
-	proposeAgain = 5 * time.Second  // until the configuration shows a proposal
+	// missingLimit is how long a worker may be missing from the host list before its
+	// restore ends without it.
+	missingLimit = 10 * time.Minute
+
+	// proposalInterval is the time between repetitions of a proposal that the
+	// configuration does not show yet.
+	proposalInterval = 5 * time.Second
 )
 
-// drain is the obligation that concerns one worker.
-type drain struct {
+// workerDrain is the drain of one worker. While it is draining, runs are moved off the
+// worker; while it is restoring, batch work is gradually allowed back.
+type workerDrain struct {
 	id    string
 	state describer.DrainState
 }
 
-// indexDrains lists the workers that still owe or are owed something.
+// indexDrains rebuilds the index of drains by worker from the configuration. Workers
+// whose restore is complete are left out.
 func (s *State) indexDrains() {
-	s.drains = make(map[string]drain)
+	s.drains = make(map[string]workerDrain)
 	for _, d := range s.config.Drains {
 		for _, name := range d.Workers {
 			if !slices.Contains(d.Restored, name) {
-				s.drains[name] = drain{id: d.ID, state: d.State}
+				s.drains[name] = workerDrain{id: d.ID, state: d.State}
 			}
 		}
 	}
 }
 
-// reviewDrains advances drains and restores. Everything that it does is
-// repeated until the configuration shows that it is fulfilled, so it doesn't
-// matter who began it.
-func (s *State) reviewDrains() {
-	if len(s.drains) == 0 || !s.reached {
+// advanceDrains takes the next steps of all drains and restores. Each step is repeated
+// until the configuration shows its result, so a new owner can continue what another
+// one began.
+func (s *State) advanceDrains() {
+	if len(s.drains) == 0 || !s.storeReachable {
 		return
 	}
-	s.beginRestores()
+	s.proposeRestores()
 	for _, name := range sortedKeys(s.drains) {
-		for _, h := range s.order {
-			if w := h.workers[name]; w != nil && h.isDeciding() {
-				h.reviewDrain(w, s.drains[name])
+		for _, sh := range s.sortedShards {
+			if w := sh.workers[name]; w != nil && sh.isWritable() {
+				sh.advanceDrain(w, s.drains[name])
 			}
 		}
 	}
 }
 
-// beginRestores proposes the restore of drains whose time is over.
-func (s *State) beginRestores() {
+// proposeRestores proposes to start the restore of each drain whose time is over and
+// that concerns a worker of an owned shard.
+func (s *State) proposeRestores() {
 	for _, d := range s.config.Drains {
 		if d.State != describer.Draining || d.Until.IsZero() || d.Until.After(s.now) {
 			continue
 		}
-		for _, h := range s.order {
-			if h.isDeciding() && h.book != nil && h.hasAny(d.Workers) && h.mayPropose(d.ID) {
-				s.emit(Propose{Drain: d.ID})
+		for _, sh := range s.sortedShards {
+			if sh.isWritable() && sh.view != nil && sh.hasAnyWorker(d.Workers) && sh.mayPropose(d.ID) {
+				s.emit(ProposeDrainUpdate{Drain: d.ID})
 				break
 			}
 		}
 	}
 }
 
-func (h *shard) hasAny(workers []string) bool {
-	return slices.ContainsFunc(workers, func(name string) bool { return h.workers[name] != nil })
+func (sh *shard) hasAnyWorker(workers []string) bool {
+	return slices.ContainsFunc(workers, func(name string) bool { return sh.workers[name] != nil })
 }
 
-// mayPropose limits how often the same proposal is made.
-func (h *shard) mayPropose(what string) bool {
-	if at, ok := h.proposed[what]; ok && h.state.now.Sub(at) < proposeAgain {
+// mayPropose reports whether the proposal may be sent now, and if so notes the time.
+// A proposal is identified by its drain id or worker name.
+func (sh *shard) mayPropose(id string) bool {
+	if at, ok := sh.proposedAt[id]; ok && sh.state.now.Sub(at) < proposalInterval {
 		return false
 	}
-	h.proposed[what] = h.state.now
+	sh.proposedAt[id] = sh.state.now
 	return true
 }
 
-func (h *shard) reviewDrain(w *worker, d drain) {
+func (sh *shard) advanceDrain(w *worker, d workerDrain) {
 	if d.state == describer.Draining {
-		h.drainOff(w)
+		sh.stopDrainedRuns(w)
 		return
 	}
-	h.restoreTo(w, d)
+	sh.advanceRestore(w, d)
 }
 
-// drainOff stops the worker's runs with a checkpoint, a few at a time.
-func (h *shard) drainOff(w *worker) {
-	w.restore = restorer.State{}
-	w.held = ""
-	h.refresh(w)
+// stopDrainedRuns stops the worker's runs with a checkpoint, at most maxStops at a time.
+func (sh *shard) stopDrainedRuns(w *worker) {
+	w.restoreState = restorer.State{}
+	w.restoreHold = ""
+	sh.updateClosed(w)
 	for _, t := range slices.Clone(w.runs) {
-		if w.stops >= maxStops {
+		if w.pendingStops >= maxStops {
 			return
 		}
 		if t.stop == nil {
-			h.end(t, stopping{reason: "drained", checkpoint: true, drainedOff: w.name})
+			sh.stopRun(t, stopRequest{reason: "drained", checkpoint: true, drainedOff: w.name})
 		}
 	}
 }
 
-// restoreTo lets work back on the worker step by step, and records the end of
-// the obligation once no drained task of it waits for a place.
-func (h *shard) restoreTo(w *worker, d drain) {
-	if h.book.restored[w.name] == d.id {
-		h.limit(w, false, 0)
-		h.propose(w.name)
+// advanceRestore raises the limit on batch work of the worker step by step. It records
+// the end of the restore when the last step is done and no task that was drained off the
+// worker is pending, or when the worker has been missing for too long.
+func (sh *shard) advanceRestore(w *worker, d workerDrain) {
+	if sh.view.restored[w.name] == d.id {
+		sh.setBatchLimit(w, false, 0)
+		sh.proposeRestored(w.name)
 		return
 	}
-	owed := h.book.owed[w.name]
+	pending := sh.view.drainedPending[w.name]
 	decision := restorer.Decide(restorer.Input{
-		Now:      h.state.now,
-		Worker:   w.account,
-		Services: h.state.services,
-		Owed:     owed,
-		Gone:     !w.listed && h.state.now.Sub(w.gone) >= goneAfter,
-		State:    &w.restore,
-		Options:  h.state.policies.Restore,
+		Now:       sh.state.now,
+		Worker:    w.account,
+		Services:  sh.state.services,
+		Returning: pending,
+		Removed:   !w.listed && sh.state.now.Sub(w.missingSince) >= missingLimit,
+		State:     &w.restoreState,
+		Options:   sh.state.policies.Restoration,
 	})
-	w.held = decision.Held
-	h.limit(w, !decision.Done, decision.Limit)
-	h.refresh(w)
+	w.restoreHold = decision.BlockedBy
+	sh.setBatchLimit(w, !decision.Done, decision.Limit)
+	sh.updateClosed(w)
 	if !decision.Done {
 		return
 	}
-	if owed > 0 && w.listed {
-		w.held = fmt.Sprintf("%d drained tasks wait for a place", owed)
+	if pending > 0 && w.listed {
+		w.restoreHold = fmt.Sprintf("%d drained tasks are pending", pending)
 		return
 	}
-	w.batch = h.journal.next()
-	h.append(describer.Record{Kind: describer.DrainRestored, Worker: w.name, Key: d.id})
-	h.journal.then(consequence{trust: w.name})
+	w.restoredBatch = sh.journal.nextBatch()
+	sh.appendRecord(describer.Record{Kind: describer.DrainRestored, Worker: w.name, Key: d.id})
+	sh.journal.whenDurable(followUp{restoredWorker: w.name})
 }
 
-// limit bounds what batch tasks may hold on the worker.
-func (h *shard) limit(w *worker, on bool, cpu int64) {
-	if w.account.Limited != on || w.account.Limit != cpu {
-		h.idle = false
+// setBatchLimit limits the processors, in millicores, that batch tasks may be granted on
+// the worker, or removes the limit if on is false.
+func (sh *shard) setBatchLimit(w *worker, on bool, cpu int64) {
+	if w.account.BatchLimited != on || w.account.BatchLimit != cpu {
+		sh.placementIdle = false
 	}
-	w.account.Limited = on
-	w.account.Limit = cpu
+	w.account.BatchLimited = on
+	w.account.BatchLimit = cpu
 }
 
-// propose asks for the configuration to show that the worker has its work
-// back.
-func (h *shard) propose(name string) {
-	d, ok := h.state.drains[name]
-	if w := h.workers[name]; w == nil || !h.journal.isDurable(w.batch) {
+// proposeRestored proposes to mark the worker as restored in the configuration, once
+// the record of it is durable.
+func (sh *shard) proposeRestored(name string) {
+	d, ok := sh.state.drains[name]
+	if w := sh.workers[name]; w == nil || !sh.journal.isDurable(w.restoredBatch) {
 		return
 	}
-	if ok && d.state == describer.Restoring && h.book.restored[name] == d.id && h.mayPropose(name) {
-		h.state.emit(Propose{Drain: d.id, Worker: name})
+	if ok && d.state == describer.Restoring && sh.view.restored[name] == d.id && sh.mayPropose(name) {
+		sh.state.emit(ProposeDrainUpdate{Drain: d.id, Worker: name})
 	}
 }
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -10,59 +10,63 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// fakeWorker is a worker that keeps to its contract and audits its callers.
+// fakeWorker simulates a worker with leases and fencing, and checks that its callers keep
+// to the rules.
 type fakeWorker struct {
-	world    *world
-	name     string
-	offset   time.Duration // of its clock
-	capacity describer.Resources
-	dead     bool
-	unlisted bool // missing in the host list
-	bad      bool // fails every run
-	epoch    int64
-	fences   map[describer.TaskID]describer.Token
-	runs     map[describer.TaskID]*fakeRun
-	ended    map[runner.Run]runner.StopResult
-	finished map[runner.Run]runner.FinishedRun
+	sim         *simulation
+	name        string
+	clockOffset time.Duration // difference between its clock and the simulation's
+	capacity    describer.Resources
+	down        bool
+	unlisted    bool  // whether the host list lacks it
+	failsRuns   bool  // whether all its runs fail
+	epoch       int64 // greatest epoch seen; calls of lower epochs are refused
+	fences      map[describer.TaskID]describer.Token
+	runs        map[describer.TaskID]*fakeRun
+	outcomes    map[runner.Run]runner.StopResult
+	finished    map[runner.Run]runner.FinishedRun
 }
 
 type fakeRun struct {
 	runner.StartRequest
-	began     time.Time
-	lease     time.Time
-	length    time.Duration
-	throttled describer.Token
+	startedAt    time.Time
+	leaseEnd     time.Time
+	length       time.Duration
+	lastThrottle describer.Token
 }
 
-// used is sometimes all of the grant and sometimes little of it.
+// used returns a random measured use: all of the granted processors or a quarter of them.
 func (r *fakeRun) used(m *fakeWorker) describer.Resources {
-	if m.world.chance(0.5) {
+	if m.sim.chance(0.5) {
 		return r.Granted
 	}
 	return describer.Resources{CPU: r.Granted.CPU / 4, Memory: r.Granted.Memory}
 }
 
-func newFakeWorker(w *world, name string, offset time.Duration) *fakeWorker {
-	m := &fakeWorker{world: w, name: name, offset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
-	m.forget()
+func newFakeWorker(sim *simulation, name string, offset time.Duration) *fakeWorker {
+	m := &fakeWorker{sim: sim, name: name, clockOffset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
+	m.reset()
 	return m
 }
 
-func (m *fakeWorker) forget() {
+// reset forgets everything, as a worker does that restarts without its disk.
+func (m *fakeWorker) reset() {
 	for run, f := range m.finished {
-		if f.OK && m.world.store.completed[run.Task] == run {
-			delete(m.world.store.completed, run.Task)
+		if f.OK && m.sim.store.completed[run.Task] == run {
+			delete(m.sim.store.completed, run.Task)
 		}
 	}
 	m.epoch = 0
 	m.fences = make(map[describer.TaskID]describer.Token)
 	m.runs = make(map[describer.TaskID]*fakeRun)
-	m.ended = make(map[runner.Run]runner.StopResult)
+	m.outcomes = make(map[runner.Run]runner.StopResult)
 	m.finished = make(map[runner.Run]runner.FinishedRun)
 }
 
-func (m *fakeWorker) clock() time.Time { return m.world.now.Add(m.offset) }
+// clock returns the time by the worker's own clock.
+func (m *fakeWorker) clock() time.Time { return m.sim.now.Add(m.clockOffset) }
 
+// leaseEnd returns the end of a lease granted now, by the worker's clock.
 func (m *fakeWorker) leaseEnd(lease time.Duration, until time.Time) time.Time {
 	end := m.clock().Add(lease)
 	if !until.IsZero() && until.Before(end) {
@@ -71,52 +75,53 @@
 	return end
 }
 
-// advance ends what is over by now.
-func (m *fakeWorker) advance() {
+// endDueRuns ends the runs that have finished or whose lease has expired by now.
+func (m *fakeWorker) endDueRuns() {
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
-		done := r.began.Add(r.length)
+		done := r.startedAt.Add(r.length)
 		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
-		case !done.After(m.clock()) && !done.After(r.lease):
-			f = runner.FinishedRun{Run: run, OK: !m.bad, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.ended[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
+		case !done.After(m.clock()) && !done.After(r.leaseEnd):
+			f = runner.FinishedRun{Run: run, OK: !m.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
+			m.outcomes[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
-				m.world.store.complete(run)
+				m.sim.store.recordCompletion(run)
 			}
-		case r.lease.After(m.clock()):
+		case r.leaseEnd.After(m.clock()):
 			continue
 		default:
-			m.ended[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
+			m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
 		}
 		m.finished[run] = f
 		delete(m.runs, id)
 	}
 }
 
+// start starts a run and returns an empty string, or why it is refused.
 func (m *fakeWorker) start(s runner.StartRequest) string {
-	m.advance()
+	m.endDueRuns()
 	run := runner.Run{Task: s.Task, Token: s.Token}
-	_, known := m.ended[run]
+	_, known := m.outcomes[run]
 	switch {
 	case s.Token.Epoch < m.epoch, s.Token.Less(m.fences[s.Task]):
 		return "fenced"
 	case !s.Until.IsZero() && m.clock().After(s.Until):
 		return "late"
-	case known && !m.ended[run].Ran:
+	case known && !m.outcomes[run].Ran:
 		return "stopped before"
 	case s.Token == m.fences[s.Task]:
 		return ""
 	}
 	m.epoch = s.Token.Epoch
 	m.fences[s.Task] = s.Token
-	m.world.audit(m, s)
+	m.sim.checkStart(m, s)
 	m.runs[s.Task] = &fakeRun{
-		StartRequest: s, began: m.clock(), lease: m.leaseEnd(s.Lease, s.Until), length: m.world.length(),
+		StartRequest: s, startedAt: m.clock(), leaseEnd: m.leaseEnd(s.Lease, s.Until), length: m.sim.runLength(),
 	}
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.world.t.Fatalf("%s is overfilled: %v", m.name, sum)
+		m.sim.t.Fatalf("%s: grants exceed the capacity: %v", m.name, sum)
 	}
 	return ""
 }
@@ -129,8 +134,10 @@
 	return sum
 }
 
+// stop stops a run, or prevents its start if the start arrives later. The second result
+// says why the call is refused.
 func (m *fakeWorker) stop(s runner.StopRequest) (runner.StopResult, string) {
-	m.advance()
+	m.endDueRuns()
 	if s.Epoch < m.epoch {
 		return runner.StopResult{}, "fenced"
 	}
@@ -141,41 +148,44 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(m.runs, s.Task)
-		m.ended[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
-	} else if _, ok := m.ended[run]; !ok {
-		m.ended[run] = runner.StopResult{}
+		m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+	} else if _, ok := m.outcomes[run]; !ok {
+		m.outcomes[run] = runner.StopResult{}
 	}
-	return m.ended[run], ""
+	return m.outcomes[run], ""
 }
 
+// throttle changes the processor grant of a run, unless a later throttle was applied.
 func (m *fakeWorker) throttle(t runner.ThrottleRequest) {
-	m.advance()
+	m.endDueRuns()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
 	r := m.runs[t.Task]
-	if t.Epoch < m.epoch || r == nil || r.Token != t.Token || order.Less(r.throttled) {
+	if t.Epoch < m.epoch || r == nil || r.Token != t.Token || order.Less(r.lastThrottle) {
 		return
 	}
-	r.throttled = order
+	r.lastThrottle = order
 	r.Granted.CPU = t.CPU
 	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.world.t.Fatalf("%s is overfilled by a throttle: %v", m.name, sum)
+		m.sim.t.Fatalf("%s: grants exceed the capacity after a throttle: %v", m.name, sum)
 	}
 }
 
+// sync renews leases, forgets acknowledged runs and returns the inventory. The second
+// result says why the call is refused.
 func (m *fakeWorker) sync(s runner.SyncRequest) (runner.SyncResult, string) {
-	m.advance()
+	m.endDueRuns()
 	if s.Epoch < m.epoch {
 		return runner.SyncResult{}, "fenced"
 	}
 	m.epoch = s.Epoch
 	for _, run := range s.Ack {
-		m.world.store.checkAck(m.finished[run])
+		m.sim.store.checkAck(m.finished[run])
 		delete(m.finished, run)
 	}
 	for _, run := range s.Renew {
 		if r := m.runs[run.Task]; r != nil && r.Token == run.Token {
-			if end := m.leaseEnd(s.Lease, s.Until); end.After(r.lease) {
-				r.lease = end
+			if end := m.leaseEnd(s.Lease, s.Until); end.After(r.leaseEnd) {
+				r.leaseEnd = end
 			}
 		}
 	}
@@ -183,13 +193,13 @@
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		out.Running = append(out.Running, runner.ActiveRun{
-			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.throttled,
+			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.lastThrottle,
 		})
 	}
 	for _, f := range m.finished {
 		out.Finished = append(out.Finished, f)
 	}
-	slices.SortFunc(out.Finished, func(a, b runner.FinishedRun) int { return compareText(a.Task.String(), b.Task.String()) })
+	slices.SortFunc(out.Finished, func(a, b runner.FinishedRun) int { return compareStrings(a.Task.String(), b.Task.String()) })
 	return out, ""
 }
 
@@ -198,6 +208,6 @@
 	for id := range m {
 		out = append(out, id)
 	}
-	slices.SortFunc(out, func(a, b describer.TaskID) int { return compareText(a.String(), b.String()) })
+	slices.SortFunc(out, func(a, b describer.TaskID) int { return compareStrings(a.String(), b.String()) })
 	return out
 }
--- a/internal/control/reducer/key.go
+++ b/internal/control/reducer/key.go
@@ -4,19 +4,20 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// claimKey records that a non-idempotent request is about to be sent. Only
-// the first claim of a key is fresh, and only once it is durable.
-func (s *State) claimKey(e KeyRequested) {
-	h := s.shards[e.Shard]
-	if h != nil && h.book != nil && h.phase == owning {
-		if first, ok := h.book.keys[e.Key]; ok {
-			h.journal.then(consequence{request: e.Request, key: &KeyClaim{Owner: first.owner}})
+// claimKey records that a non-idempotent request with this idempotency key is about
+// to be sent. Only the first claim of a key is answered with First, and only after it is
+// durable; later claims get the owner of the first.
+func (s *State) claimKey(e KeyClaimRequested) {
+	sh := s.shards[e.Shard]
+	if sh != nil && sh.view != nil && sh.ownership == owning {
+		if first, ok := sh.view.keys[e.Key]; ok {
+			sh.journal.whenDurable(followUp{request: e.Request, key: &KeyClaim{Owner: first.owner}})
 			return
 		}
 	}
-	if h = s.deciding(e.Request, e.Shard); h == nil {
+	if sh = s.writableShard(e.Request, e.Shard); sh == nil {
 		return
 	}
-	h.append(describer.Record{Kind: describer.KeyClaimed, Key: e.Key, Owner: e.Owner})
-	h.journal.then(consequence{request: e.Request, key: &KeyClaim{Fresh: true, Owner: e.Owner}})
+	sh.appendRecord(describer.Record{Kind: describer.KeyClaimed, Key: e.Key, Owner: e.Owner})
+	sh.journal.whenDurable(followUp{request: e.Request, key: &KeyClaim{First: true, Owner: e.Owner}})
 }
--- a/internal/control/reducer/routing.go
+++ b/internal/control/reducer/routing.go
@@ -7,20 +7,19 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Bounds on the publication of routing tables.
 const (
-	publishInterval   = 250 * time.Millisecond // between two
-	interferenceDelta = 0.05                   // change that is worth one
+	publishInterval   = 250 * time.Millisecond // minimum time between routing tables
+	interferenceDelta = 0.05                   // minimum change of interference that is published
 )
 
-// publish hands a new routing table to the traffic side. Hosts are sorted by
-// name, so each service's backends are too.
+// publish emits a new routing table. The backends of each service are sorted by host
+// name, as the hosts are.
 func (s *State) publish() {
-	s.published = true
+	s.tableUpToDate = true
 	if s.config.Revision == 0 {
 		return
 	}
-	s.tabled = s.now
+	s.publishedAt = s.now
 	table := &describer.RoutingTable{
 		Revision: s.config.Revision,
 		Services: s.backends(),
@@ -34,23 +33,24 @@
 			table.Owners[id] = p.Address
 		}
 	}
-	for _, h := range s.order {
-		if h.book != nil && h.phase == owning {
-			table.Owned[h.id] = h.epoch
-			table.Owners[h.id] = s.address()
+	for _, sh := range s.sortedShards {
+		if sh.view != nil && sh.ownership == owning {
+			table.Owned[sh.id] = sh.epoch
+			table.Owners[sh.id] = s.ownAddress()
 		}
 	}
-	s.emit(Publish{Table: table})
+	s.emit(PublishRoutingTable{Table: table})
 }
 
-// isReady reports whether the daemon may serve: it has a configuration and a
+// isReady reports whether the daemon may serve requests: it has a configuration and a
 // host list, and isn't stopping.
 func (s *State) isReady() bool {
 	return s.config.Revision > 0 && len(s.hosts) > 0 && !s.stopping
 }
 
-// address is this daemon's own for peers, as membership knows it.
-func (s *State) address() string {
+// ownAddress returns the address of this daemon for peers, as membership reports it, or
+// an empty string.
+func (s *State) ownAddress() string {
 	for _, p := range s.peers {
 		if p.Name == s.options.Daemon {
 			return p.Address
@@ -59,6 +59,7 @@
 	return ""
 }
 
+// backends returns the workers that serve each service, by name of the service.
 func (s *State) backends() map[string][]describer.Backend {
 	shards := s.shardsByRack()
 	out := make(map[string][]describer.Backend, len(s.config.Services))
@@ -70,7 +71,7 @@
 		if host.Role != describer.Worker {
 			continue
 		}
-		b := s.backend(host, shards[rack{host.Domain, host.Rack}])
+		b := s.backend(host, shards[rackKey{host.Domain, host.Rack}])
 		for _, service := range host.Services {
 			if _, ok := out[service]; ok {
 				out[service] = append(out[service], b)
@@ -80,26 +81,27 @@
 	return out
 }
 
-// rack names a rack within its failure domain.
-type rack struct{ domain, name string }
+// rackKey identifies a rack; its name is unique within its failure domain.
+type rackKey struct{ domain, name string }
 
-func (s *State) shardsByRack() map[rack]string {
-	out := make(map[rack]string)
+// shardsByRack returns the id of the shard that each rack belongs to.
+func (s *State) shardsByRack() map[rackKey]string {
+	out := make(map[rackKey]string)
 	for _, c := range s.config.Shards {
 		for _, name := range c.Racks {
-			out[rack{c.Domain, name}] = c.ID
+			out[rackKey{c.Domain, name}] = c.ID
 		}
 	}
 	return out
 }
 
-// backend describes a worker as a target of requests. One that is leaving or
-// draining gets no new ones.
+// backend describes a worker as a target of requests. A worker that is leaving or
+// draining is closed to new requests.
 func (s *State) backend(host *describer.Host, shard string) describer.Backend {
 	d, drained := s.drains[host.Name]
-	slower := 0.0
-	if h := s.shards[shard]; h != nil && h.workers[host.Name] != nil {
-		slower = h.workers[host.Name].slower
+	interference := 0.0
+	if sh := s.shards[shard]; sh != nil && sh.workers[host.Name] != nil {
+		interference = sh.workers[host.Name].interference
 	}
 	return describer.Backend{
 		Worker:       host.Name,
@@ -109,12 +111,12 @@
 		Shard:        shard,
 		Slots:        host.Slots,
 		Connections:  host.Connections,
-		Interference: slower,
+		Interference: interference,
 		Closed:       host.State == describer.Leaving || drained && d.state == describer.Draining,
 	}
 }
 
-func compareText(a, b string) int {
+func compareStrings(a, b string) int {
 	if a < b {
 		return -1
 	}
--- a/internal/control/reducer/run.go
+++ b/internal/control/reducer/run.go
@@ -9,28 +9,30 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// repeatAfter is the wait before a call whose answer was lost is repeated.
-const repeatAfter = time.Second
+// repeatDelay is the wait before an unanswered call to a worker is repeated.
+const repeatDelay = time.Second
 
-// ask sends a durable start to its worker, unless it was overtaken.
-func (h *shard) ask(t *task, token describer.Token) {
-	if t.state != describer.Started || t.token != token || t.phase != decided {
+// sendStart calls the worker to start a run whose start record is durable, unless the
+// run has ended or must not start any more.
+func (sh *shard) sendStart(t *task, token describer.Token) {
+	if t.state != describer.Started || t.token != token || t.startPhase != startRecorded {
 		return
 	}
-	w := h.worker(t.worker)
-	if t.job.cancelled || t.stop != nil || h.phase != owning || !w.heard {
-		h.release(t, released{reason: reasonNotBegun})
+	w := sh.ensureWorker(t.worker)
+	if t.job.cancelled || t.stop != nil || sh.ownership != owning || !w.synced {
+		sh.recordReleased(t, runEnd{reason: reasonNotStarted})
 		return
 	}
-	h.emitStart(t, w)
+	sh.emitStart(t, w)
 }
 
-func (h *shard) emitStart(t *task, w *worker) {
-	t.phase = asked
-	until := h.extend(w)
-	h.state.emit(StartTask{
-		Shard:   h.id,
-		Epoch:   h.epoch,
+// emitStart emits the call and extends the worker's leases by it.
+func (sh *shard) emitStart(t *task, w *worker) {
+	t.startPhase = startSent
+	until := sh.extendLeases(w)
+	sh.state.emit(StartTask{
+		Shard:   sh.id,
+		Epoch:   sh.epoch,
 		Worker:  w.name,
 		Address: w.account.Host.Control,
 		Start: runner.StartRequest{
@@ -39,7 +41,7 @@
 			Class:      t.job.Class,
 			Kind:       t.job.Kind,
 			Granted:    t.granted,
-			Lease:      h.state.options.TaskLease,
+			Lease:      sh.state.options.TaskLease,
 			Until:      until,
 			RunTime:    t.job.RunTime,
 			Checkpoint: t.checkpoint,
@@ -48,72 +50,76 @@
 	})
 }
 
-func (h *shard) startAnswered(e StartAnswered) {
-	t := h.book.task(e.Task)
-	if t == nil || t.state != describer.Started || t.token != e.Token || t.phase != asked {
+// handleStartAnswered confirms the start, gives the task back to its queue if the run
+// certainly did not start, or repeats the call.
+func (sh *shard) handleStartAnswered(e StartAnswered) {
+	t := sh.view.task(e.Task)
+	if t == nil || t.state != describer.Started || t.token != e.Token || t.startPhase != startSent {
 		return
 	}
-	w := h.worker(t.worker)
+	w := sh.ensureWorker(t.worker)
 	switch {
 	case e.Err == "":
-		h.confirm(t, w)
+		sh.confirmStart(t, w)
 	case e.Verdict == classifier.NotRun:
-		h.refused(t, w)
+		sh.handleStartRefused(t, w)
 	default:
-		t.phase = uncertain
-		h.after(repeatAfter, timer{kind: timerStart, task: t, worker: w})
+		t.startPhase = startUnanswered
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStart, task: t, worker: w})
 	}
 }
 
-// refused gives the task back to the queue and leaves the worker alone for a
-// while.
-func (h *shard) refused(t *task, w *worker) {
-	h.release(t, released{reason: reasonNotBegun})
-	w.pause = h.state.now.Add(refusalPause)
-	h.refresh(w)
-	h.after(refusalPause, timer{kind: timerOpen, worker: w})
+// handleStartRefused gives the task back to its queue and places nothing on the worker
+// for refusalPause.
+func (sh *shard) handleStartRefused(t *task, w *worker) {
+	sh.recordReleased(t, runEnd{reason: reasonNotStarted})
+	w.pausedUntil = sh.state.now.Add(refusalPause)
+	sh.updateClosed(w)
+	sh.addTimer(refusalPause, timer{kind: timerReopen, worker: w})
 }
 
-// repeatStart asks again with the same token, which is idempotent.
-func (h *shard) repeatStart(t *task) {
-	if t.state != describer.Started || t.phase != uncertain || h.phase != owning || t.stop != nil {
+// repeatStart repeats an unanswered start with the same token, which is idempotent.
+func (sh *shard) repeatStart(t *task) {
+	if t.state != describer.Started || t.startPhase != startUnanswered || sh.ownership != owning || t.stop != nil {
 		return
 	}
-	w := h.worker(t.worker)
-	if w.failures >= silentAfter || !h.mayRenew() {
-		// The lapse of its lease decides, and another call would put it off.
-		h.after(repeatAfter, timer{kind: timerStart, task: t, worker: w})
+	w := sh.ensureWorker(t.worker)
+	if w.missedSyncs >= maxMissedSyncs || !sh.mayRenew() {
+		// The run counts as over when its lease expires; another call would extend it.
+		sh.addTimer(repeatDelay, timer{kind: timerRepeatStart, task: t, worker: w})
 		return
 	}
-	h.emitStart(t, w)
+	sh.emitStart(t, w)
 }
 
-// released says how a run ended without a result.
-type released struct {
+// runEnd describes the end of a run without a result.
+type runEnd struct {
 	reason     string
-	checkpoint string
-	drainedOff string
+	checkpoint string // checkpoint to resume from; empty keeps the previous one
+	drainedOff string // worker that the run was drained off, or empty
 }
 
-// release records that the task's run is known to be over.
-func (h *shard) release(t *task, r released) {
-	h.append(describer.Record{
-		Kind:       describer.TaskReleased,
-		Task:       t.id(),
-		Token:      t.token,
-		Reason:     r.reason,
-		Checkpoint: r.checkpoint,
-		DrainedOff: r.drainedOff,
+// recordReleased records that the task's run is known to be over. The task becomes
+// pending again unless its job was cancelled.
+func (sh *shard) recordReleased(t *task, end runEnd) {
+	sh.appendRecord(describer.Record{
+		Kind:        describer.TaskReleased,
+		Task:        t.id(),
+		Token:       t.token,
+		Reason:      end.reason,
+		Checkpoint:  end.checkpoint,
+		DrainedFrom: end.drainedOff,
 	})
 }
 
-func (h *shard) finished(t *task, w *worker, result json.RawMessage) {
-	h.append(describer.Record{
+// recordFinished records the result of a task.
+func (sh *shard) recordFinished(t *task, w *worker, result json.RawMessage) {
+	sh.appendRecord(describer.Record{
 		Kind:   describer.TaskFinished,
 		Task:   t.id(),
 		Token:  t.token,
 		Result: result,
 	})
-	t.job.batch = h.journal.next()
-	h.trust(w)
+	t.job.lastBatch = sh.journal.nextBatch()
+	sh.clearFailures(w)
 }
--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -21,9 +21,9 @@
 	Workers []specifier.Worker
 }
 
-// Advised is the outcome of AskAdvice. Workers that were asked for and have no
+// AdviceAnswered is the outcome of AskAdvice. Workers that were asked for and have no
 // ticket may not run the step.
-type Advised struct {
+type AdviceAnswered struct {
 	Step     specifier.TaskID
 	Asked    []specifier.Worker
 	Tickets  []Ticket
@@ -37,8 +37,8 @@
 	Text   string
 }
 
-func (AskAdvice) effect() {}
-func (Advised) event()    {}
+func (AskAdvice) effect()     {}
+func (AdviceAnswered) event() {}
 
 // advice is what is known of the workers that may run a step.
 type advice struct {
@@ -59,7 +59,7 @@
 // ticketFor returns a ticket that is valid on the worker.
 func (st *step) ticketFor(w *worker, now time.Time) (string, bool) {
 	v := st.advice.verdict[w.reg.ID]
-	if !v.allowed || v.born != w.reg.Born || !now.Before(v.expires) {
+	if !v.allowed || v.born != w.reg.Incarnation || !now.Before(v.expires) {
 		return "", false
 	}
 	return v.ticket, true
@@ -108,7 +108,7 @@
 }
 
 // advised takes in the answer.
-func (s *Shard) advised(e Advised) {
+func (s *Shard) advised(e AdviceAnswered) {
 	j := s.jobs[e.Step.Job]
 	if j == nil || j.task(e.Step) == nil {
 		return
@@ -123,7 +123,7 @@
 		st.advice.verdict = make(map[string]verdict)
 	}
 	for _, w := range e.Asked {
-		v := verdict{born: w.Born}
+		v := verdict{born: w.Incarnation}
 		for _, t := range e.Tickets {
 			if t.Worker == w.ID {
 				v.allowed, v.ticket = true, t.Text
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -13,8 +13,8 @@
 // Tick lets time pass.
 type Tick struct{}
 
-// Configured delivers a version of the operators' configuration.
-type Configured struct{ Catalog *specifier.Catalog }
+// CatalogUpdated delivers a version of the operators' configuration.
+type CatalogUpdated struct{ Catalog *specifier.Catalog }
 
 // WorkersListed delivers the registered workers of the shard.
 type WorkersListed struct{ Workers []specifier.Worker }
@@ -32,8 +32,8 @@
 // JobCancelled delivers an accepted cancellation.
 type JobCancelled struct{ ID string }
 
-// Held is a worker's answer to HoldWorker.
-type Held struct {
+// PollAnswered is a worker's answer to HoldWorker.
+type PollAnswered struct {
 	Worker    string
 	Sent      time.Time // when the call began
 	Inventory specifier.Inventory
@@ -44,17 +44,17 @@
 
 // Faults.
 const (
-	NoFault   Fault = iota
-	Unknown         // no answer: the order may have been carried out, or may be yet
-	Fenced          // a higher token was seen there
-	Stale           // the run is not higher than one that ended there
-	Late            // the lease had ended
-	NoRoom          // the worker has no room
-	NoTicket        // the ticket is not valid
-	Invalid         // the worker could not read the order
-	Unhealthy       // refused by an unhealthy worker; nothing was done
-	Reborn          // another life answers at the address
-	Unsent          // nothing reached the worker
+	NoFault         Fault = iota
+	OutcomeUnknown        // no answer: the order may have been carried out, or may be yet
+	Fenced                // a higher token was seen there
+	StaleRun              // the run is not higher than one that ended there
+	LeaseExpired          // the lease had ended
+	NoRoom                // the worker has no room
+	InvalidTicket         // the ticket is not valid
+	InvalidOrder          // the worker could not read the order
+	Unhealthy             // refused by an unhealthy worker; nothing was done
+	WorkerRestarted       // another life answers at the address
+	NotSent               // nothing reached the worker
 )
 
 func (f Fault) String() string {
@@ -63,29 +63,29 @@
 	}[f]
 }
 
-// HoldFailed is the outcome of a HoldWorker without an inventory.
-type HoldFailed struct {
-	Worker string
-	Born   int64
-	Fault  Fault
+// PollFailed is the outcome of a HoldWorker without an inventory.
+type PollFailed struct {
+	Worker      string
+	Incarnation int64
+	Fault       Fault
 }
 
 // StartAnswered is the outcome of a StartRun.
 type StartAnswered struct {
-	Worker string
-	Born   int64
-	Task   specifier.TaskID
-	Run    int64
-	Fault  Fault
+	Worker      string
+	Incarnation int64
+	Task        specifier.TaskID
+	Run         int64
+	Fault       Fault
 }
 
 // StopAnswered is the outcome of a StopRun.
 type StopAnswered struct {
-	Worker string
-	Born   int64
-	Task   specifier.TaskID
-	Run    int64
-	Fault  Fault
+	Worker      string
+	Incarnation int64
+	Task        specifier.TaskID
+	Run         int64
+	Fault       Fault
 }
 
 // PaceAnswered is the outcome of a PaceRun.
@@ -99,23 +99,23 @@
 // Committed says that a Commit is durable.
 type Committed struct{ Batch int64 }
 
-// StoreReached says that the store has confirmed the ownership, or, with OK
+// OwnershipChecked says that the store has confirmed the ownership, or, with OK
 // false, that it is in doubt: nothing is ordered until it is confirmed.
-type StoreReached struct{ OK bool }
-
-func (Tick) event()          {}
-func (Configured) event()    {}
-func (WorkersListed) event() {}
-func (JobLoaded) event()     {}
-func (JobArrived) event()    {}
-func (JobCancelled) event()  {}
-func (Held) event()          {}
-func (HoldFailed) event()    {}
-func (StartAnswered) event() {}
-func (StopAnswered) event()  {}
-func (PaceAnswered) event()  {}
-func (Committed) event()     {}
-func (StoreReached) event()  {}
+type OwnershipChecked struct{ Confirmed bool }
+
+func (Tick) event()             {}
+func (CatalogUpdated) event()   {}
+func (WorkersListed) event()    {}
+func (JobLoaded) event()        {}
+func (JobArrived) event()       {}
+func (JobCancelled) event()     {}
+func (PollAnswered) event()     {}
+func (PollFailed) event()       {}
+func (StartAnswered) event()    {}
+func (StopAnswered) event()     {}
+func (PaceAnswered) event()     {}
+func (Committed) event()        {}
+func (OwnershipChecked) event() {}
 
 // Effect is something to be done outside the state.
 type Effect interface{ effect() }
@@ -128,7 +128,7 @@
 	Payload    string
 	Checkpoint string
 	Ticket     string        // if the queue needs advice
-	Until      time.Duration // by the worker's clock: its lease
+	LeaseEnd   time.Duration // by the worker's clock: its lease
 }
 
 // StopRun asks a worker to stop a run. The answer is StopAnswered.
@@ -147,13 +147,13 @@
 	Percent int
 }
 
-// HoldWorker renews the lease on everything that runs on a worker, and lists
+// PollWorker renews the lease on everything that runs on a worker, and lists
 // it. The answer is Held or HoldFailed.
-type HoldWorker struct {
-	Worker   specifier.Worker
-	Observed int64         // ends up to this number are durable
-	Until    time.Duration // by the worker's clock: the lease; 0 before the first answer
-	Wait     time.Duration // for an end
+type PollWorker struct {
+	Worker       specifier.Worker
+	Acknowledged int64         // ends up to this number are durable
+	LeaseEnd     time.Duration // by the worker's clock: the lease; 0 before the first answer
+	Wait         time.Duration // for an end
 }
 
 // Commit makes changes durable. The answer is Committed.
@@ -191,7 +191,7 @@
 func (StartRun) effect()   {}
 func (StopRun) effect()    {}
 func (PaceRun) effect()    {}
-func (HoldWorker) effect() {}
+func (PollWorker) effect() {}
 func (Commit) effect()     {}
 func (Publish) effect()    {}
 func (Log) effect()        {}
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -53,7 +53,7 @@
 
 func (m *fakeWorker) registration() specifier.Worker {
 	return specifier.Worker{
-		ID: m.id, Born: m.born, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
+		ID: m.id, Incarnation: m.born, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
 		Capacity: describer.Resources{CPU: workerCPU, Memory: 10000},
 	}
 }
@@ -82,7 +82,7 @@
 	m.world.after(at.Sub(m.world.now), func() {
 		if m.born == born && !m.world.now.Before(m.lease) {
 			for _, id := range sortedFake(m.runs) {
-				m.end(id, specifier.Lapsed)
+				m.end(id, specifier.OutcomeLeaseExpired)
 			}
 		}
 	})
@@ -93,18 +93,18 @@
 	if m.fenced(token) {
 		return Fenced
 	}
-	if e.Until <= m.clock() {
-		return Late
+	if e.LeaseEnd <= m.clock() {
+		return LeaseExpired
 	}
-	m.extend(e.Until)
+	m.extend(e.LeaseEnd)
 	if r := m.runs[e.Task]; r != nil {
 		if r.number == e.Run {
 			return NoFault
 		}
-		return Stale
+		return StaleRun
 	}
 	if e.Run <= m.highest[e.Task] {
-		return Stale
+		return StaleRun
 	}
 	step := &w.store[e.Task.Job].job.Steps[e.Task.Step]
 	w.note("%s starts %s run %d", m.id, e.Task, e.Run)
@@ -127,9 +127,9 @@
 		m.world.after(time.Second, func() { m.work(id, r) })
 		return
 	}
-	outcome := specifier.Done
+	outcome := specifier.OutcomeDone
 	if m.world.random.Float64() < m.world.faulty {
-		outcome = specifier.Faulty
+		outcome = specifier.OutcomeFailed
 	}
 	m.end(id, outcome)
 }
@@ -141,7 +141,7 @@
 	m.last++
 	m.world.note("%s ends %s run %d: %s", m.id, id, r.number, outcome)
 	m.ends = append(m.ends, specifier.End{Number: m.last, Task: id, Run: r.number, Outcome: outcome})
-	if outcome == specifier.Done {
+	if outcome == specifier.OutcomeDone {
 		m.world.rules.done[id] = true
 	}
 }
@@ -159,24 +159,24 @@
 	born := m.born
 	m.world.after(time.Duration(m.world.random.IntN(int(worldStop))), func() {
 		if m.born == born && m.runs[id] == r {
-			m.end(id, specifier.Stopped)
+			m.end(id, specifier.OutcomeStopped)
 		}
 	})
 	return NoFault
 }
 
-func (m *fakeWorker) hold(token int64, e HoldWorker) (specifier.Inventory, Fault) {
+func (m *fakeWorker) hold(token int64, e PollWorker) (specifier.Inventory, Fault) {
 	if m.fenced(token) {
 		return specifier.Inventory{}, Fenced
 	}
-	m.extend(e.Until)
-	for len(m.ends) > 0 && m.ends[0].Number <= e.Observed {
+	m.extend(e.LeaseEnd)
+	for len(m.ends) > 0 && m.ends[0].Number <= e.Acknowledged {
 		m.world.noteEnd(m.ends[0])
 		m.ends = m.ends[1:]
 	}
-	inventory := specifier.Inventory{Born: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
+	inventory := specifier.Inventory{Incarnation: m.born, Clock: m.clock(), Ended: append([]specifier.End(nil), m.ends...)}
 	for _, id := range sortedFake(m.runs) {
-		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, Percent: m.percent(m.runs[id])})
+		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.percent(m.runs[id])})
 	}
 	return inventory, NoFault
 }
@@ -204,9 +204,9 @@
 // noteEnd takes in that an end was acknowledged.
 func (w *world) noteEnd(end specifier.End) {
 	switch end.Outcome {
-	case specifier.Done:
+	case specifier.OutcomeDone:
 		w.rules.noted[end.Task] = true
-	case specifier.Faulty:
+	case specifier.OutcomeFailed:
 		w.rules.failed[end.Task]++
 	}
 }
@@ -246,7 +246,7 @@
 	if used > workerCPU {
 		w.fail("%s overfills %s: %d of %d", e.Task, m.id, used, workerCPU)
 	}
-	if step.Spread > 0 && beside >= step.Spread {
+	if step.MaxPerWorker > 0 && beside >= step.MaxPerWorker {
 		w.fail("%s is number %d of its step on %s", e.Task, beside+1, m.id)
 	}
 }
--- a/internal/job/dispatcher/harm.go
+++ b/internal/job/dispatcher/harm.go
@@ -26,8 +26,8 @@
 
 func newHarm() *learner.Learner {
 	return learner.New(learner.Options{
-		Prior: harmPrior, Deviation: harmDeviation, Noise: harmNoise, Caution: 1,
-		HalfLife: harmHalfLife, Classes: harmImages,
+		Prior: harmPrior, Deviation: harmDeviation, Noise: harmNoise, UpperSigmas: 1,
+		HalfLife: harmHalfLife, MaxClasses: harmImages,
 	})
 }
 
@@ -47,7 +47,7 @@
 		}
 		spec := r.task.step.spec
 		latency := time.Duration(r.figure * float64(time.Millisecond))
-		w.tail = max(w.tail, float64(latency)/float64(spec.Target))
+		w.tail = max(w.tail, float64(latency)/float64(spec.LatencyTarget))
 		s.harm.Observe(learner.Sample{
 			Worker:  w.reg.ID,
 			Latency: runner.LatencyReport{Service: spec.Image, P99: latency, Load: sampleLoad, Count: sampleCount, To: s.now},
@@ -65,7 +65,7 @@
 const full = 100 // percent
 
 func (r *run) isFiller() bool  { return r.task != nil && r.task.step.spec.Filler }
-func (r *run) isServing() bool { return r.task != nil && r.task.step.spec.Target > 0 }
+func (r *run) isServing() bool { return r.task != nil && r.task.step.spec.LatencyTarget > 0 }
 
 // pair is a serving image and a filler image.
 type pair struct{ serving, filler string }
@@ -87,7 +87,7 @@
 	}
 	mean, ok := s.beliefs.known[p]
 	if !ok {
-		mean, _ = s.harm.Estimate(p.serving, p.filler, sampleLoad)
+		mean, _ = s.harm.Coefficient(p.serving, p.filler, sampleLoad)
 		s.beliefs.known[p] = mean
 	}
 	return mean
@@ -128,8 +128,8 @@
 		runs = append(runs, r)
 		work := r.task.step.work()
 		fillers = append(fillers, pacer.Filler{
-			Pace: max(r.pace, 0), Harm: s.harmTo(w, r.task.step.spec.Image, r.task.step.spec.Needs.CPU),
-			Standing: work.Standing(s.now.Add(-r.done())),
+			Pace: max(r.pace, 0), Interference: s.harmTo(w, r.task.step.spec.Image, r.task.step.spec.Needs.CPU),
+			Lateness: work.Lateness(s.now.Add(-r.done())),
 		})
 	}
 	over := time.Duration(0)
@@ -141,7 +141,7 @@
 		if fillers[i].Pace != r.pace {
 			s.setPace(r, fillers[i].Pace)
 		}
-		if r.pace == 0 && s.now.Sub(r.slowed) > stuckLimit && s.hasBetterPlace(r, fillers[i].Harm) {
+		if r.pace == 0 && s.now.Sub(r.slowed) > stuckLimit && s.hasBetterPlace(r, fillers[i].Interference) {
 			s.stopRun(r, "disturbs a serving task")
 		}
 	}
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -10,8 +10,8 @@
 // MoveJob hands a job of which nothing has run to another shard of the service
 // that has room for its lasting tasks.
 type MoveJob struct {
-	Job     specifier.Job
-	Lasting int64 // CPU that its tasks reserve, millicores
+	Job        specifier.Job
+	LastingCPU int64 // CPU that its tasks reserve, millicores
 }
 
 // JobMoved tells whether another shard has the job now.
@@ -30,7 +30,7 @@
 // moveExcess hands on lasting jobs that many hosts have accepted for this shard
 // by the same summary, until the rest is within the limit.
 func (s *Shard) moveExcess(l *recorder.Load) {
-	excess := l.Lasting - l.Limit
+	excess := l.LastingCPU - l.LastingLimit
 	if s.options.Domain == "" || excess <= 0 || !s.isConfirmed() {
 		return
 	}
@@ -52,7 +52,7 @@
 		j.moving = true
 		moving++
 		excess -= lasting
-		s.emit(MoveJob{Job: j.spec, Lasting: lasting})
+		s.emit(MoveJob{Job: j.spec, LastingCPU: lasting})
 	}
 }
 
@@ -99,7 +99,7 @@
 
 // isMovable reports whether nothing of the job can have run anywhere.
 func (j *job) isMovable() bool {
-	if j.begun || j.moving || j.final != "" || len(j.spec.Former) >= maxMoves || j.arrived.IsZero() {
+	if j.begun || j.moving || j.final != "" || len(j.spec.FormerShards) >= maxMoves || j.arrived.IsZero() {
 		return false
 	}
 	for _, st := range j.steps {
--- a/internal/job/manager/manager_test.go
+++ b/internal/job/manager/manager_test.go
@@ -53,7 +53,7 @@
 	var out []specifier.Worker
 	for _, id := range f.ids {
 		out = append(out, specifier.Worker{
-			ID: id, Born: 1, Service: "desk", Domain: cmp.Or(f.domain[id], "bne"), Address: id, Capacity: describer.Resources{CPU: 4000, Memory: 1000},
+			ID: id, Incarnation: 1, Service: "desk", Domain: cmp.Or(f.domain[id], "bne"), Address: id, Capacity: describer.Resources{CPU: 4000, Memory: 1000},
 		})
 	}
 	return out, nil
@@ -81,7 +81,7 @@
 
 func (f *fleet) Start(ctx context.Context, token int64, o dispatcher.StartRun) dispatcher.Fault {
 	if !f.reaches(ctx, o.Worker.ID, token) {
-		return dispatcher.Unknown
+		return dispatcher.OutcomeUnknown
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,7 +94,7 @@
 	time.AfterFunc(f.took, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.end(id, o.Task, specifier.Done)
+		f.end(id, o.Task, specifier.OutcomeDone)
 	})
 	return dispatcher.NoFault
 }
@@ -115,7 +115,7 @@
 	if f.fenced(o.Worker.ID, token) {
 		return dispatcher.Fenced
 	}
-	f.end(o.Worker.ID, o.Task, specifier.Stopped)
+	f.end(o.Worker.ID, o.Task, specifier.OutcomeStopped)
 	return dispatcher.NoFault
 }
 
@@ -123,9 +123,9 @@
 	return dispatcher.NoFault
 }
 
-func (f *fleet) Hold(ctx context.Context, token int64, o dispatcher.HoldWorker) (specifier.Inventory, dispatcher.Fault) {
+func (f *fleet) Poll(ctx context.Context, token int64, o dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault) {
 	if !f.reaches(ctx, o.Worker.ID, token) {
-		return specifier.Inventory{}, dispatcher.Unknown
+		return specifier.Inventory{}, dispatcher.OutcomeUnknown
 	}
 	time.Sleep(50 * time.Millisecond)
 	f.mu.Lock()
@@ -134,12 +134,12 @@
 	if f.fenced(id, token) {
 		return specifier.Inventory{}, dispatcher.Fenced
 	}
-	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Observed {
+	for len(f.ended[id]) > 0 && f.ended[id][0].Number <= o.Acknowledged {
 		f.ended[id] = f.ended[id][1:]
 	}
-	out := specifier.Inventory{Born: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
+	out := specifier.Inventory{Incarnation: 1, Clock: time.Since(f.start), Ended: append([]specifier.End(nil), f.ended[id]...)}
 	for _, r := range f.active[id] {
-		r.Percent = int(time.Since(f.start) / time.Millisecond) // it makes progress
+		r.ProgressPercent = int(time.Since(f.start) / time.Millisecond) // it makes progress
 		out.Active = append(out.Active, r)
 	}
 	return out, dispatcher.NoFault
@@ -323,11 +323,11 @@
 		f.mu.Lock()
 		f.cut = map[string]int64{"w1": f.token["w1"]} // the successor does not reach w1
 		f.mu.Unlock()
-		owner.store.SetFault(func(c faker.Call) faker.Fate {
+		owner.store.SetFault(func(c faker.Call) faker.Outcome {
 			if c.Operation == "renew" || c.Operation == "grant" {
 				return faker.Drop
 			}
-			return faker.Answer
+			return faker.Succeed
 		})
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -39,7 +39,7 @@
 
 // reviewOwnership claims shards without an owner until ctx ends.
 func (m *Manager) reviewOwnership(ctx context.Context) {
-	for waiter.Pause(ctx, reviewInterval) {
+	for waiter.Sleep(ctx, reviewInterval) {
 		if m.leaving.Load() || m.Catalog().Version == 0 {
 			continue
 		}
@@ -66,7 +66,7 @@
 	if err == nil {
 		return
 	}
-	waiter.Pause(ctx, renewRetry) // the view will show whether another daemon has written it
+	waiter.Sleep(ctx, renewRetry) // the view will show whether another daemon has written it
 }
 
 // claimable lists the shards that this daemon should claim now, and the
@@ -74,7 +74,7 @@
 func (m *Manager) claimable(now time.Time) ([]target, map[string]recorder.Layout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed || m.view.Read.IsZero() {
+	if !m.listed || m.view.ReadAt.IsZero() {
 		return nil, nil
 	}
 	var claims []target
@@ -173,7 +173,7 @@
 			return
 		}
 		m.log.Warn().Err(err).Str("shard", t.name).Msg("shard's jobs not loaded")
-		waiter.Pause(limited, renewRetry)
+		waiter.Sleep(limited, renewRetry)
 	}
 	m.log.Warn().Str("shard", t.name).Msg("shard given up: its jobs were not loaded in time")
 	m.removeOwner(ctx, fence)
@@ -207,7 +207,7 @@
 		progress[item.Key] = p
 	}
 	o := newOwned(m, t, fence, revision)
-	o.first = append(o.first, dispatcher.Configured{Catalog: m.Catalog()})
+	o.first = append(o.first, dispatcher.CatalogUpdated{Catalog: m.Catalog()})
 	for _, item := range items {
 		if o.isReplaced(item) {
 			return nil, fencer.ErrFenced
@@ -232,7 +232,7 @@
 
 func rank(event dispatcher.Event) int {
 	switch event.(type) {
-	case dispatcher.Configured:
+	case dispatcher.CatalogUpdated:
 		return 0
 	case dispatcher.JobCancelled:
 		return 2
@@ -264,7 +264,7 @@
 // renewed takes in that the store has renewed the lease.
 func (m *Manager) renewed() {
 	m.reached()
-	m.post(dispatcher.StoreReached{OK: true})
+	m.post(dispatcher.OwnershipChecked{Confirmed: true})
 }
 
 // leaseEnded writes the owner's records anew. A shard that another daemon has
@@ -286,20 +286,20 @@
 		limited, cancel := context.WithTimeout(ctx, loadTime)
 		owner, err := m.ownerWrite(limited, o.target.name)
 		if err == nil {
-			err = o.fence.Renew(limited, owner)
+			err = o.fence.RestoreOwner(limited, owner)
 		}
 		cancel()
 		switch {
 		case err == nil:
 			m.log.Info().Str("shard", o.target.name).Msg("ownership confirmed")
-			o.post(dispatcher.StoreReached{OK: true})
+			o.post(dispatcher.OwnershipChecked{Confirmed: true})
 			return
 		case errors.Is(err, fencer.ErrFenced):
 			o.lose("another owner has claimed it")
 			return
 		}
 		m.log.Warn().Err(err).Str("shard", o.target.name).Msg("ownership not confirmed")
-		waiter.Pause(ctx, renewRetry)
+		waiter.Sleep(ctx, renewRetry)
 	}
 }
 
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -40,10 +40,10 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	defer func() { _ = t.Flush() }()
 	for _, report := range reports {
-		fmt.Fprintf(t, "%s\trevision %d\tready %t\tstore %t\n", report.Daemon, report.Revision, report.Ready, report.Store)
+		fmt.Fprintf(t, "%s\trevision %d\tready %t\tstore %t\n", report.Daemon, report.Revision, report.Ready, report.StoreReachable)
 		for _, s := range report.Shards {
 			fmt.Fprintf(t, "  shard %s\tepoch %d\t%s\t%d workers\t%d pending\t%d started\t%d done\t%d evicted\n",
-				s.Shard, s.Epoch, s.Phase, s.Workers, s.Pending, s.Started, s.Done, s.Evicted)
+				s.Shard, s.Epoch, s.Phase, s.Workers, s.Pending, s.Started, s.Done, s.Evictions)
 		}
 		for _, worker := range report.Workers {
 			printWorker(t, worker)
@@ -54,13 +54,13 @@
 func printWorker(w io.Writer, s reducer.WorkerStatus) {
 	fmt.Fprintf(w, "  worker %s\t%d tasks\tcpu %d of %d m\tmemory %d of %d MiB",
 		s.Worker, s.Tasks, s.Granted.CPU, s.Capacity.CPU, s.Granted.Memory, s.Capacity.Memory)
-	for _, part := range []string{s.Drain, s.Held, s.Aside} {
+	for _, part := range []string{s.Drain, s.RestoreHold, s.ClosedReason} {
 		if part != "" {
 			fmt.Fprintf(w, "\t%s", part)
 		}
 	}
 	fmt.Fprintln(w)
-	if len(s.Why) > 0 {
-		fmt.Fprintf(w, "    %s\n", strings.Join(s.Why, "\n    "))
+	if len(s.Interference) > 0 {
+		fmt.Fprintf(w, "    %s\n", strings.Join(s.Interference, "\n    "))
 	}
 }
--- a/internal/operator/responder/keys.go
+++ b/internal/operator/responder/keys.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return false, "", err
 	}
-	return claim.Fresh, claim.Owner, nil
+	return claim.First, claim.Owner, nil
 }
 
 func (r *Responder) claimHere(ctx context.Context, request keyRequest) (*reducer.KeyClaim, error) {
@@ -34,7 +34,7 @@
 		return nil, unavailable("not-ready", "no configuration with shards is known yet")
 	}
 	reply, err := r.options.Control.Ask(ctx, func(id reducer.RequestID) reducer.Event {
-		return reducer.KeyRequested{
+		return reducer.KeyClaimRequested{
 			Request: id, Shard: reducer.HomeShard(&configuration, request.Key), Key: request.Key, Owner: request.Owner,
 		}
 	})
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -78,8 +78,8 @@
 		Timeout: s.timeout(),
 		Log:     s.log,
 	}, store, s.node, func(c describer.Configuration) {
-		s.holder.SetShards(len(c.Shards))
-		post(reducer.Configured{Configuration: c})
+		s.holder.SetShardCount(len(c.Shards))
+		post(reducer.ConfigurationReceived{Configuration: c})
 	})
 }
 
@@ -88,7 +88,7 @@
 		Name: s.Settings.Name, Domain: s.Settings.Domain, Region: s.Settings.Region, Address: s.Settings.Listen.Peers,
 	}
 	s.members = gossiper.New(gossiper.Options{
-		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.Seen, Log: s.log,
+		Self: self, Seeds: s.Settings.Peers, Interval: gossipInterval, Seen: s.config.ObserveRevision, Log: s.log,
 	}, s.node, func(alive []reducer.Peer) {
 		s.config.SetPeers(alive)
 		post(reducer.PeersChanged{Alive: alive})
@@ -103,9 +103,9 @@
 		TaskLease:    time.Duration(s.Settings.Lease.Task),
 		LeaseMargin:  time.Duration(s.Settings.Lease.Margin),
 		SyncInterval: time.Duration(s.Settings.Lease.Sync),
-	}, reducer.Policies{Restore: restorer.Options{
-		Settle:   time.Duration(s.Settings.Restore.Settle),
-		Patience: time.Duration(s.Settings.Restore.Patience),
+	}, reducer.Policies{Restoration: restorer.Options{
+		MinStep: time.Duration(s.Settings.Restore.Settle),
+		MaxStep: time.Duration(s.Settings.Restore.Patience),
 	}})
 	s.control = executor.New(executor.Options{
 		State:    state,
@@ -115,7 +115,7 @@
 		Publish:  s.publish,
 		Interval: tickInterval,
 		Timeout:  s.timeout(),
-		Calls:    workerCalls,
+		MaxCalls: workerCalls,
 		Scope:    s.metrics.Scope,
 		Log:      s.log.With().Str("part", "control").Logger(),
 	})
@@ -124,7 +124,7 @@
 func (s *Server) buildTraffic(store lender.Store) {
 	name, domain := s.Settings.Name, s.Settings.Domain
 	s.seat = lender.NewShareLease(store, domain, name, lender.DefaultTerm, s.log)
-	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsValid, s.seat, s.log)
+	s.lender = lender.New(lender.Options{Name: name, Domain: domain}, s.table.Load, s.node, s.holder.IsLeaseValid, s.seat, s.log)
 	s.node.Handle(messenger.Lend, s.lender.Serve)
 	s.forwarder = forwarder.New(forwarder.Options{
 		Name:    name,
@@ -147,7 +147,7 @@
 }
 
 // propose carries out the reducer's change of a drain.
-func (s *Server) propose(ctx context.Context, p reducer.Propose) error {
+func (s *Server) propose(ctx context.Context, p reducer.ProposeDrainUpdate) error {
 	_, err := s.config.Propose(ctx, func(c describer.Configuration) (describer.Configuration, error) {
 		if p.Worker == "" {
 			return planner.BeginRestore(c, p.Drain), nil
@@ -165,7 +165,7 @@
 		if s.metrics.Ready.Swap(ready) != ready {
 			s.log.Info().Str("part", "server").Bool("ready", ready).Msg("readiness changed")
 		}
-		waiter.Pause(ctx, tickInterval)
+		waiter.Sleep(ctx, tickInterval)
 	}
 }
 
@@ -181,9 +181,9 @@
 			s.log.Info().Str("part", "server").Err(err).Msg("host list unreadable")
 		} else {
 			s.members.UpdateHosts(list)
-			s.control.Post(reducer.HostsListed{Hosts: list})
+			s.control.Post(reducer.HostsReceived{Hosts: list})
 		}
-		waiter.Pause(ctx, hostsInterval)
+		waiter.Sleep(ctx, hostsInterval)
 	}
 }
 
