--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -1,27 +1,27 @@
-// Package limiter admits requests to the places of a service in weighted fair
-// order and refuses early those that would miss their deadline.
+// Package limiter admits requests to a limited number of slots. Tenants share the
+// slots in weighted fair order, and requests that would miss their deadline are
+// refused early.
 //
 // # Model
 //
-// A place is whatever Request.Take returns, such as a slot of a backend server.
-// A request that finds none waits in the queue of its tenant and class. When a
-// place comes free the tenant that has had least for its weight is served;
-// within a tenant its classes take turns.
+// A slot is whatever Request.Take returns, such as a slot of a backend server. A
+// request that finds none waits in the queue of its tenant and class. When a slot
+// comes free, it goes to the tenant that has received least in proportion to its
+// weight; within a tenant, the classes take turns.
 //
-//	place, err := l.Acquire(ctx, limiter.Request[*router.Place]{
+//	slot, err := l.Acquire(ctx, limiter.Request[*router.Slot]{
 //		Service: "desk", Tenant: "minara", Class: "hold", Deadline: t,
-//		Take: func(bool) (*router.Place, error) { return r.Take(table, q) },
+//		Take: func(bool) (*router.Slot, error) { return r.Take(table, q) },
 //	})
 //	...
 //	l.Release("desk", held)
 //
 // # Refusal
 //
-// A request is refused at once, never held back, when its queue is full or
-// when the expected wait and the mean time for which places are held exceed
-// its deadline. A waiting request is refused as soon as its remaining time no
-// longer covers that mean. All refusals have verdict NotRun and say when to
-// come back.
+// A request is refused on arrival when its queue is full, or when the expected
+// wait plus the mean time for which a slot is held goes beyond its deadline. A
+// waiting request is refused as soon as its remaining time is shorter than that
+// mean. All refusals have verdict NotRun and a RetryAfter.
 package limiter
 
 import (
@@ -34,26 +34,28 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// ErrBusy is wrapped by errors of Request.Take that waiting may cure.
-var ErrBusy = errors.New("limiter: no place is free")
+// ErrBusy is returned, possibly wrapped, by Request.Take when no slot is free now
+// but waiting may help.
+var ErrBusy = errors.New("limiter: no slot is free")
 
-// Request asks for a place.
+// Request asks for a slot.
 type Request[T any] struct {
 	Service  string
 	Tenant   string
 	Class    string
-	Weight   int // share under contention, at least 1
+	Weight   int // relative share of the service when tenants compete, at least 1
 	Deadline time.Time
-	// Take returns a free place. It must not wait and must not call the
-	// limiter. Late says that the request would otherwise be refused, so that
-	// a costlier place will do. An error that is not ErrBusy ends the request.
+	// Take returns a free slot, or ErrBusy if there is none now. Any other
+	// error ends the request. late means that the request would otherwise be
+	// refused, so a costlier slot is acceptable. Take must not block and must
+	// not call the limiter.
 	Take func(late bool) (T, error)
 }
 
-// Options bound the queues.
+// Options configure a Limiter.
 type Options struct {
-	MaxQueue int              // waiting requests for each tenant and class; 0 lets none wait
-	Now      func() time.Time // time.Now if nil
+	MaxQueue int              // most waiting requests of each tenant and class; 0 means that none waits
+	Now      func() time.Time // nil takes time.Now
 }
 
 // Limiter admits requests of all services.
@@ -72,142 +74,147 @@
 	return &Limiter[T]{Options: o, services: make(map[string]*service[T])}
 }
 
-// Acquire returns a place, waiting for one if need be. Failures other than
-// those of ctx are *classifier.Error values or errors of Take.
-func (l *Limiter[T]) Acquire(ctx context.Context, q Request[T]) (T, error) {
-	w, place, err := l.enter(&q)
+// Acquire returns a slot, waiting in the queue if necessary. The caller must call
+// Release when it gives the slot back. Errors are those of ctx, errors of Take, or
+// *classifier.Error values with verdict NotRun.
+func (l *Limiter[T]) Acquire(ctx context.Context, r Request[T]) (T, error) {
+	w, slot, err := l.acquireOrQueue(&r)
 	if w == nil {
-		return place, err
+		return slot, err
 	}
-	timer := time.NewTimer(w.giveUp.Sub(l.Options.Now()))
+	timer := time.NewTimer(w.refuseAt.Sub(l.Options.Now()))
 	defer timer.Stop()
 	for {
 		select {
 		case <-w.done:
-			return w.place, w.err
+			return w.slot, w.err
 		case <-ctx.Done():
-			return l.abandon(w, context.Cause(ctx))
+			return l.cancel(w, context.Cause(ctx))
 		case <-timer.C:
-			if l.takeLate(w) {
+			if l.tryLate(w) {
 				continue
 			}
-			place, err := l.abandon(w, l.refusal(&q, "late", "the deadline would be missed"))
-			return place, err
+			slot, err := l.cancel(w, l.refusalError(&r, "late", "the deadline would be missed"))
+			return slot, err
 		}
 	}
 }
 
-// TryAcquire takes a place only if one is free and nobody waits. It returns ErrBusy
-// otherwise.
-func (l *Limiter[T]) TryAcquire(q Request[T]) (T, error) {
+// TryAcquire returns a slot if one is free and no request waits, otherwise
+// ErrBusy.
+func (l *Limiter[T]) TryAcquire(r Request[T]) (T, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	s := l.service(q.Service)
+	s := l.service(r.Service)
 	if s.waiting > 0 {
-		var none T
-		return none, ErrBusy
+		var zero T
+		return zero, ErrBusy
 	}
-	place, err := q.Take(false)
-	s.charge(s.tenant(q.Tenant, q.Weight), err)
-	return place, err
+	slot, err := r.Take(false)
+	s.recordAcquire(s.tenant(r.Tenant, r.Weight), err)
+	return slot, err
 }
 
-// enter takes a place at once, or queues the request, or refuses it.
-func (l *Limiter[T]) enter(q *Request[T]) (*waiter[T], T, error) {
+// acquireOrQueue returns a slot, an error, or the waiter that it queued.
+func (l *Limiter[T]) acquireOrQueue(r *Request[T]) (*waiter[T], T, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	now := l.Options.Now()
-	s := l.service(q.Service)
-	t := s.tenant(q.Tenant, q.Weight)
+	s := l.service(r.Service)
+	t := s.tenant(r.Tenant, r.Weight)
 	if s.waiting == 0 {
-		place, err := q.Take(false)
+		slot, err := r.Take(false)
 		if !errors.Is(err, ErrBusy) {
-			s.charge(t, err)
-			return nil, place, err
+			s.recordAcquire(t, err)
+			return nil, slot, err
 		}
 	}
 	wait := s.expectedWait(t)
-	if now.Add(wait + s.held()).After(q.Deadline) {
-		place, err := q.Take(true)
+	if now.Add(wait + s.holdTime()).After(r.Deadline) {
+		slot, err := r.Take(true)
 		if err == nil {
-			s.charge(t, nil)
-			return nil, place, nil
+			s.recordAcquire(t, nil)
+			return nil, slot, nil
 		}
-		return nil, place, s.refusal("late", "the deadline would be missed", wait)
+		return nil, slot, s.refusalError("late", "the deadline would be missed", wait)
 	}
-	queue := t.queue(q.Class)
+	queue := t.queue(r.Class)
 	if len(queue.waiters) >= l.Options.MaxQueue {
-		var none T
-		return nil, none, s.refusal("overloaded", "the queue of the tenant and class is full", wait)
+		var zero T
+		return nil, zero, s.refusalError("overloaded", "the queue of the tenant and class is full", wait)
 	}
-	w := &waiter[T]{request: q, queue: queue, tenant: t, done: make(chan struct{}), giveUp: q.Deadline.Add(-s.held())}
+	w := &waiter[T]{request: r, queue: queue, tenant: t, done: make(chan struct{}), refuseAt: r.Deadline.Add(-s.holdTime())}
 	queue.waiters = append(queue.waiters, w)
 	t.waiting++
 	s.waiting++
-	var none T
-	return w, none, nil
+	var zero T
+	return w, zero, nil
 }
 
-// Release says that a place of the service came free after it was held for
-// some time, and gives it to who is next.
-func (l *Limiter[T]) Release(name string, held time.Duration) {
+// Release tells the limiter that a slot of the service came free, and how long it
+// was held; 0 means that it was not used. Waiting requests get the free slots.
+func (l *Limiter[T]) Release(service string, held time.Duration) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	s := l.service(name)
-	s.flight--
-	s.observe(held)
-	l.dispatch()
+	s := l.service(service)
+	s.inUse--
+	s.observeHold(held)
+	l.dispatchAll()
 }
 
-// Dispatch looks for places anew, for instance after more slots were lent.
+// Dispatch gives free slots to waiting requests. It is for slots that came free
+// without a call of Release, such as newly leased ones.
 func (l *Limiter[T]) Dispatch() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.dispatch()
+	l.dispatchAll()
 }
 
-// dispatch serves every service: services can share backend servers.
-func (l *Limiter[T]) dispatch() {
+// dispatchAll serves the queues of all services, since services can share
+// backend servers. The lock must be held.
+func (l *Limiter[T]) dispatchAll() {
 	for _, s := range l.services {
-		for s.waiting > 0 && s.serve() {
+		for s.waiting > 0 && s.dispatchOne() {
 		}
 	}
 }
 
-// takeLate tries the costlier places for a request about to be given up.
-func (l *Limiter[T]) takeLate(w *waiter[T]) bool {
+// tryLate tries the costlier slots for a request that is about to be refused. It
+// reports whether the request is finished.
+func (l *Limiter[T]) tryLate(w *waiter[T]) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if w.ended {
+	if w.finished {
 		return true
 	}
-	place, err := w.request.Take(true)
+	slot, err := w.request.Take(true)
 	if err != nil {
 		return false
 	}
 	s := l.services[w.request.Service]
-	s.finish(w, place, nil)
+	s.finish(w, slot, nil)
 	return true
 }
 
-// abandon removes a waiter with an error, unless it has its place by now.
-func (l *Limiter[T]) abandon(w *waiter[T], err error) (T, error) {
+// cancel removes the waiter with the error, unless it has got a slot meanwhile.
+func (l *Limiter[T]) cancel(w *waiter[T], err error) (T, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if !w.ended {
-		var none T
-		l.services[w.request.Service].finish(w, none, err)
+	if !w.finished {
+		var zero T
+		l.services[w.request.Service].finish(w, zero, err)
 	}
-	return w.place, w.err
+	return w.slot, w.err
 }
 
-func (l *Limiter[T]) refusal(q *Request[T], code, message string) error {
+func (l *Limiter[T]) refusalError(r *Request[T], code, message string) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	s := l.services[q.Service]
-	return s.refusal(code, message, s.expectedWait(s.tenant(q.Tenant, q.Weight)))
+	s := l.services[r.Service]
+	return s.refusalError(code, message, s.expectedWait(s.tenant(r.Tenant, r.Weight)))
 }
 
+// service returns the queues of the service; the lock must be held.
 func (l *Limiter[T]) service(name string) *service[T] {
 	s := l.services[name]
 	if s == nil {
@@ -217,7 +224,7 @@
 	return s
 }
 
-func (s *service[T]) refusal(code, message string, wait time.Duration) error {
+func (s *service[T]) refusalError(code, message string, wait time.Duration) error {
 	return &classifier.Error{
 		Verdict:    classifier.NotRun,
 		Status:     http.StatusServiceUnavailable,
--- a/internal/traffic/limiter/limiter_test.go
+++ b/internal/traffic/limiter/limiter_test.go
@@ -13,145 +13,149 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/limiter"
 )
 
-// bed is a limiter over a number of places, in virtual time.
-type bed struct {
+// testLimiter is a limiter of simulated slots, in virtual time.
+type testLimiter struct {
 	*limiter.Limiter[int]
-	lock  sync.Mutex
-	free  int
-	takes time.Duration
-	all   counts
+	lock    sync.Mutex
+	free    int           // slots
+	hold    time.Duration // how long a request holds its slot
+	tenants counts
 }
 
+// counts holds the counts of each tenant.
 type counts map[string]*count
 
 type count struct {
-	done, refused int
-	worst         time.Duration // wait of those that were done
-	slowest       time.Duration // time until a refusal
+	done, refused  int
+	longestWait    time.Duration // of requests that got a slot
+	longestRefusal time.Duration // from arrival to refusal
 }
 
-func newBed(places int, takes time.Duration) *bed {
-	return &bed{Limiter: limiter.New[int](limiter.Options{MaxQueue: 64}), free: places, takes: takes, all: counts{}}
+func newTestLimiter(slots int, hold time.Duration) *testLimiter {
+	return &testLimiter{Limiter: limiter.New[int](limiter.Options{MaxQueue: 64}), free: slots, hold: hold, tenants: counts{}}
 }
 
-func (b *bed) request(tenant string, weight int, deadline time.Duration) {
-	c := b.count(tenant)
+// request acquires a slot, holds it and counts the result.
+func (l *testLimiter) request(tenant string, weight int, deadline time.Duration) {
+	c := l.count(tenant)
 	start := time.Now()
-	_, err := b.Acquire(context.Background(), limiter.Request[int]{
+	_, err := l.Acquire(context.Background(), limiter.Request[int]{
 		Service: "desk", Tenant: tenant, Class: "hold", Weight: weight, Deadline: start.Add(deadline),
 		Take: func(bool) (int, error) {
-			b.lock.Lock()
-			defer b.lock.Unlock()
-			if b.free == 0 {
+			l.lock.Lock()
+			defer l.lock.Unlock()
+			if l.free == 0 {
 				return 0, limiter.ErrBusy
 			}
-			b.free--
+			l.free--
 			return 1, nil
 		},
 	})
 	waited := time.Since(start)
 	if err == nil {
-		time.Sleep(b.takes)
+		time.Sleep(l.hold)
 	}
-	b.lock.Lock()
+	l.lock.Lock()
 	if err != nil {
 		c.refused++
-		c.slowest = max(c.slowest, waited)
-		b.lock.Unlock()
+		c.longestRefusal = max(c.longestRefusal, waited)
+		l.lock.Unlock()
 		return
 	}
-	c.worst = max(c.worst, waited)
+	c.longestWait = max(c.longestWait, waited)
 	c.done++
-	b.free++
-	b.lock.Unlock()
-	b.Release("desk", b.takes)
+	l.free++
+	l.lock.Unlock()
+	l.Release("desk", l.hold)
 }
 
-func (b *bed) count(tenant string) *count {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	c := b.all[tenant]
+func (l *testLimiter) count(tenant string) *count {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	c := l.tenants[tenant]
 	if c == nil {
 		c = new(count)
-		b.all[tenant] = c
+		l.tenants[tenant] = c
 	}
 	return c
 }
 
-// load sends a request of the tenant at every interval.
-func (b *bed) load(tenant string, weight int, interval, deadline time.Duration, n int) {
+// load starts n requests of the tenant, one per interval.
+func (l *testLimiter) load(tenant string, weight int, interval, deadline time.Duration, n int) {
 	for range n {
-		go b.request(tenant, weight, deadline)
+		go l.request(tenant, weight, deadline)
 		time.Sleep(interval)
 	}
 }
 
-// TestOverloadByOneTenant offers ten times its share for one tenant beside a
-// tenth of its share for another.
+// TestOverloadByOneTenant checks that a tenant which offers ten times its share
+// does not delay one that uses a tenth of its share.
 func TestOverloadByOneTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(8, 10*time.Millisecond) // 800/s, shares of 400/s
-		go b.load("council", 1, 250*time.Microsecond, 200*time.Millisecond, 40000)
-		b.load("minara", 1, 25*time.Millisecond, 200*time.Millisecond, 400)
+		l := newTestLimiter(8, 10*time.Millisecond) // 800/s, shares of 400/s
+		go l.load("council", 1, 250*time.Microsecond, 200*time.Millisecond, 40000)
+		l.load("minara", 1, 25*time.Millisecond, 200*time.Millisecond, 400)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		small, large := b.all["minara"], b.all["council"]
+		small, large := l.tenants["minara"], l.tenants["council"]
 		t.Logf("minara %+v council %+v", *small, *large)
 		if small.refused != 0 {
 			t.Errorf("%d refusals of the small tenant", small.refused)
 		}
-		if small.worst > 20*time.Millisecond {
-			t.Errorf("the small tenant waited %s", small.worst)
+		if small.longestWait > 20*time.Millisecond {
+			t.Errorf("the small tenant waited for %s", small.longestWait)
 		}
 		if large.done < 7000 {
-			t.Errorf("only %d of the large tenant: capacity was idle", large.done)
+			t.Errorf("only %d requests of the large tenant: capacity was idle", large.done)
 		}
 	})
 }
 
-// TestWeights shows that tenants under contention get what their weights say.
+// TestWeights checks that competing tenants get slots in proportion to their
+// weights.
 func TestWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(4, 10*time.Millisecond) // 400/s
-		go b.load("one", 1, time.Millisecond, time.Second, 10000)
-		b.load("three", 3, time.Millisecond, time.Second, 10000)
+		l := newTestLimiter(4, 10*time.Millisecond) // 400/s
+		go l.load("one", 1, time.Millisecond, time.Second, 10000)
+		l.load("three", 3, time.Millisecond, time.Second, 10000)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		ratio := float64(b.all["three"].done) / float64(b.all["one"].done)
+		ratio := float64(l.tenants["three"].done) / float64(l.tenants["one"].done)
 		if ratio < 2.7 || ratio > 3.3 {
 			t.Errorf("ratio %.2f, want 3", ratio)
 		}
 	})
 }
 
-// TestRefusalIsEarly shows that hopeless requests are refused on arrival.
+// TestRefusalIsEarly checks that requests which would miss their deadline are
+// refused on arrival.
 func TestRefusalIsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(1, 100*time.Millisecond)
-		b.request("minara", 1, time.Second)
+		l := newTestLimiter(1, 100*time.Millisecond)
+		l.request("minara", 1, time.Second)
 		for range 50 {
-			go b.request("minara", 1, 350*time.Millisecond)
+			go l.request("minara", 1, 350*time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c := b.all["minara"]
-		if c.done < 3 || c.slowest != 0 {
-			t.Errorf("%d done, refusal after %s", c.done, c.slowest)
+		c := l.tenants["minara"]
+		if c.done < 3 || c.longestRefusal != 0 {
+			t.Errorf("%d done, latest refusal after %s", c.done, c.longestRefusal)
 		}
 	})
 }
 
-// TestGivenUpWhileWaiting shows that a request whose hope fades is refused
-// before its deadline, with a time to come back.
+// TestGivenUpWhileWaiting checks that a waiting request is refused before its
+// deadline, once the remaining time is shorter than the mean hold time.
 func TestGivenUpWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(1, 100*time.Millisecond)
-		b.request("minara", 1, time.Second)
-		b.takes = time.Hour
-		go b.request("minara", 1, 2*time.Hour)
+		l := newTestLimiter(1, 100*time.Millisecond)
+		l.request("minara", 1, time.Second)
+		l.hold = time.Hour
+		go l.request("minara", 1, 2*time.Hour)
 		synctest.Wait()
 		start := time.Now()
-		_, err := b.Acquire(context.Background(), limiter.Request[int]{
+		_, err := l.Acquire(context.Background(), limiter.Request[int]{
 			Service: "desk", Tenant: "minara", Weight: 1, Deadline: start.Add(time.Second),
 			Take: func(bool) (int, error) { return 0, limiter.ErrBusy },
 		})
@@ -169,7 +173,7 @@
 func ExampleLimiter_Acquire() {
 	free := 1
 	l := limiter.New[int](limiter.Options{MaxQueue: 8})
-	place, err := l.Acquire(context.Background(), limiter.Request[int]{
+	slot, err := l.Acquire(context.Background(), limiter.Request[int]{
 		Service: "desk", Tenant: "minara", Deadline: time.Now().Add(time.Second),
 		Take: func(bool) (int, error) {
 			if free == 0 {
@@ -179,7 +183,7 @@
 			return 7, nil
 		},
 	})
-	fmt.Println(place, err)
+	fmt.Println(slot, err)
 	free++
 	l.Release("desk", time.Millisecond)
 	// Output: 7 <nil>
--- a/internal/traffic/limiter/service.go
+++ b/internal/traffic/limiter/service.go
@@ -5,61 +5,65 @@
 	"time"
 )
 
-// service holds the tenants that use one service.
+// service holds the queues of one service. Tenants are scheduled by start-time
+// fair queueing: each slot has a start tag and a finish tag in virtual time, and
+// the tenant with the smallest start tag is next.
 type service[T any] struct {
-	tenants map[string]*tenant[T]
-	waiting int
-	flight  int     // places in use
-	mean    float64 // time a place is held, seconds
-	virtual float64 // start tag of the request served last
+	tenants     map[string]*tenant[T]
+	waiting     int
+	inUse       int     // slots in use
+	meanHold    float64 // seconds a slot is held, moving average
+	virtualTime float64 // start tag of the slot given last
 }
 
-// tenant has one queue for each class. pass is what the tenant has been
-// served, divided by its weight.
+// tenant holds the waiting requests of one tenant, in one queue per class.
 type tenant[T any] struct {
-	weight  int
-	pass    float64
-	waiting int
-	queues  map[string]*queue[T]
-	order   []*queue[T] // classes take turns in this order
+	weight    int
+	finishTag float64 // virtual time, grows by 1/weight with each slot
+	waiting   int
+	queues    map[string]*queue[T]
+	order     []*queue[T] // queues of the classes, least recently served first
 }
 
+// queue holds the waiting requests of one class in order of arrival.
 type queue[T any] struct{ waiters []*waiter[T] }
 
+// waiter is a waiting request.
 type waiter[T any] struct {
-	request *Request[T]
-	queue   *queue[T]
-	tenant  *tenant[T]
-	giveUp  time.Time
-	done    chan struct{} // closed when ended
-	ended   bool
-	place   T
-	err     error
+	request  *Request[T]
+	queue    *queue[T]
+	tenant   *tenant[T]
+	refuseAt time.Time     // the remaining time is too short from then on
+	done     chan struct{} // closed when finished
+	finished bool
+	slot     T
+	err      error
 }
 
-const meanWeight = 0.1 // of the newest observation
+const holdWeight = 0.1 // weight of the newest observation in meanHold
 
-// observe learns how long a place was held; 0 says that it was not used.
-func (s *service[T]) observe(held time.Duration) {
+// observeHold records how long a slot was held; 0 means that it was not used.
+func (s *service[T]) observeHold(held time.Duration) {
 	if held == 0 {
 		return
 	}
-	if s.mean == 0 {
-		s.mean = held.Seconds()
+	if s.meanHold == 0 {
+		s.meanHold = held.Seconds()
 		return
 	}
-	s.mean += meanWeight * (held.Seconds() - s.mean)
+	s.meanHold += holdWeight * (held.Seconds() - s.meanHold)
 }
 
-func (s *service[T]) held() time.Duration {
-	return time.Duration(s.mean * float64(time.Second))
+// holdTime returns the mean time for which a slot is held.
+func (s *service[T]) holdTime() time.Duration {
+	return time.Duration(s.meanHold * float64(time.Second))
 }
 
-// expectedWait returns how long a request of the tenant that comes now would
-// wait: the requests ahead of it divided by the tenant's share of the rate at
-// which places come free.
+// expectedWait returns how long a request of the tenant that arrives now would
+// wait: the number of the tenant's requests up to it, divided by the tenant's share
+// of the rate at which slots come free.
 func (s *service[T]) expectedWait(t *tenant[T]) time.Duration {
-	if s.mean == 0 || s.flight == 0 {
+	if s.meanHold == 0 || s.inUse == 0 {
 		return 0
 	}
 	weights := t.weight
@@ -68,65 +72,68 @@
 			weights += o.weight
 		}
 	}
-	rate := float64(s.flight) / s.mean * float64(t.weight) / float64(weights)
+	rate := float64(s.inUse) / s.meanHold * float64(t.weight) / float64(weights)
 	return time.Duration(float64(t.waiting+1) / rate * float64(time.Second))
 }
 
-// charge accounts a place to the tenant.
-func (s *service[T]) charge(t *tenant[T], err error) {
+// recordAcquire charges a slot to the tenant, if err is nil.
+func (s *service[T]) recordAcquire(t *tenant[T], err error) {
 	if err != nil {
 		return
 	}
-	t.pass = max(t.pass, s.virtual)
-	s.virtual = t.pass
-	t.pass += 1 / float64(t.weight)
-	s.flight++
+	t.finishTag = max(t.finishTag, s.virtualTime)
+	s.virtualTime = t.finishTag
+	t.finishTag += 1 / float64(t.weight)
+	s.inUse++
 }
 
-// serve gives one place away and reports whether it did. A tenant whose first
-// request finds no place does not hold up the others.
-func (s *service[T]) serve() bool {
+// dispatchOne gives a slot, or the error of Take, to one waiting request and
+// reports whether it did. A tenant whose next request finds no slot does not block
+// the others.
+func (s *service[T]) dispatchOne() bool {
 	tried := make(map[*tenant[T]]bool)
 	for {
-		t := s.next(tried)
+		t := s.nextTenant(tried)
 		if t == nil {
 			return false
 		}
 		tried[t] = true
-		w := t.first()
-		place, err := w.request.Take(false)
+		w := t.nextWaiter()
+		slot, err := w.request.Take(false)
 		if errors.Is(err, ErrBusy) {
 			continue
 		}
-		s.finish(w, place, err)
+		s.finish(w, slot, err)
 		return true
 	}
 }
 
-// next returns the tenant with waiting requests that has had least.
-func (s *service[T]) next(tried map[*tenant[T]]bool) *tenant[T] {
+// nextTenant returns the tenant with waiting requests and the smallest start tag,
+// except those in tried, or nil.
+func (s *service[T]) nextTenant(tried map[*tenant[T]]bool) *tenant[T] {
 	var best *tenant[T]
 	for _, t := range s.tenants {
 		if t.waiting == 0 || tried[t] {
 			continue
 		}
-		if best == nil || max(t.pass, s.virtual) < max(best.pass, s.virtual) {
+		if best == nil || max(t.finishTag, s.virtualTime) < max(best.finishTag, s.virtualTime) {
 			best = t
 		}
 	}
 	return best
 }
 
-// finish removes a waiter and wakes it.
-func (s *service[T]) finish(w *waiter[T], place T, err error) {
+// finish removes the waiter from its queue and wakes its goroutine.
+func (s *service[T]) finish(w *waiter[T], slot T, err error) {
 	w.queue.remove(w)
 	w.tenant.waiting--
 	s.waiting--
-	s.charge(w.tenant, err)
-	w.place, w.err, w.ended = place, err, true
+	s.recordAcquire(w.tenant, err)
+	w.slot, w.err, w.finished = slot, err, true
 	close(w.done)
 }
 
+// tenant returns the tenant of that name and updates its weight.
 func (s *service[T]) tenant(name string, weight int) *tenant[T] {
 	t := s.tenants[name]
 	if t == nil {
@@ -137,6 +144,7 @@
 	return t
 }
 
+// queue returns the queue of the class.
 func (t *tenant[T]) queue(class string) *queue[T] {
 	q := t.queues[class]
 	if q == nil {
@@ -147,8 +155,9 @@
 	return q
 }
 
-// first returns the waiter whose turn it is; there is one.
-func (t *tenant[T]) first() *waiter[T] {
+// nextWaiter returns the waiter whose turn it is, taking the classes in turn. At
+// least one must be waiting.
+func (t *tenant[T]) nextWaiter() *waiter[T] {
 	for i, q := range t.order {
 		if len(q.waiters) == 0 {
 			continue
