--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Health holds the bounds of outlier ejection, slow start and the learnt
-// limit of requests in flight. Zero fields take defaults.
+// Health configures outlier ejection, slow start and the learned limit of requests
+// in flight. Zero fields take defaults.
 type Health struct {
-	MaxFailures int           // in a row that eject a backend server
-	Ejection    time.Duration // first ejection; doubles up to 16 times this
-	MinOpen     float64       // share of a service's open backend servers that stays in use
-	SlowFactor  float64       // times the median latency of the others that counts as an outlier
-	SlowStart   time.Duration // slow start after an ejection
+	MaxFailures int           // consecutive failures that eject a backend server
+	Ejection    time.Duration // length of the first ejection; doubles with each further one, up to 16 times this
+	MinOpen     float64       // share of a service's open backend servers at one distance that is never ejected
+	SlowFactor  float64       // a backend server is an outlier above this multiple of the others' mean latency
+	SlowStart   time.Duration // time after an ejection in which the limit rises to its normal value
 }
 
-// DefaultEjection is the first ejection's time.
+// DefaultEjection is the default of Health.Ejection.
 const DefaultEjection = 5 * time.Second
 
 func (h Health) withDefaults() Health {
@@ -37,71 +37,75 @@
 	return h
 }
 
-// limit returns how many requests the server may have in flight: the slots
-// lent, bounded by the learnt window and by slow start, but at least one as
-// long as a slot is lent.
+// limit returns how many requests the server may have in flight: the available
+// slots, reduced by the learned limit and by slow start, but at least one if a slot
+// is available.
 func (s *server) limit(slots int, h *Health, now time.Time) int {
 	if slots <= 0 {
 		return 0
 	}
 	out := float64(slots)
-	if s.window > 0 {
-		out = min(out, s.window)
+	if s.learnedLimit > 0 {
+		out = min(out, s.learnedLimit)
 	}
-	if since := now.Sub(s.returned); !s.returned.IsZero() && since < h.SlowStart {
+	if since := now.Sub(s.slowStartFrom); !s.slowStartFrom.IsZero() && since < h.SlowStart {
 		out = min(out, float64(slots)*float64(since)/float64(h.SlowStart))
 	}
 	return max(1, int(out))
 }
 
 const (
-	latencyWeight = 0.1  // of the newest answer in the mean
-	windowGrowth  = 0.05 // per answer
-	windowCut     = 0.75 // on overload
+	latencyWeight = 0.1  // weight of the newest response in the mean latency
+	limitGrowth   = 0.05 // added per response
+	limitCut      = 0.75 // factor after a refusal
 
-	enough = 30 // answers before a mean latency counts in ejection
+	minResponses = 30 // responses before a mean latency counts for ejection
 )
 
-// learn updates the server after a request; the lock is held.
-func (r *Router) learn(p *Slot, o Outcome) {
-	s := p.server
+// recordOutcome updates the server's state after a request and ejects the server
+// if necessary. The lock must be held.
+func (r *Router) recordOutcome(slot *Slot, o Outcome) {
+	s := slot.server
 	now := r.Options.Now()
 	switch o {
 	case Answered:
 		s.failures = 0
-		s.observe(now.Sub(p.since).Seconds())
-		s.seen = now
-		s.grow(r.Slots.Limit(s.backend))
+		s.observeLatency(now.Sub(slot.taken).Seconds())
+		s.lastResponse = now
+		s.raiseLimit(r.Slots.Limit(s.backend))
 	case Failed:
 		s.failures++
 	case Overloaded:
-		s.shrink()
+		s.lowerLimit()
 	}
-	if s.failures >= r.Options.Health.MaxFailures || o == Answered && r.isOutlier(p) {
-		r.eject(p, now)
+	if s.failures >= r.Options.Health.MaxFailures || o == Answered && r.isOutlier(slot) {
+		r.eject(slot, now)
 	}
 }
 
-func (s *server) observe(seconds float64) {
-	s.answers++
-	if s.latency == 0 {
-		s.latency = seconds
+func (s *server) observeLatency(seconds float64) {
+	s.responses++
+	if s.meanLatency == 0 {
+		s.meanLatency = seconds
 		return
 	}
-	s.latency += latencyWeight * (seconds - s.latency)
+	s.meanLatency += latencyWeight * (seconds - s.meanLatency)
 }
 
-func (s *server) shrink() {
-	s.window = max(1, min(orInfinity(s.window), float64(s.flight+1))*windowCut)
+// lowerLimit lowers the learned limit after the server refused a request.
+func (s *server) lowerLimit() {
+	s.learnedLimit = max(1, min(orInfinity(s.learnedLimit), float64(s.inFlight+1))*limitCut)
 }
 
-func (s *server) grow(slots int) {
-	if s.window == 0 {
+// raiseLimit raises the learned limit after a response, and drops it when it
+// reaches the available slots.
+func (s *server) raiseLimit(slots int) {
+	if s.learnedLimit == 0 {
 		return
 	}
-	s.window += windowGrowth
-	if s.window > float64(slots) {
-		s.window = 0
+	s.learnedLimit += limitGrowth
+	if s.learnedLimit > float64(slots) {
+		s.learnedLimit = 0
 	}
 }
 
@@ -112,43 +116,45 @@
 	return x
 }
 
-// isOutlier reports whether the server is far slower than the mean of the
-// other ones at its distance.
-func (r *Router) isOutlier(p *Slot) bool {
-	if p.server.answers < enough {
+// isOutlier reports whether the server's mean latency is far above that of the
+// others at its distance. At least three others must have enough responses.
+func (r *Router) isOutlier(slot *Slot) bool {
+	if slot.server.responses < minResponses {
 		return false
 	}
-	row := r.row(p)
+	peers := r.peers(slot)
 	sum, n := 0.0, 0
-	for _, s := range row {
-		if s != p.server && s.answers >= enough {
-			sum += s.latency
+	for _, s := range peers {
+		if s != slot.server && s.responses >= minResponses {
+			sum += s.meanLatency
 			n++
 		}
 	}
-	return n >= 3 && p.server.latency > r.Options.Health.SlowFactor*sum/float64(n)
+	return n >= 3 && slot.server.meanLatency > r.Options.Health.SlowFactor*sum/float64(n)
 }
 
-// eject takes the server out of use unless too few would remain.
-func (r *Router) eject(p *Slot, now time.Time) {
-	s := p.server
+// eject takes the server out of use for a time, unless too few would remain.
+func (r *Router) eject(slot *Slot, now time.Time) {
+	s := slot.server
 	s.failures = 0
-	if s.isEjected(now) || !r.mayEject(p, now) {
+	if s.isEjected(now) || !r.mayEject(slot, now) {
 		return
 	}
-	if now.Sub(s.returned) > 10*r.Options.Health.Ejection {
-		s.ejects = 0
+	if now.Sub(s.slowStartFrom) > 10*r.Options.Health.Ejection {
+		s.ejections = 0
 	}
-	s.ejected = now.Add(r.Options.Health.Ejection << min(s.ejects, 4))
-	s.returned = s.ejected
-	s.ejects++
-	s.latency = 0
-	s.answers = 0
+	s.ejectedUntil = now.Add(r.Options.Health.Ejection << min(s.ejections, 4))
+	s.slowStartFrom = s.ejectedUntil
+	s.ejections++
+	s.meanLatency = 0
+	s.responses = 0
 }
 
-func (r *Router) mayEject(p *Slot, now time.Time) bool {
+// mayEject reports whether enough servers at the slot's distance remain in use if
+// this one is ejected.
+func (r *Router) mayEject(slot *Slot, now time.Time) bool {
 	open, used := 0, 0
-	for _, s := range r.row(p) {
+	for _, s := range r.peers(slot) {
 		if s.backend.Closed {
 			continue
 		}
@@ -160,10 +166,12 @@
 	return float64(used-1) >= r.Options.Health.MinOpen*float64(open)
 }
 
-func (r *Router) row(p *Slot) []*server {
-	rows := r.view[p.service]
-	if rows == nil {
+// peers returns the service's servers at the slot's distance, the slot's own
+// included.
+func (r *Router) peers(slot *Slot) []*server {
+	byDistance := r.services[slot.service]
+	if byDistance == nil {
 		return nil
 	}
-	return rows[r.distance(p.Backend)]
+	return byDistance[r.distance(slot.Backend)]
 }
--- a/internal/traffic/router/policy.go
+++ b/internal/traffic/router/policy.go
@@ -5,37 +5,37 @@
 // Candidate is a backend server with a free slot.
 type Candidate struct {
 	InFlight     int     // requests in flight from this entry host
-	Limit        int     // of requests in flight, at least Flight + 1
-	Interference float64 // expected relative slow-down, 0 is none
-	Latency      float64 // recent mean in seconds, 0 is unknown
+	Limit        int     // most requests in flight, at least InFlight + 1
+	Interference float64 // expected slow-down by other work on the worker, 0.1 means 10 %
+	Latency      float64 // recent mean in seconds, 0 if unknown
 
 	server *server
 }
 
-// Policy chooses one of the candidates, of which there is at least one, and
-// returns its index.
+// Policy selects a backend server. Choose returns the index of one of the
+// candidates, of which there is at least one.
 type Policy interface {
 	Choose(c []Candidate, random *rand.Rand) int
 }
 
-// LeastLoaded chooses the smallest share of slots in use, scaled by the
-// expected slow-down and by latency that stands out. Equal candidates are
-// chosen at random, so that entry hosts with the same view do not pick the
-// same one.
+// LeastLoaded chooses the candidate with the smallest share of slots in use,
+// scaled by interference and by latency far above the lowest. Ties are broken at
+// random, so that entry hosts with the same view spread their requests.
 type LeastLoaded struct{}
 
-// noise is how far above the least a latency may be without counting.
-const noise = 2
+// latencyTolerance is the multiple of the lowest latency up to which latency has no
+// influence.
+const latencyTolerance = 2
 
 // Choose implements Policy.
 func (LeastLoaded) Choose(c []Candidate, random *rand.Rand) int {
 	best, ties := 0, 0
 	lowest := 0.0
-	usual := noise * leastLatency(c)
+	threshold := latencyTolerance * minLatency(c)
 	for i := range c {
 		score := float64(c[i].InFlight+1) / float64(c[i].Limit) * (1 + c[i].Interference)
-		if c[i].Latency > usual {
-			score *= c[i].Latency / usual
+		if c[i].Latency > threshold {
+			score *= c[i].Latency / threshold
 		}
 		switch {
 		case i == 0 || score < lowest:
@@ -50,8 +50,8 @@
 	return best
 }
 
-// leastLatency returns the least of the known latencies.
-func leastLatency(c []Candidate) float64 {
+// minLatency returns the lowest of the known latencies, 0 if none is known.
+func minLatency(c []Candidate) float64 {
 	least := 0.0
 	for i := range c {
 		if c[i].Latency > 0 && (least == 0 || c[i].Latency < least) {
@@ -61,13 +61,13 @@
 	return least
 }
 
-// Random chooses blindly. It is a baseline.
+// Random chooses at random. It is a baseline for comparisons.
 type Random struct{}
 
 // Choose implements Policy.
 func (Random) Choose(c []Candidate, random *rand.Rand) int { return random.IntN(len(c)) }
 
-// RoundRobin takes the candidates in turn. It is a baseline.
+// RoundRobin chooses the candidates in turn. It is a baseline for comparisons.
 type RoundRobin struct{ next int }
 
 // Choose implements Policy.
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -1,20 +1,20 @@
-// Package router chooses the backend server for a request.
+// Package router chooses the backend server for each request.
 //
 // # Model
 //
-// A [Router] takes a [Slot] for a request: one of the slots of a backend
-// server that this entry host may use now. Places are sought in the entry
-// host's own failure domain, then in its region, and in other regions only
-// when the caller of [Router.Take] says that the deadline would be missed
-// otherwise and the link has budget for the expected bytes. Among the
-// candidates of one distance a [Policy] chooses.
+// A [Router] takes a [Slot] for a request: one of the slots of a backend server
+// that this entry host may use now. It looks for slots in the entry host's own
+// failure domain first, then in its region. It uses other regions only if the
+// caller of [Router.Take] allows it, because the request would miss its deadline
+// otherwise, and the [LinkBudget] covers the expected bytes. Among the candidates
+// at one distance, a [Policy] chooses.
 //
-//	place, err := r.Take(table, router.Request{Service: "desk", Deadline: t})
+//	slot, err := r.Take(table, router.Request{Service: "desk", Deadline: t})
 //	if err == nil {
-//		defer place.Release(outcome)
+//		defer slot.Release(outcome)
 //	}
 //
-// Take never waits: waiting for a place, in fair order, is the limiter's job.
+// Take never blocks. Package limiter lets requests wait for a slot in fair order.
 package router
 
 import (
@@ -26,7 +26,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Reasons for which Take finds no place, found with errors.Is.
+// Errors of Router.Take, for use with errors.Is.
 var (
 	ErrUnknownService = errors.New("router: unknown service")
 	ErrNoSlot         = errors.New("router: every slot is in use")
@@ -34,61 +34,63 @@
 	ErrLinkBudget     = errors.New("router: no budget left on the link between regions")
 )
 
-// SlotSource lends the slots of workers to this entry host. Its methods never wait.
+// SlotSource decides how many slots of each worker this entry host may use. Its
+// methods never block.
 type SlotSource interface {
 	// Limit returns how many slots of the worker this entry host may use.
 	Limit(b describer.Backend) int
-	// Acquire takes one slot for a request that ends by deadline. Release must
-	// be called once, when the request no longer occupies the worker.
+	// Acquire takes one slot for a request that ends by deadline, or returns
+	// false if none is free. release must be called once, when the request no
+	// longer occupies the worker.
 	Acquire(b describer.Backend, deadline time.Time) (release func(), ok bool)
 }
 
-// Request says what a place is wanted for.
+// Request describes the request for which a slot is taken.
 type Request struct {
 	Service     string
 	Deadline    time.Time
-	Bytes       int64           // expected on the link, both ways
-	CrossRegion bool            // other regions are allowed
-	Avoid       map[string]bool // workers already tried
+	Bytes       int64           // expected size of request and response bodies
+	CrossRegion bool            // other regions may be used
+	Avoid       map[string]bool // workers not to use, because they were tried before
 }
 
-// Slot is a slot of one backend server.
+// Slot is a slot of one backend server, taken for one request.
 type Slot struct {
 	Backend     describer.Backend
-	CrossRegion bool // in another region; its bytes count against the link
+	CrossRegion bool // the backend server is in another region, so its bytes count against the link budget
 
 	router  *Router
 	server  *server
 	release func()
 	service string
-	since   time.Time
+	taken   time.Time // start of the request
 }
 
-// Options place the entry host.
+// Options configure a Router.
 type Options struct {
-	Domain     string
-	Region     string
-	Policy     Policy      // LeastLoaded if nil
-	Health     Health      // zero fields take defaults
-	LinkBudget *LinkBudget // nil forbids other regions
-	Seed       uint64
-	Now        func() time.Time // time.Now if nil
+	Domain     string           // failure domain of the entry host
+	Region     string           // region of the entry host
+	Policy     Policy           // nil takes LeastLoaded
+	Health     Health           // zero fields take defaults
+	LinkBudget *LinkBudget      // nil forbids other regions
+	Seed       uint64           // of random choices
+	Now        func() time.Time // nil takes time.Now
 }
 
-// Router chooses among backend servers.
+// Router chooses among backend servers. It is safe for concurrent use.
 type Router struct {
 	Options Options
 	Slots   SlotSource
 
-	lock    sync.Mutex
-	servers map[string]*server
-	random  *rand.Rand
-	view    map[string]*rows
-	table   *describer.RoutingTable
-	scratch []Candidate
+	lock     sync.Mutex
+	servers  map[string]*server // by worker
+	random   *rand.Rand
+	services map[string]*serversByDistance // by service
+	table    *describer.RoutingTable       // from which services was built
+	scratch  []Candidate                   // reused by candidates
 }
 
-// New returns a router over the lent slots.
+// New returns a router that takes its slots from s.
 func New(o Options, s SlotSource) *Router {
 	if o.Policy == nil {
 		o.Policy = LeastLoaded{}
@@ -105,28 +107,32 @@
 	}
 }
 
-// Take returns a place for the request or the reason why there is none.
+// Take returns a slot of the nearest suitable backend server. The caller must call
+// Slot.Release. It returns ErrUnknownService if the table does not have the
+// service, ErrNoSlot if all slots are in use, ErrNoBackend if no backend server is
+// usable, and ErrLinkBudget if only the link budget prevents the use of another
+// region.
 func (r *Router) Take(table *describer.RoutingTable, q Request) (*Slot, error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	rows, ok := r.rows(table, q.Service)
+	byDistance, ok := r.serversOf(table, q.Service)
 	if !ok {
 		return nil, ErrUnknownService
 	}
 	reason := ErrNoBackend
-	for distance, row := range rows {
+	for distance, servers := range byDistance {
 		if Distance(distance) == OtherRegion {
 			if !q.CrossRegion {
 				break
 			}
-			if len(row) > 0 && !r.Options.LinkBudget.Allow(q.Bytes, r.Options.Now()) {
+			if len(servers) > 0 && !r.Options.LinkBudget.Allow(q.Bytes, r.Options.Now()) {
 				return nil, ErrLinkBudget
 			}
 		}
-		place, err := r.takeFrom(row, q)
+		slot, err := r.takeFrom(servers, q)
 		if err == nil {
-			place.CrossRegion = Distance(distance) == OtherRegion
-			return place, nil
+			slot.CrossRegion = Distance(distance) == OtherRegion
+			return slot, nil
 		}
 		if !errors.Is(err, ErrNoBackend) {
 			reason = err
@@ -135,18 +141,18 @@
 	return nil, reason
 }
 
-// takeFrom chooses within one distance. A candidate whose slots turn out to
-// be gone is left out and the policy is asked again.
-func (r *Router) takeFrom(row []*server, q Request) (*Slot, error) {
+// takeFrom takes a slot at one distance. If the chosen candidate's slot turns out
+// to be gone, it asks the policy again without that candidate.
+func (r *Router) takeFrom(servers []*server, q Request) (*Slot, error) {
 	now := r.Options.Now()
-	candidates, open := r.candidates(row, q, now)
+	candidates, open := r.candidates(servers, q, now)
 	for len(candidates) > 0 {
 		i := r.Options.Policy.Choose(candidates, r.random)
 		s := candidates[i].server
 		release, ok := r.Slots.Acquire(s.backend, q.Deadline)
 		if ok {
-			s.flight++
-			return &Slot{Backend: s.backend, router: r, server: s, release: release, service: q.Service, since: now}, nil
+			s.inFlight++
+			return &Slot{Backend: s.backend, router: r, server: s, release: release, service: q.Service, taken: now}, nil
 		}
 		candidates[i] = candidates[len(candidates)-1]
 		candidates = candidates[:len(candidates)-1]
@@ -157,30 +163,33 @@
 	return nil, ErrNoBackend
 }
 
-// sampled is the number of backend servers that one choice looks at. Up to
-// it every one is seen; above, a random sample keeps the cost of a request
-// independent of the size of the fleet.
-const sampled = 64
+// maxCandidates bounds the candidates of one choice. In larger groups it is a
+// random sample, so that the cost of a request does not depend on the size of the
+// fleet.
+const maxCandidates = 64
 
-func (r *Router) candidates(row []*server, q Request, now time.Time) ([]Candidate, bool) {
+// candidates returns the servers with a free slot. The second result reports
+// whether any server is usable, with or without a free slot: open, not ejected and
+// not in q.Avoid.
+func (r *Router) candidates(servers []*server, q Request, now time.Time) ([]Candidate, bool) {
 	out := r.scratch[:0]
 	open := false
 	start := 0
-	if len(row) > sampled {
-		start = r.random.IntN(len(row))
+	if len(servers) > maxCandidates {
+		start = r.random.IntN(len(servers))
 	}
-	for k := range row {
-		s := row[(start+k)%len(row)]
+	for k := range servers {
+		s := servers[(start+k)%len(servers)]
 		if s.backend.Closed || q.Avoid[s.backend.Worker] || s.isEjected(now) {
 			continue
 		}
 		open = true
 		limit := s.limit(r.Slots.Limit(s.backend), &r.Options.Health, now)
-		if s.flight >= limit {
+		if s.inFlight >= limit {
 			continue
 		}
-		out = append(out, Candidate{server: s, InFlight: s.flight, Limit: limit, Interference: s.backend.Interference, Latency: s.recent(now)})
-		if len(out) == sampled {
+		out = append(out, Candidate{server: s, InFlight: s.inFlight, Limit: limit, Interference: s.backend.Interference, Latency: s.decayedLatency(now)})
+		if len(out) == maxCandidates {
 			break
 		}
 	}
@@ -188,19 +197,19 @@
 	return out, open
 }
 
-// Capacity returns how many requests for the service this entry host can
-// have in flight now in its own region.
+// Capacity returns how many requests for the service this entry host may have in
+// flight now in its own region.
 func (r *Router) Capacity(table *describer.RoutingTable, service string) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	rows, _ := r.rows(table, service)
-	if rows == nil {
+	byDistance, _ := r.serversOf(table, service)
+	if byDistance == nil {
 		return 0
 	}
 	now := r.Options.Now()
 	sum := 0
-	for _, row := range rows[:OtherRegion] {
-		for _, s := range row {
+	for _, servers := range byDistance[:OtherRegion] {
+		for _, s := range servers {
 			if !s.backend.Closed && !s.isEjected(now) {
 				sum += s.limit(r.Slots.Limit(s.backend), &r.Options.Health, now)
 			}
@@ -209,11 +218,12 @@
 	return sum
 }
 
-// Release gives the slot back and learns from the outcome.
-func (p *Slot) Release(o Outcome) {
-	p.release()
-	p.router.lock.Lock()
-	defer p.router.lock.Unlock()
-	p.server.flight--
-	p.router.learn(p, o)
+// Release gives the slot back and records the outcome for the backend server. It
+// must be called once.
+func (s *Slot) Release(o Outcome) {
+	s.release()
+	s.router.lock.Lock()
+	defer s.router.lock.Unlock()
+	s.server.inFlight--
+	s.router.recordOutcome(s, o)
 }
--- a/internal/traffic/router/router_test.go
+++ b/internal/traffic/router/router_test.go
@@ -18,8 +18,10 @@
 	RunSpecs(t, "router")
 }
 
+// clock is the virtual time of the router.
 type clock struct{ now time.Time }
 
+// fleet returns a routing table with n backend servers, each after change.
 func fleet(n int, change func(i int, b *describer.Backend)) *describer.RoutingTable {
 	var all []describer.Backend
 	for i := range n {
@@ -45,23 +47,23 @@
 		}, &router.FixedShare{Hosts: 2})
 	})
 	take := func(t *describer.RoutingTable) *router.Slot {
-		place, err := r.Take(t, q)
+		slot, err := r.Take(t, q)
 		Expect(err).NotTo(HaveOccurred())
-		return place
+		return slot
 	}
-	// finish lets n requests end one after another and counts them by worker.
-	finish := func(t *describer.RoutingTable, n int, end func(p *router.Slot)) map[string]int {
+	// run sends n requests one after another and counts them by worker.
+	run := func(t *describer.RoutingTable, n int, end func(s *router.Slot)) map[string]int {
 		out := make(map[string]int)
 		for range n {
-			place := take(t)
-			out[place.Backend.Worker]++
-			end(place)
+			slot := take(t)
+			out[slot.Backend.Worker]++
+			end(slot)
 		}
 		return out
 	}
-	answered := func(p *router.Slot) { c.now = c.now.Add(time.Millisecond); p.Release(router.Answered) }
+	answered := func(s *router.Slot) { c.now = c.now.Add(time.Millisecond); s.Release(router.Answered) }
 
-	It("spreads requests evenly and stops at the slots lent", func() {
+	It("spreads requests evenly up to the available slots", func() {
 		t := fleet(5, nil)
 		count := make(map[string]int)
 		for range 20 {
@@ -74,7 +76,7 @@
 		Expect(err).To(MatchError(router.ErrNoSlot))
 	})
 
-	It("prefers the own failure domain, then the region", func() {
+	It("prefers its own failure domain, then its region", func() {
 		t := fleet(2, func(i int, b *describer.Backend) { b.Domain = []string{"e", "d"}[i] })
 		for range 4 {
 			Expect(take(t).Backend.Domain).To(Equal("d"))
@@ -82,94 +84,94 @@
 		Expect(take(t).Backend.Domain).To(Equal("e"))
 	})
 
-	It("goes to another region only when allowed and within the budget", func() {
+	It("uses another region only when allowed and within the link budget", func() {
 		t := fleet(1, func(_ int, b *describer.Backend) { b.Region, b.Domain = "x", "x" })
 		_, err := r.Take(t, q)
 		Expect(err).To(MatchError(router.ErrNoBackend))
-		far := router.Request{Service: "desk", CrossRegion: true, Bytes: 600}
-		place, err := r.Take(t, far)
+		crossRegion := router.Request{Service: "desk", CrossRegion: true, Bytes: 600}
+		slot, err := r.Take(t, crossRegion)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(place.CrossRegion).To(BeTrue())
+		Expect(slot.CrossRegion).To(BeTrue())
 		r.Options.LinkBudget.Charge(600, c.now)
-		_, err = r.Take(t, far)
+		_, err = r.Take(t, crossRegion)
 		Expect(err).To(MatchError(router.ErrLinkBudget))
 		c.now = c.now.Add(time.Second)
-		_, err = r.Take(t, far)
+		_, err = r.Take(t, crossRegion)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
 	It("avoids interference", func() {
 		t := fleet(2, func(i int, b *describer.Backend) { b.Interference = float64(i) })
-		Expect(finish(t, 10, answered)).To(Equal(map[string]int{"w000": 10}))
+		Expect(run(t, 10, answered)).To(Equal(map[string]int{"w000": 10}))
 	})
 
-	It("gives nothing new to a closed backend server", func() {
+	It("sends no request to a closed backend server", func() {
 		t := fleet(2, func(i int, b *describer.Backend) { b.Closed = i == 0 })
-		Expect(finish(t, 10, answered)).To(Equal(map[string]int{"w001": 10}))
+		Expect(run(t, 10, answered)).To(Equal(map[string]int{"w001": 10}))
 	})
 
-	It("ejects a failing backend server, down to a floor, and starts it slowly again", func() {
+	It("ejects failing backend servers, up to a bound, with a slow start afterwards", func() {
 		t := fleet(10, nil)
-		fail := func(p *router.Slot) {
-			if p.Backend.Worker < "w005" {
-				p.Release(router.Failed)
+		fail := func(s *router.Slot) {
+			if s.Backend.Worker < "w005" {
+				s.Release(router.Failed)
 				return
 			}
-			answered(p)
+			answered(s)
 		}
-		finish(t, 400, fail)
-		used := finish(t, 400, answered)
-		Expect(used).To(HaveLen(7), "the floor of 0.7 keeps 7 of 10 in use")
+		run(t, 400, fail)
+		inUse := run(t, 400, answered)
+		Expect(inUse).To(HaveLen(7), "the default MinOpen of 0.7 keeps 7 of 10 in use")
 		c.now = c.now.Add(router.DefaultEjection)
-		places := make(map[string]int)
+		slots := make(map[string]int)
 		for {
-			place, err := r.Take(t, q)
+			slot, err := r.Take(t, q)
 			if errors.Is(err, router.ErrNoSlot) {
 				break
 			}
-			places[place.Backend.Worker]++
+			slots[slot.Backend.Worker]++
 		}
-		Expect(places).To(HaveLen(10))
-		slow := 0
-		for _, n := range places {
+		Expect(slots).To(HaveLen(10))
+		single := 0
+		for _, n := range slots {
 			if n == 1 {
-				slow++
+				single++
 			}
 		}
-		Expect(slow).To(Equal(3), "those that return begin with one request")
+		Expect(single).To(Equal(3), "servers that return begin with one request")
 	})
 
 	It("ejects a backend server that is far slower than the others", func() {
 		t := fleet(8, nil)
-		finish(t, 400, func(p *router.Slot) {
-			if p.Backend.Worker == "w003" {
+		run(t, 400, func(s *router.Slot) {
+			if s.Backend.Worker == "w003" {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
-			answered(p)
+			answered(s)
 		})
-		Expect(finish(t, 100, answered)).NotTo(HaveKey("w003"))
+		Expect(run(t, 100, answered)).NotTo(HaveKey("w003"))
 	})
 
-	It("does not eject on few answers", func() {
+	It("does not eject a backend server after few responses", func() {
 		t := fleet(8, nil)
 		n := 0
-		finish(t, 40, func(p *router.Slot) {
-			if n++; p.Backend.Worker == "w003" && n > 20 {
+		run(t, 40, func(s *router.Slot) {
+			if n++; s.Backend.Worker == "w003" && n > 20 {
 				c.now = c.now.Add(50 * time.Millisecond)
 			}
-			answered(p)
+			answered(s)
 		})
 		Expect(r.Capacity(t, "desk")).To(Equal(32))
 	})
 
-	It("learns a lower limit from refusals and raises it again", func() {
+	It("lowers the limit after refusals and raises it again", func() {
 		t := fleet(1, nil)
 		first := []*router.Slot{take(t), take(t), take(t)}
 		first[0].Release(router.Overloaded)
 		first[1].Release(router.Overloaded)
 		Expect(r.Capacity(t, "desk")).To(Equal(1))
 		first[2].Release(router.Answered)
-		finish(t, 200, answered)
+		run(t, 200, answered)
 		Expect(r.Capacity(t, "desk")).To(Equal(4))
 	})
 })
@@ -181,11 +183,11 @@
 			r := router.New(router.Options{Domain: "d", Region: "r"}, &router.FixedShare{Hosts: 2})
 			b.ReportAllocs()
 			for b.Loop() {
-				place, err := r.Take(t, router.Request{Service: "desk"})
+				slot, err := r.Take(t, router.Request{Service: "desk"})
 				if err != nil {
 					b.Fatal(err)
 				}
-				place.Release(router.Answered)
+				slot.Release(router.Answered)
 			}
 		})
 	}
--- a/internal/traffic/router/server.go
+++ b/internal/traffic/router/server.go
@@ -7,15 +7,15 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Outcome is how a request ended, as far as it tells about the backend server.
+// Outcome is how a request ended, as far as it concerns the backend server.
 type Outcome uint8
 
 // Outcomes.
 const (
-	Unknown    Outcome = iota // tells nothing: cancelled by the caller
-	Answered                  // whole answer
-	Failed                    // error status, broken or silent connection, deadline
-	Overloaded                // the backend server refused
+	Unknown    Outcome = iota // says nothing about the backend server, such as a cancellation
+	Answered                  // a whole response
+	Failed                    // error status, broken or stalled connection, or missed deadline
+	Overloaded                // the backend server refused the request
 )
 
 func (o Outcome) String() string {
@@ -32,31 +32,31 @@
 	return "outcome"
 }
 
-// server is what this entry host knows of one backend server.
+// server is the state of one backend server as seen by this entry host.
 type server struct {
-	backend describer.Backend
-	flight  int       // requests in flight from this entry host
-	latency float64   // mean in seconds, exponentially weighted
-	seen    time.Time // last answer
-
-	answers  int       // since it was last ejected
-	failures int       // in a row
-	ejected  time.Time // until
-	returned time.Time // end of the last ejection; slow start begins
-	ejects   int       // in a row, doubles the time
-	window   float64   // learnt limit of requests in flight, 0 is none
+	backend      describer.Backend
+	inFlight     int       // requests in flight from this entry host
+	meanLatency  float64   // seconds, exponentially weighted; 0 if unknown
+	lastResponse time.Time // time of the last response
+
+	responses     int       // since the last ejection
+	failures      int       // consecutive
+	ejectedUntil  time.Time // end of the latest ejection
+	slowStartFrom time.Time // start of the slow start, the end of the latest ejection
+	ejections     int       // in close succession; each doubles the length of the next
+	learnedLimit  float64   // lowered by refusals; 0 means no limit but the slots
 }
 
-// memory is the time in which what is known of latency counts half.
-const memory = 10 * time.Second
+// latencyHalfLife is the time in which the weight of a past latency falls to half.
+const latencyHalfLife = 10 * time.Second
 
-// recent returns the mean latency, fading so that a server which is passed over
-// for having been slow is tried again.
-func (s *server) recent(now time.Time) float64 {
-	if s.latency == 0 {
+// decayedLatency returns the mean latency, which decays over time without
+// responses, so that a server that was avoided for its latency is tried again.
+func (s *server) decayedLatency(now time.Time) float64 {
+	if s.meanLatency == 0 {
 		return 0
 	}
-	return s.latency * math.Exp2(-float64(now.Sub(s.seen))/float64(memory))
+	return s.meanLatency * math.Exp2(-float64(now.Sub(s.lastResponse))/float64(latencyHalfLife))
 }
 
-func (s *server) isEjected(now time.Time) bool { return now.Before(s.ejected) }
+func (s *server) isEjected(now time.Time) bool { return now.Before(s.ejectedUntil) }
--- a/internal/traffic/router/share.go
+++ b/internal/traffic/router/share.go
@@ -7,34 +7,34 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// FixedShare is the simplest Slots: every one of Hosts entry hosts uses the
-// same share of each worker.
+// FixedShare is a SlotSource that gives each of Hosts entry hosts the same fixed
+// share of every worker.
 type FixedShare struct {
-	Hosts int
+	Hosts int // number of entry hosts
 
-	lock sync.Mutex
-	used map[string]int
+	lock  sync.Mutex
+	inUse map[string]int
 }
 
-// Limit implements Slots.
+// Limit implements SlotSource.
 func (f *FixedShare) Limit(b describer.Backend) int { return b.Slots / max(f.Hosts, 1) }
 
-// Acquire implements Slots.
+// Acquire implements SlotSource.
 func (f *FixedShare) Acquire(b describer.Backend, _ time.Time) (func(), bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.used == nil {
-		f.used = make(map[string]int)
+	if f.inUse == nil {
+		f.inUse = make(map[string]int)
 	}
-	if f.used[b.Worker] >= f.Limit(b) {
+	if f.inUse[b.Worker] >= f.Limit(b) {
 		return nil, false
 	}
-	f.used[b.Worker]++
+	f.inUse[b.Worker]++
 	return func() { f.release(b.Worker) }, true
 }
 
 func (f *FixedShare) release(worker string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.used[worker]--
+	f.inUse[worker]--
 }
