--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -1,24 +1,26 @@
-// Package dialer sends requests to backend servers over connections that it
-// bounds, probes and replaces, and gives a verdict for every failure.
+// Package dialer sends requests to backend servers over pooled connections. It
+// bounds the number of connections, probes idle ones and detects stalled ones, and
+// gives every error a verdict that says whether the request may have run.
 //
 // # Model
 //
 // Each backend server has a [Pool] of connections. A connection carries one
-// request at a time and is an http.Transport of its own that is limited to a
-// single net.Conn, so the pool decides which connection a request takes, and
-// whether the first byte was handed to it is known exactly:
+// request at a time and has an http.Transport of its own that may use only this
+// net.Conn. So the pool decides which connection a request uses, and it is known
+// exactly whether any byte of the request was handed to the connection:
 //
-//	answer, err := d.Send(backend, request)
-//	if classifier.Of(err) == classifier.NotRun {
-//		// no byte left this process, or the backend server refused
+//	response, err := d.Send(backend, request)
+//	if classifier.VerdictOf(err) == classifier.NotRun {
+//		// no byte was sent, or the backend server refused the request
 //	}
 //
-// # Silence
+// # Stalled connections
 //
-// A busy connection without progress for Options.Silence fails with code
-// "silent" and is closed. Time in which the caller withholds its own body or
-// does not take the answer does not count. An idle connection is probed with
-// HEAD on [HealthPath], which must not run work, and closed if no answer comes.
+// A request that makes no progress for Options.StallTimeout fails with code
+// "silent", and its connection is closed. Time in which the caller does not send
+// its request body or does not read the response is not counted. An idle
+// connection is probed with HEAD on [HealthPath] and closed if there is no
+// response.
 package dialer
 
 import (
@@ -31,8 +33,8 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// HealthPath is where backend servers answer probes, with any status and
-// without running work.
+// HealthPath is the path of probes. Backend servers must respond to it, with any
+// status and without running work.
 const HealthPath = "/healthz"
 
 // Defaults of Options.
@@ -42,30 +44,30 @@
 	DefaultMaxAge         = 10 * time.Minute
 )
 
-// Options are the bounds of connections. Zero fields take the defaults.
+// Options configure the connections. Zero fields take defaults.
 type Options struct {
-	StallTimeout   time.Duration // longest time without progress on a busy connection
+	StallTimeout   time.Duration // longest time without progress during a request
 	ConnectTimeout time.Duration // longest time to open a connection
-	MaxAge         time.Duration // older connections are not used again
-	ProbeInterval  time.Duration // idle connections are probed this often; half of Silence if 0
+	MaxAge         time.Duration // older connections get no further request
+	ProbeInterval  time.Duration // idle connections are probed this often; 0 takes half of StallTimeout
 	// Connections returns how many connections to the backend server may be
-	// open; nil takes all that it has.
+	// open; nil takes all that the backend server accepts.
 	Connections func(b describer.Backend) int
-	// Dial opens a connection; nil takes TCP.
+	// Dial opens a connection; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Dialer holds the pools of all backend servers.
+// Dialer sends requests to backend servers. It is safe for concurrent use.
 type Dialer struct {
 	Options Options
-	Done    chan struct{} // closed when the prober has ended
+	Done    chan struct{} // closed when probing has ended
 
 	lock  sync.Mutex
-	pools map[string]*Pool
+	pools map[string]*Pool // by worker
 	stop  context.CancelFunc
 }
 
-// New returns a dialer that probes idle connections until Close.
+// New returns a dialer that probes its idle connections until Close.
 func New(o Options) *Dialer {
 	ctx, stop := context.WithCancel(context.Background())
 	d := &Dialer{
@@ -76,14 +78,14 @@
 	}
 	go func() {
 		defer close(d.Done)
-		d.probe(ctx)
+		d.runProbes(ctx)
 	}()
 	return d
 }
 
-// Send sends r to b and returns the answer, whose body the caller must close.
-// Failures are *classifier.Error values. A request is handed to at most one
-// connection.
+// Send sends the request to the backend server and returns the response, whose
+// body the caller must close. Errors are *classifier.Error values. The request is
+// sent over one connection only.
 func (d *Dialer) Send(b describer.Backend, r *http.Request) (*http.Response, error) {
 	return d.pool(b).send(r)
 }
@@ -99,18 +101,18 @@
 	return p.size()
 }
 
-// Close closes idle connections and ends the prober. Busy connections close
-// with their requests.
+// Close stops probing and closes idle connections. Busy connections close at the
+// end of their requests.
 func (d *Dialer) Close() error {
 	d.stop()
 	<-d.Done
-	for _, p := range d.all() {
+	for _, p := range d.allPools() {
 		p.retire()
 	}
 	return nil
 }
 
-// Prune drops the pools of workers for which known is false.
+// Prune drops the pools of workers for which known returns false.
 func (d *Dialer) Prune(known func(worker string) bool) {
 	d.lock.Lock()
 	var gone []*Pool
@@ -126,6 +128,8 @@
 	}
 }
 
+// pool returns the pool for the backend server. When the worker's address has
+// changed, it replaces the pool.
 func (d *Dialer) pool(b describer.Backend) *Pool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -141,7 +145,7 @@
 	return p
 }
 
-func (d *Dialer) all() []*Pool {
+func (d *Dialer) allPools() []*Pool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	var out []*Pool
@@ -151,7 +155,7 @@
 	return out
 }
 
-func (d *Dialer) probe(ctx context.Context) {
+func (d *Dialer) runProbes(ctx context.Context) {
 	tick := time.NewTicker(d.Options.ProbeInterval)
 	defer tick.Stop()
 	for {
@@ -160,8 +164,8 @@
 			return
 		case <-tick.C:
 		}
-		for _, p := range d.all() {
-			p.trim()
+		for _, p := range d.allPools() {
+			p.closeExcess()
 			p.probe(ctx)
 		}
 	}
--- a/internal/traffic/dialer/dialer_test.go
+++ b/internal/traffic/dialer/dialer_test.go
@@ -34,22 +34,24 @@
 	return r
 }
 
+// start returns a dialer that is closed at the end of the spec.
 func start(o dialer.Options) *dialer.Dialer {
 	d := dialer.New(o)
 	DeferCleanup(d.Close)
 	return d
 }
 
-func read(answer *http.Response, err error) string {
+// read returns the body of the response.
+func read(response *http.Response, err error) string {
 	Expect(err).NotTo(HaveOccurred())
-	data, err := io.ReadAll(answer.Body)
+	data, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	answer.Body.Close()
+	response.Body.Close()
 	return string(data)
 }
 
 var _ = Describe("Dialer", func() {
-	It("keeps a connection for the next request", func() {
+	It("reuses a connection for the next request", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.RemoteAddr) }))
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
@@ -59,7 +61,7 @@
 		Expect(d.OpenConnections("w")).To(Equal(1))
 	})
 
-	It("sends a request that looks replayable once when a kept connection breaks", func() {
+	It("sends a request that the transport takes for replayable only once when a reused connection breaks", func() {
 		var runs atomic.Int64
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodPost {
@@ -78,7 +80,7 @@
 		Expect(runs.Load()).To(Equal(int64(1)))
 	})
 
-	It("says not run when no connection can be made", func() {
+	It("returns verdict NotRun when no connection can be opened", func() {
 		listener, _ := net.Listen("tcp", "127.0.0.1:0")
 		address := listener.Addr().String()
 		listener.Close()
@@ -88,7 +90,7 @@
 		Expect(d.OpenConnections("w")).To(BeZero())
 	})
 
-	It("opens no more connections than are lent", func() {
+	It("opens no more connections than allowed", func() {
 		arrived, proceed := make(chan struct{}), make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			close(arrived)
@@ -113,14 +115,14 @@
 		<-done
 	})
 
-	It("closes idle connections when fewer are lent", func() {
-		var lent atomic.Int64
-		lent.Store(3)
-		all := make(chan struct{}, 3)
+	It("closes idle connections when fewer are allowed", func() {
+		var allowed atomic.Int64
+		allowed.Store(3)
+		arrived := make(chan struct{}, 3)
 		proceed := make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodHead {
-				all <- struct{}{}
+				arrived <- struct{}{}
 				<-proceed
 			}
 		}))
@@ -128,7 +130,7 @@
 		address := server.Listener.Addr().String()
 		d := start(dialer.Options{
 			StallTimeout: 100 * time.Millisecond,
-			Connections:  func(describer.Backend) int { return int(lent.Load()) },
+			Connections:  func(describer.Backend) int { return int(allowed.Load()) },
 		})
 		done := make(chan struct{}, 3)
 		for range 3 {
@@ -137,18 +139,18 @@
 				read(d.Send(backend(address), request("GET", address, "")))
 				done <- struct{}{}
 			}()
-			<-all
+			<-arrived
 		}
 		close(proceed)
 		for range 3 {
 			<-done
 		}
 		Expect(d.OpenConnections("w")).To(Equal(3))
-		lent.Store(1)
+		allowed.Store(1)
 		Eventually(func() int { return d.OpenConnections("w") }).Should(Equal(1))
 	})
 
-	It("closes an idle connection that does not answer a probe", func() {
+	It("closes an idle connection when a probe gets no response", func() {
 		var silent atomic.Bool
 		held := make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -166,7 +168,7 @@
 		Eventually(func() int { return d.OpenConnections("w") }).Should(BeZero())
 	})
 
-	It("does not take the caller's own pause for silence", func() {
+	It("does not count a pause in the caller's request body as a stall", func() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.Copy(w, r.Body) }))
 		DeferCleanup(server.Close)
 		address := server.Listener.Addr().String()
--- a/internal/traffic/dialer/pool.go
+++ b/internal/traffic/dialer/pool.go
@@ -16,38 +16,39 @@
 	backend describer.Backend
 
 	lock    sync.Mutex
-	idle    []*carrier // most recently used last
-	open    int        // carriers, idle and busy
-	retired bool
+	idle    []*clientConn // idle connections, most recently used last
+	open    int           // number of connections, idle and busy
+	retired bool          // connections are closed instead of kept
 }
 
-// send hands the request to one carrier.
+// send sends the request over one connection.
 func (p *Pool) send(r *http.Request) (*http.Response, error) {
-	c, err := p.take()
+	c, err := p.get()
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.roundTrip(r)
+	response, err := c.roundTrip(r)
 	if err != nil {
 		p.drop(c)
 		return nil, err
 	}
-	answer.Body = &body{ReadCloser: answer.Body, carrier: c, pool: p, last: answer.Close}
-	if refusal := refused(answer); refusal != nil {
-		answer.Body.Close()
+	response.Body = &responseBody{ReadCloser: response.Body, conn: c, pool: p, closeAfter: response.Close}
+	if refusal := refusalError(response); refusal != nil {
+		response.Body.Close()
 		return nil, refusal
 	}
-	return answer, nil
+	return response, nil
 }
 
-// take returns the most recently used idle carrier or a new one.
-func (p *Pool) take() (*carrier, error) {
+// get returns the most recently used idle connection, or a new one. It fails with
+// verdict NotRun when all connections are in use.
+func (p *Pool) get() (*clientConn, error) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if c.usable() {
+		if c.isUsable() {
 			return c, nil
 		}
 		p.open--
@@ -62,24 +63,25 @@
 		}
 	}
 	p.open++
-	return newCarrier(p.options, p.backend.Address), nil
+	return newClientConn(p.options, p.backend.Address), nil
 }
 
-// put returns a carrier after a whole answer.
-func (p *Pool) put(c *carrier) {
+// put makes the connection available for another request, or closes it.
+func (p *Pool) put(c *clientConn) {
 	p.lock.Lock()
-	if p.retired || p.open > p.options.Connections(p.backend) || !c.usable() {
+	if p.retired || p.open > p.options.Connections(p.backend) || !c.isUsable() {
 		p.open--
 		p.lock.Unlock()
 		c.close()
 		return
 	}
-	c.used = time.Now()
+	c.idleSince = time.Now()
 	p.idle = append(p.idle, c)
 	p.lock.Unlock()
 }
 
-func (p *Pool) drop(c *carrier) {
+// drop closes a connection that can't be used again.
+func (p *Pool) drop(c *clientConn) {
 	c.close()
 	p.lock.Lock()
 	p.open--
@@ -92,6 +94,8 @@
 	return p.open
 }
 
+// retire closes all connections: idle ones now, busy ones at the end of their
+// request.
 func (p *Pool) retire() {
 	p.lock.Lock()
 	p.retired = true
@@ -103,10 +107,10 @@
 	}
 }
 
-// probe checks each carrier that was idle for a whole interval. A carrier is
-// out of the pool while its probe is under way, so no request waits on it.
+// probe checks every connection that has been idle for ProbeInterval. It is out of
+// the pool meanwhile, so no request waits for a probe.
 func (p *Pool) probe(ctx context.Context) {
-	for _, c := range p.stale() {
+	for _, c := range p.takeStale() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, p.options.StallTimeout)
 			defer cancel()
@@ -119,11 +123,12 @@
 	}
 }
 
-// trim closes the longest idle carriers while more are open than are lent.
-func (p *Pool) trim() {
+// closeExcess closes idle connections, least recently used first, while more are
+// open than allowed.
+func (p *Pool) closeExcess() {
 	p.lock.Lock()
 	excess := min(p.open-p.options.Connections(p.backend), len(p.idle))
-	var out []*carrier
+	var out []*clientConn
 	if excess > 0 {
 		out = append(out, p.idle[:excess]...)
 		p.idle = p.idle[excess:]
@@ -134,14 +139,15 @@
 	}
 }
 
-func (p *Pool) stale() []*carrier {
+// takeStale removes from the pool the connections that are due for a probe.
+func (p *Pool) takeStale() []*clientConn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	limit := time.Now().Add(-p.options.ProbeInterval)
 	fresh := p.idle[:0:0]
-	var out []*carrier
+	var out []*clientConn
 	for _, c := range p.idle {
-		if c.used.After(limit) {
+		if c.idleSince.After(limit) {
 			fresh = append(fresh, c)
 			continue
 		}
