--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -2,13 +2,14 @@
 //
 // # Budget
 //
-// A [Budget] lets retries be a share of first attempts, so that they cannot
-// multiply an overload:
+// A [Budget] limits retries to a share of first attempts, so that retries do not
+// multiply the load when backend servers are overloaded:
 //
-//	budget.First()
+//	budget.Deposit()
+//	r := retrier.New()
 //	...
-//	if r.May(err, idempotent) && budget.Take() {
-//		// wait for r.Next(deadline), then try again
+//	if retrier.IsRetryable(err, idempotent) && budget.TryWithdraw() && r.Wait(ctx) {
+//		// try again
 //	}
 package retrier
 
@@ -22,29 +23,29 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Budget bounds retries to a share of first attempts, with a small reserve
-// for quiet times.
+// Budget bounds retries to a share of first attempts. A reserve allows some
+// retries when there are few requests.
 type Budget struct {
-	Ratio   float64 // 0 to 1
+	Ratio   float64 // retries per first attempt, 0 to 1
 	Reserve float64 // most retries that can be saved up
 
 	lock   sync.Mutex
-	tokens float64
+	tokens float64 // retries available now
 }
 
 // NewBudget returns a budget with a full reserve.
-func NewBudget(share, reserve float64) *Budget {
-	return &Budget{Ratio: share, Reserve: reserve, tokens: reserve}
+func NewBudget(ratio, reserve float64) *Budget {
+	return &Budget{Ratio: ratio, Reserve: reserve, tokens: reserve}
 }
 
-// Deposit counts a first attempt.
+// Deposit adds the share of retries that one first attempt allows.
 func (b *Budget) Deposit() {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.tokens = min(b.tokens+b.Ratio, b.Reserve)
 }
 
-// TryWithdraw uses up one retry and reports whether there was one.
+// TryWithdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) TryWithdraw() bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -55,33 +56,34 @@
 	return true
 }
 
-// Backoff bounds, before jitter.
+// Bounds of the exponential backoff, before jitter.
 const (
-	firstDelay = 5 * time.Millisecond
-	lastDelay  = 250 * time.Millisecond
+	minDelay = 5 * time.Millisecond
+	maxDelay = 250 * time.Millisecond
 
-	maxAttempts = 3 // of one request, hedges aside
+	maxAttempts = 3 // of one request, not counting hedged ones
 )
 
-// Retrier follows one request through its attempts.
+// Retrier paces the attempts of one request.
 type Retrier struct {
-	Attempts int // made so far, first one included
+	Attempts int // started so far, the first one included
 
-	delay *backoff.ExponentialBackOff
+	backoff *backoff.ExponentialBackOff
 }
 
-// New returns a retrier for one request.
+// New returns a Retrier for a request whose first attempt is about to start.
 func New() *Retrier {
 	delay := &backoff.ExponentialBackOff{
-		InitialInterval:     firstDelay,
+		InitialInterval:     minDelay,
 		RandomizationFactor: 0.5,
 		Multiplier:          2,
-		MaxInterval:         lastDelay,
+		MaxInterval:         maxDelay,
 	}
-	return &Retrier{Attempts: 1, delay: delay}
+	return &Retrier{Attempts: 1, backoff: delay}
 }
 
-// IsRetryable reports whether the verdict of err allows another attempt.
+// IsRetryable reports whether the verdict of err allows another attempt: always if
+// the request has not run, and for an idempotent request also if it may have run.
 func IsRetryable(err error, idempotent bool) bool {
 	switch classifier.VerdictOf(err) {
 	case classifier.NotRun:
@@ -92,13 +94,14 @@
 	return false
 }
 
-// Wait sleeps before the next attempt. It returns false at once if there were
-// enough or the deadline of ctx leaves no time for it.
+// Wait waits before the next attempt and reports whether to make it. It returns
+// false at once if all attempts are used up or the deadline of ctx is too near, and
+// when ctx ends.
 func (r *Retrier) Wait(ctx context.Context) bool {
 	if r.Attempts >= maxAttempts {
 		return false
 	}
-	delay := r.delay.NextBackOff()
+	delay := r.backoff.NextBackOff()
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) <= delay {
 		return false
 	}
--- a/internal/traffic/retrier/retrier_test.go
+++ b/internal/traffic/retrier/retrier_test.go
@@ -13,8 +13,8 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/retrier"
 )
 
-// TestBudget draws orders of first attempts and retries: the retries never
-// exceed the share of first attempts and the reserve.
+// TestBudget checks for random sequences of first attempts and retries that the
+// retries never exceed the share of first attempts plus the reserve.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retrier.NewBudget(0.25, 4)
@@ -33,6 +33,7 @@
 	})
 }
 
+// TestMay checks every verdict for idempotent and other requests.
 func TestMay(t *testing.T) {
 	for verdict, want := range map[classifier.Verdict][2]bool{
 		classifier.NotRun:     {true, true},
@@ -49,6 +50,8 @@
 	}
 }
 
+// TestWait checks the number of attempts, and that no time is spent on a wait that
+// goes beyond the deadline.
 func TestWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := retrier.New()
@@ -59,13 +62,13 @@
 			waits++
 		}
 		if waits != 2 {
-			t.Errorf("%d further attempts, want 2", waits)
+			t.Errorf("%d retries, want 2", waits)
 		}
 		short, stop := context.WithTimeout(context.Background(), time.Millisecond)
 		defer stop()
 		start := time.Now()
 		if retrier.New().Wait(short) || time.Since(start) != 0 {
-			t.Error("a wait beyond the deadline must be given up at once")
+			t.Error("Wait must return at once if the delay goes beyond the deadline")
 		}
 	})
 }
