--- a/internal/traffic/classifier/classifier.go
+++ b/internal/traffic/classifier/classifier.go
@@ -1,15 +1,14 @@
-// Package classifier states for every failure whether the request may have
-// run.
+// Package classifier states for every failed request whether it may have run.
 //
 // # Verdicts
 //
 // A [Verdict] is NotRun, MayHaveRun or Ran. NotRun is a promise: nobody has
-// executed the request and nobody will. It holds after a failure before the
-// first byte was handed to a connection, or after an explicit refusal by the
-// receiver. Everything else that has no answer is MayHaveRun.
+// executed the request and nobody will. It holds if no byte of the request was
+// handed to a connection, or if the receiver explicitly refused it. Any other
+// failure without a response is MayHaveRun.
 //
-//	if classifier.Of(err) == classifier.NotRun {
-//		// safe to retry, also when the request is not idempotent
+//	if classifier.VerdictOf(err) == classifier.NotRun {
+//		// safe to retry, even if the request is not idempotent
 //	}
 package classifier
 
@@ -22,11 +21,11 @@
 // Verdict says whether a failed request may have been executed.
 type Verdict uint8
 
-// Verdicts. The zero value is the cautious one.
+// Verdicts. The zero value is the cautious one, which allows no assumption.
 const (
-	MayHaveRun Verdict = iota
-	NotRun
-	Ran
+	MayHaveRun Verdict = iota // unknown
+	NotRun                    // not executed, and never will be
+	Ran                       // executed
 )
 
 func (v Verdict) String() string {
@@ -41,7 +40,8 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// ParseVerdict reads the text form of a verdict; unknown text is MayHaveRun.
+// ParseVerdict returns the verdict with the given text form, MayHaveRun for any
+// other text.
 func ParseVerdict(s string) Verdict {
 	switch s {
 	case "not-run":
@@ -52,16 +52,16 @@
 	return MayHaveRun
 }
 
-// Error is a failure with its verdict.
+// Error is an error with a verdict. It can be sent to callers with WriteError.
 type Error struct {
 	Verdict    Verdict
-	Status     int           // HTTP status for the caller
-	Code       string        // one word for programs, such as "overloaded"
-	Message    string        // for people
-	Field      string        // the offending input field, if any
-	Details    []string      // one line each, such as what has changed since a plan was made
-	RetryAfter time.Duration // when to come back; 0 is unstated
-	Err        error         // cause, may be nil
+	Status     int           // HTTP status of the response; 0 takes 503
+	Code       string        // machine-readable, one word such as "overloaded"
+	Message    string        // human-readable
+	Field      string        // offending input field or header, if any
+	Details    []string      // further lines, such as changes since a plan was made
+	RetryAfter time.Duration // time after which to try again; 0 gives no advice
+	Err        error         // cause, not sent to callers; may be nil
 }
 
 func (e *Error) Error() string {
@@ -74,8 +74,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// VerdictOf returns the verdict of err: that of the outermost *Error in its chain,
-// otherwise MayHaveRun.
+// VerdictOf returns the verdict of the outermost *Error in err's chain, MayHaveRun
+// if there is none.
 func VerdictOf(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/traffic/classifier/answer.go
+++ b/internal/traffic/classifier/response.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// Header carries the verdict of every failure.
+// Header is the response header that carries the verdict.
 const Header = "Dotterel-Verdict"
 
-// answer is the body of a failure.
-type answer struct {
+// errorBody is the JSON body of an error response.
+type errorBody struct {
 	Code    string   `json:"code"`
 	Message string   `json:"message"`
 	Field   string   `json:"field,omitempty"`
 	Verdict string   `json:"verdict"`
-	Retry   string   `json:"retry,omitempty"` // when to come back, such as "1s"
+	Retry   string   `json:"retry,omitempty"` // time after which to try again, such as "1s"
 	Details []string `json:"details,omitempty"`
 }
 
-// WriteError writes err as an HTTP answer: status, verdict, Retry-After and a body
-// in JSON. An err that is no *Error is an internal one that may have run.
-// Nothing may have been written before.
+// WriteError writes err as an HTTP response: status, verdict header, Retry-After
+// and a JSON body. An err without an *Error in its chain becomes an internal error
+// that may have run. The response headers must not have been written before.
 func WriteError(w http.ResponseWriter, err error) {
 	e := asError(err)
-	out := answer{Code: e.Code, Message: e.Message, Field: e.Field, Verdict: e.Verdict.String(), Details: e.Details}
+	out := errorBody{Code: e.Code, Message: e.Message, Field: e.Field, Verdict: e.Verdict.String(), Details: e.Details}
 	h := w.Header()
 	if e.RetryAfter > 0 {
 		out.Retry = e.RetryAfter.Round(time.Millisecond).String()
 		seconds := (e.RetryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
-	data, _ := json.Marshal(out) // strings only, cannot fail
+	data, _ := json.Marshal(out) // cannot fail for strings
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(data)))
 	h.Set(Header, e.Verdict.String())
@@ -41,6 +41,7 @@
 	_, _ = w.Write(data)
 }
 
+// asError returns the *Error in err's chain, or an internal error with err's text.
 func asError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -49,6 +50,7 @@
 	return &Error{Code: "internal", Message: err.Error(), Status: http.StatusInternalServerError}
 }
 
+// statusOf returns the HTTP status of e; the default is 503 Service Unavailable.
 func statusOf(e *Error) int {
 	if e.Status == 0 {
 		return http.StatusServiceUnavailable
