--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -131,7 +131,7 @@
 			b.Run(s.name+"/"+v.name, func(b *testing.B) {
 				for b.Loop() {
 					report := compare(b, v, s.load, s.disturb, []loader.Kind{kind("minara", 1)})
-					reportMetrics(b, report.Rows[0])
+					reportMetrics(b, report.Kinds[0])
 					b.ReportMetric(report.Goodput(), "good/s")
 				}
 			})
@@ -147,8 +147,8 @@
 			for b.Loop() {
 				mix := []loader.Kind{kind("minara", 0.05), kind("council", 5)}
 				report := compare(b, v, 5.05, func([]*testServer) {}, mix)
-				reportMetrics(b, report.Rows[0])
-				b.ReportMetric(float64(report.Rows[1].Answered)/runTime.Seconds(), "council-good/s")
+				reportMetrics(b, report.Kinds[0])
+				b.ReportMetric(float64(report.Kinds[1].Answered)/runTime.Seconds(), "council-good/s")
 			}
 		})
 	}
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -1,12 +1,12 @@
-// Package loader sends requests to entry hosts at a fixed rate and reports what
-// became of them.
+// Package loader is a load generator: it sends requests to entry hosts at a fixed
+// mean rate and reports their outcomes and latencies.
 //
 // # Open loop
 //
-// Requests are sent at times that are drawn before the run, whether or not
-// earlier ones were answered, and each latency counts from the time at which
-// the request was due. A stall of the system or of the loader thus shows in
-// every request that was due meanwhile, and none is omitted.
+// The time at which each request is due is drawn in advance, and a request is sent
+// when it is due, whether or not earlier ones have been answered. Its latency
+// counts from that time. So a stall of the system or of the loader shows in the
+// latency of every request that was due during the stall.
 //
 //	settings, err := loader.Parse(data)
 //	report, err := loader.Run(ctx, loader.Options{Settings: settings})
@@ -30,20 +30,21 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/forwarder"
 )
 
-// Options are what Run needs.
+// Options are the inputs of Run.
 type Options struct {
 	Settings Settings
-	Client   *http.Client // nil takes one with enough kept connections
+	Client   *http.Client // nil takes one that keeps enough idle connections
 }
 
-// maxKept bounds idle connections to each target.
-const maxKept = 1024
+// maxIdleConns bounds the idle connections to each target.
+const maxIdleConns = 1024
 
-// Run sends the load and waits for all answers. It ends early, with the report
-// so far, when ctx is done.
+// Run sends the load and waits for all responses. When ctx ends, it stops sending
+// and returns the report so far. An error means that the settings are invalid; it
+// is of type parser.FaultErrors.
 func Run(ctx context.Context, o Options) (Report, error) {
 	var faults parser.FaultErrors
-	o.Settings.check(func(path, format string, args ...any) {
+	o.Settings.validate(func(path, format string, args ...any) {
 		faults = append(faults, parser.Fault{Path: path, Message: fmt.Sprintf(format, args...)})
 	})
 	if len(faults) > 0 {
@@ -54,18 +55,18 @@
 		client = newClient()
 		defer client.CloseIdleConnections()
 	}
-	r := &run{options: o, client: client, rows: newRows(o.Settings.Mix)}
+	r := &loadRun{options: o, client: client, kinds: newKindReports(o.Settings.Mix)}
 	start := time.Now()
-	r.send(ctx, start)
-	r.wait.Wait()
+	r.sendAll(ctx, start)
+	r.requests.Wait()
 	return r.report(time.Since(start)), nil
 }
 
 func newClient() *http.Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConns:        maxKept,
-		MaxIdleConnsPerHost: maxKept,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DisableCompression:  true,
 	}
 	return &http.Client{
@@ -74,79 +75,81 @@
 	}
 }
 
-// run is one run's state.
-type run struct {
-	options Options
-	client  *http.Client
-	rows    []*KindReport
-	wait    sync.WaitGroup
+// loadRun is the state of one call of Run.
+type loadRun struct {
+	options  Options
+	client   *http.Client
+	kinds    []*KindReport
+	requests sync.WaitGroup
 
-	lock   sync.Mutex
-	flight int
+	lock     sync.Mutex
+	inFlight int
 }
 
-// send draws the due times of a Poisson process and starts each request at its
-// time.
-func (r *run) send(ctx context.Context, start time.Time) {
+// sendAll draws the due times of a Poisson process and starts each request when it
+// is due.
+func (r *loadRun) sendAll(ctx context.Context, start time.Time) {
 	s := &r.options.Settings
 	random := rand.New(rand.NewPCG(uint64(s.Seed), 1))
 	due := start
 	end := start.Add(time.Duration(s.Duration))
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(random.ExpFloat64() / s.Rate * float64(time.Second)))
-		kind := pick(s.Mix, random.Float64())
+		kind := pickKind(s.Mix, random.Float64())
 		if due.After(end) || !sleep(ctx, time.Until(due)) {
 			return
 		}
-		if !r.enter() {
-			r.rows[kind].count(unsent, 0)
+		if !r.begin() {
+			r.kinds[kind].count(unsent, 0)
 			continue
 		}
 		target := s.Targets[n%len(s.Targets)]
 		at := due
-		r.wait.Go(func() {
-			defer r.leave()
-			r.request(kind, target, at)
+		r.requests.Go(func() {
+			defer r.end()
+			r.sendAndCount(kind, target, at)
 		})
 	}
 }
 
-func (r *run) enter() bool {
+// begin counts a request as in flight. It returns false if there are too many.
+func (r *loadRun) begin() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.flight >= r.options.Settings.MaxInFlight {
+	if r.inFlight >= r.options.Settings.MaxInFlight {
 		return false
 	}
-	r.flight++
+	r.inFlight++
 	return true
 }
 
-func (r *run) leave() {
+func (r *loadRun) end() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.flight--
+	r.inFlight--
 }
 
-// request sends one request and counts its end. The answer is read whole.
-func (r *run) request(kind int, target string, due time.Time) {
+// sendAndCount sends one request, reads the whole response and counts the outcome.
+func (r *loadRun) sendAndCount(kind int, target string, due time.Time) {
 	k := &r.options.Settings.Mix[kind]
-	ctx, cancel := context.WithDeadline(context.Background(), due.Add(time.Duration(k.Deadline)+patience))
+	ctx, cancel := context.WithDeadline(context.Background(), due.Add(time.Duration(k.Deadline)+lateGrace))
 	defer cancel()
-	end, err := r.exchange(ctx, k, target)
+	result, err := r.send(ctx, k, target)
 	took := time.Since(due)
 	if err != nil {
-		end = lost
+		result = lost
 	}
-	if end == answered && took > time.Duration(k.Deadline) {
-		end = late
+	if result == answered && took > time.Duration(k.Deadline) {
+		result = late
 	}
-	r.rows[kind].count(end, took)
+	r.kinds[kind].count(result, took)
 }
 
-// patience is how long after its deadline an answer is still awaited.
-const patience = 2 * time.Second
+// lateGrace is how long after its deadline a response is still awaited.
+const lateGrace = 2 * time.Second
 
-func (r *run) exchange(ctx context.Context, k *Kind, target string) (outcome, error) {
+// send sends one request and reads the whole response.
+func (r *loadRun) send(ctx context.Context, k *Kind, target string) (outcome, error) {
 	url := strings.TrimSuffix(target, "/") + forwarder.PathPrefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
 	request, err := http.NewRequestWithContext(ctx, k.Method, url, bytes.NewReader(make([]byte, k.Body)))
 	if err != nil {
@@ -155,25 +158,26 @@
 	request.Header.Set(forwarder.TenantHeader, k.Tenant)
 	request.Header.Set(forwarder.ClassHeader, k.Class)
 	request.Header.Set(forwarder.DeadlineHeader, time.Duration(k.Deadline).String())
-	answer, err := r.client.Do(request)
+	response, err := r.client.Do(request)
 	if err != nil {
 		return lost, err
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return lost, err
 	}
 	switch {
-	case answer.StatusCode < http.StatusBadRequest:
+	case response.StatusCode < http.StatusBadRequest:
 		return answered, nil
-	case answer.Header.Get(forwarder.VerdictHeader) == classifier.NotRun.String():
+	case response.Header.Get(forwarder.VerdictHeader) == classifier.NotRun.String():
 		return refused, nil
 	}
 	return failed, nil
 }
 
-// pick maps x, 0 to 1, to a kind by the kinds' shares.
-func pick(mix []Kind, x float64) int {
+// pickKind returns the index of a kind for x, a random number from 0 to 1, in
+// proportion to the shares.
+func pickKind(mix []Kind, x float64) int {
 	sum := 0.0
 	for i := range mix {
 		sum += mix[i].Share
@@ -188,6 +192,7 @@
 	return len(mix) - 1
 }
 
+// sleep waits for d and returns true, or false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/traffic/loader/loader_test.go
+++ b/internal/traffic/loader/loader_test.go
@@ -14,6 +14,7 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/loader"
 )
 
+// settings returns the settings of testdata/desk.json.
 func settings(t *testing.T) loader.Settings {
 	t.Helper()
 	data, err := os.ReadFile("testdata/desk.json")
@@ -27,7 +28,8 @@
 	return s
 }
 
-// TestRun counts every kind of end, and sees a stall in all that was due.
+// TestRun checks that every request is counted under one outcome, and that a stall
+// shows in the latency of all requests that were due meanwhile.
 func TestRun(t *testing.T) {
 	var n atomic.Int64
 	stalled := make(chan struct{})
@@ -54,23 +56,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var sum, waited int64
-	for _, r := range report.Rows {
+	var sum, delayed int64
+	for _, r := range report.Kinds {
 		sum += r.Answered + r.Late + r.Refused + r.Failed + r.Lost + r.Unsent
 		for _, bar := range r.Latency.Distribution() {
 			if bar.From >= 50_000 {
-				waited += bar.Count
+				delayed += bar.Count
 			}
 		}
 	}
 	if sum != n.Load() {
 		t.Errorf("%d counted, %d sent", sum, n.Load())
 	}
-	if waited < 20 {
-		t.Errorf("a stall of 200 ms at 400/s shows in only %d requests", waited)
+	if delayed < 20 {
+		t.Errorf("a stall of 200 ms at 400/s shows in only %d requests", delayed)
 	}
-	if report.Rows[0].Refused == 0 || report.Rows[0].Lost == 0 {
-		t.Errorf("refused %d lost %d", report.Rows[0].Refused, report.Rows[0].Lost)
+	if report.Kinds[0].Refused == 0 || report.Kinds[0].Lost == 0 {
+		t.Errorf("refused %d lost %d", report.Kinds[0].Refused, report.Kinds[0].Lost)
 	}
 	if !strings.Contains(report.Table(), "minara") {
 		t.Error(report.Table())
@@ -81,6 +83,8 @@
 	}
 }
 
+// TestSettingsNameTheField checks that the error for invalid settings names the
+// field.
 func TestSettingsNameTheField(t *testing.T) {
 	for text, field := range map[string]string{
 		`{}`:                "targets",
--- a/internal/traffic/loader/report.go
+++ b/internal/traffic/loader/report.go
@@ -14,59 +14,60 @@
 type outcome int
 
 const (
-	answered outcome = iota // whole answer within the deadline
-	late                    // whole answer after it
-	refused                 // verdict not run
-	failed                  // any other failure answer
-	lost                    // no answer or a part of one
-	unsent                  // too many in flight
+	answered outcome = iota // whole response within the deadline
+	late                    // whole response after the deadline
+	refused                 // error response with verdict NotRun
+	failed                  // any other error response
+	lost                    // no response, or a truncated one
+	unsent                  // not sent, because too many requests were in flight
 )
 
 // Report is the result of a run.
 type Report struct {
 	Settings Settings
-	Took     time.Duration
-	Rows     []*KindReport // one for each kind, in their order
+	Took     time.Duration // until the last response
+	Kinds    []*KindReport // in the order of Settings.Mix
 }
 
-// KindReport counts what became of one kind of request.
+// KindReport counts the outcomes of one kind of request.
 type KindReport struct {
-	Kind     Kind
-	Answered int64                   // whole answers within the deadline
-	Late     int64                   // whole answers after it
-	Refused  int64                   // with verdict not run
-	Failed   int64                   // other failure answers
-	Lost     int64                   // no whole answer
-	Unsent   int64                   // not sent by the loader: too many in flight
-	Latency  *hdrhistogram.Histogram // of whole answers, microseconds since due
-	Refusal  *hdrhistogram.Histogram // of refusals, microseconds since due
+	Kind           Kind
+	Answered       int64                   // whole responses within the deadline
+	Late           int64                   // whole responses after the deadline
+	Refused        int64                   // error responses with verdict NotRun
+	Failed         int64                   // other error responses
+	Lost           int64                   // no response, or a truncated one
+	Unsent         int64                   // not sent, because too many requests were in flight
+	Latency        *hdrhistogram.Histogram // of whole responses, in microseconds since the due time
+	RefusalLatency *hdrhistogram.Histogram // of refusals, in microseconds since the due time
 
 	lock sync.Mutex
 }
 
-// Range and precision of the histograms.
+// Range and precision of the latency histograms.
 const (
-	leastMicros = 1
-	mostMicros  = int64(2 * time.Hour / time.Microsecond)
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = int64(2 * time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-func newRows(mix []Kind) []*KindReport {
+func newKindReports(mix []Kind) []*KindReport {
 	out := make([]*KindReport, len(mix))
 	for i := range mix {
 		out[i] = &KindReport{
-			Kind:    mix[i],
-			Latency: hdrhistogram.New(leastMicros, mostMicros, digits),
-			Refusal: hdrhistogram.New(leastMicros, mostMicros, digits),
+			Kind:           mix[i],
+			Latency:        hdrhistogram.New(minMicros, maxMicros, significantDigits),
+			RefusalLatency: hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		}
 	}
 	return out
 }
 
+// count records one request; took is the time since it was due.
 func (r *KindReport) count(o outcome, took time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	micros := max(took.Microseconds(), leastMicros)
+	micros := max(took.Microseconds(), minMicros)
 	switch o {
 	case answered:
 		r.Answered++
@@ -76,7 +77,7 @@
 		_ = r.Latency.RecordValue(micros)
 	case refused:
 		r.Refused++
-		_ = r.Refusal.RecordValue(micros)
+		_ = r.RefusalLatency.RecordValue(micros)
 	case failed:
 		r.Failed++
 	case lost:
@@ -86,40 +87,40 @@
 	}
 }
 
-// Quantile returns the latency below which the share q of whole answers is.
+// Quantile returns the q-quantile of the latency of whole responses, such as the
+// median for q = 0.5.
 func (r *KindReport) Quantile(q float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(q*100)) * time.Microsecond
 }
 
-func (r *run) report(took time.Duration) Report {
-	return Report{Settings: r.options.Settings, Took: took, Rows: r.rows}
+func (r *loadRun) report(took time.Duration) Report {
+	return Report{Settings: r.options.Settings, Took: took, Kinds: r.kinds}
 }
 
-// Goodput returns the answers within their deadlines for each second of the
-// load.
+// Goodput returns the rate of responses within their deadlines, per second.
 func (r *Report) Goodput() float64 {
 	var sum int64
-	for _, row := range r.Rows {
-		sum += row.Answered
+	for _, report := range r.Kinds {
+		sum += report.Answered
 	}
 	return float64(sum) / time.Duration(r.Settings.Duration).Seconds()
 }
 
-// Table returns the report as text for people.
+// Table returns the report as a text table.
 func (r *Report) Table() string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "tenant\tclass\tservice\tanswered\tlate\trefused\tfailed\tlost\tunsent\tp50\tp99\tp99.9\tmax\t")
-	for _, row := range r.Rows {
-		k := &row.Kind
+	for _, report := range r.Kinds {
+		k := &report.Kind
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t", k.Tenant, k.Class, k.Service,
-			row.Answered, row.Late, row.Refused, row.Failed, row.Lost, row.Unsent)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t\n", short(row.Quantile(0.5)), short(row.Quantile(0.99)),
-			short(row.Quantile(0.999)), short(time.Duration(row.Latency.Max())*time.Microsecond))
+			report.Answered, report.Late, report.Refused, report.Failed, report.Lost, report.Unsent)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t\n", formatLatency(report.Quantile(0.5)), formatLatency(report.Quantile(0.99)),
+			formatLatency(report.Quantile(0.999)), formatLatency(time.Duration(report.Latency.Max())*time.Microsecond))
 	}
 	_ = w.Flush()
 	fmt.Fprintf(&b, "goodput %.1f/s of %.1f/s offered, seed %d\n", r.Goodput(), r.Settings.Rate, r.Settings.Seed)
 	return b.String()
 }
 
-func short(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+func formatLatency(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -8,49 +8,50 @@
 	"dotterelcart.dev/dotterelcart/internal/operator/parser"
 )
 
-// Settings describe a load, from a file in JSON with comments.
+// Settings describe a load. They are read from a JSON file, which may contain
+// comments.
 type Settings struct {
-	Targets     []string        `json:"targets"`  // base URLs of entry hosts, used in turn
-	Rate        float64         `json:"rate"`     // requests a second, all kinds together
-	Duration    parser.Duration `json:"duration"` // such as "30s"
-	Seed        int64           `json:"seed"`     // of due times and kinds
-	MaxInFlight int             `json:"flight"`   // most requests in flight; more are counted as unsent
+	Targets     []string        `json:"targets"`  // base URLs of entry hosts, which get requests in turn
+	Rate        float64         `json:"rate"`     // requests per second of all kinds together
+	Duration    parser.Duration `json:"duration"` // of the load, such as "30s"
+	Seed        int64           `json:"seed"`     // of the random due times and kinds
+	MaxInFlight int             `json:"flight"`   // most requests in flight; any that is due beyond it is counted as unsent
 	Mix         []Kind          `json:"mix"`
 }
 
-// Kind is one kind of request.
+// Kind is one kind of request in the mix.
 type Kind struct {
 	Tenant   string          `json:"tenant"`
 	Class    string          `json:"class"`
 	Service  string          `json:"service"`
 	Method   string          `json:"method"`
 	Path     string          `json:"path"`
-	Body     int             `json:"body"` // bytes
+	Body     int             `json:"body"` // size in bytes
 	Deadline parser.Duration `json:"deadline"`
-	Share    float64         `json:"share"` // of the rate, relative to the other kinds
+	Share    float64         `json:"share"` // of the rate, relative to the shares of the other kinds
 }
 
 const (
-	defaultFlight   = 4096
-	defaultDeadline = 2 * time.Second
+	defaultMaxInFlight = 4096
+	defaultDeadline    = 2 * time.Second
 )
 
 // Parse reads settings and fills in defaults. The error is of type
-// parser.FaultErrors and lists everything that is wrong, with its place.
+// parser.FaultErrors, which lists every invalid field with its place in the file.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	d := parser.Decode(data, &s)
-	s.check(d.Fault)
+	s.validate(d.Fault)
 	if len(d.Faults) > 0 {
 		return s, d.Faults
 	}
 	return s, nil
 }
 
-// check fills in defaults and reports each field that is wrong.
-func (s *Settings) check(fault func(path, format string, args ...any)) {
+// validate fills in defaults and reports each invalid field to fault.
+func (s *Settings) validate(fault func(path, format string, args ...any)) {
 	if s.MaxInFlight <= 0 {
-		s.MaxInFlight = defaultFlight
+		s.MaxInFlight = defaultMaxInFlight
 	}
 	if len(s.Targets) == 0 {
 		fault("targets", "at least one is needed")
@@ -65,11 +66,11 @@
 		fault("mix", "at least one kind is needed")
 	}
 	for i := range s.Mix {
-		s.Mix[i].check(fmt.Sprintf("mix[%d].", i), fault)
+		s.Mix[i].validate(fmt.Sprintf("mix[%d].", i), fault)
 	}
 }
 
-func (k *Kind) check(path string, fault func(path, format string, args ...any)) {
+func (k *Kind) validate(path string, fault func(path, format string, args ...any)) {
 	if k.Class == "" {
 		k.Class = "default"
 	}
