--- a/internal/traffic/classifier/classifier.go
+++ b/internal/traffic/classifier/classifier.go
@@ -55,7 +55,7 @@
 // Error is an error with a verdict. It can be sent to callers with WriteError.
 type Error struct {
 	Verdict    Verdict
-	Status     int           // HTTP status of the response; 0 takes 503
+	Status     int           // HTTP status of the response; 0 means 503
 	Code       string        // machine-readable, one word such as "overloaded"
 	Message    string        // human-readable
 	Field      string        // offending input field or header, if any
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -49,9 +49,9 @@
 	StallTimeout   time.Duration // longest time without progress during a request
 	ConnectTimeout time.Duration // longest time to open a connection
 	MaxAge         time.Duration // older connections get no further request
-	ProbeInterval  time.Duration // idle connections are probed this often; 0 takes half of StallTimeout
+	ProbeInterval  time.Duration // idle connections are probed this often; 0 means half of StallTimeout
 	// Connections returns how many connections to the backend server may be
-	// open; nil takes all that the backend server accepts.
+	// open; nil means all that the backend server accepts.
 	Connections func(b describer.Backend) int
 	// Dial opens a connection; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/traffic/forwarder/body.go
+++ b/internal/traffic/forwarder/body.go
@@ -24,7 +24,7 @@
 // sent once more.
 type requestBody struct {
 	length   int64         // in bytes, -1 if unknown
-	buffered []byte        // whole body, if it is small
+	buffered []byte        // complete body, if it is small
 	source   io.ReadCloser // body to stream, nil if buffered
 	limit    int64         // largest streamed body, in bytes
 
@@ -33,7 +33,7 @@
 	reader     *attemptReader
 }
 
-// newRequestBody reads a small body whole, which must arrive by the deadline.
+// newRequestBody reads a small body completely. It must arrive by the deadline.
 func newRequestBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) (*requestBody, error) {
 	b := &requestBody{length: r.ContentLength, limit: limit}
 	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
@@ -68,7 +68,7 @@
 }
 
 // detach ends the latest attempt's access to the source and reports whether the
-// body can still be sent whole.
+// body can still be sent from the start.
 func (b *requestBody) detach() bool {
 	if b.source == nil {
 		return true
--- a/internal/traffic/forwarder/claims.go
+++ b/internal/traffic/forwarder/claims.go
@@ -122,7 +122,7 @@
 	e.response = r
 }
 
-// savedResponse is a whole response, kept for a caller that repeats its request.
+// savedResponse is a complete response, kept for a caller that repeats its request.
 type savedResponse struct {
 	status   int
 	header   http.Header
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -36,27 +36,27 @@
 // time and queues the others.
 type testServer struct {
 	*httptest.Server
-	slots  chan struct{}
-	slow   float64     // factor on the work
-	thrash bool        // requests take longer when more than half of the slots are in use
-	silent atomic.Bool // the connection of the next request stalls
-	dead   sync.Map    // stalled connections by remote address
+	slots     chan struct{}
+	slow      float64     // factor on the work
+	thrash    bool        // requests take longer when more than half of the slots are in use
+	stallNext atomic.Bool // the connection of the next request stalls
+	stalled   sync.Map    // stalled connections by remote address
 
 	lock   sync.Mutex
 	random *rand.Rand
 }
 
 func newTestServer(seed uint64) *testServer {
-	m := &testServer{slots: make(chan struct{}, slots), slow: 1, random: rand.New(rand.NewPCG(seed, 3))}
-	m.Server = httptest.NewServer(m)
-	return m
+	s := &testServer{slots: make(chan struct{}, slots), slow: 1, random: rand.New(rand.NewPCG(seed, 3))}
+	s.Server = httptest.NewServer(s)
+	return s
 }
 
-func (m *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if m.silent.CompareAndSwap(true, false) {
-		m.dead.Store(r.RemoteAddr, true)
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if s.stallNext.CompareAndSwap(true, false) {
+		s.stalled.Store(r.RemoteAddr, true)
 	}
-	if _, ok := m.dead.Load(r.RemoteAddr); ok {
+	if _, ok := s.stalled.Load(r.RemoteAddr); ok {
 		<-r.Context().Done()
 		return
 	}
@@ -64,18 +64,18 @@
 		return
 	}
 	select {
-	case m.slots <- struct{}{}:
+	case s.slots <- struct{}{}:
 	case <-r.Context().Done():
 		return
 	}
-	defer func() { <-m.slots }()
-	m.lock.Lock()
-	factor := m.slow
-	if busy := 2 * float64(len(m.slots)) / slots; m.thrash && busy > 1 {
+	defer func() { <-s.slots }()
+	s.lock.Lock()
+	factor := s.slow
+	if busy := 2 * float64(len(s.slots)) / slots; s.thrash && busy > 1 {
 		factor *= busy * busy
 	}
-	work := time.Duration(m.random.ExpFloat64() * factor * float64(meanWork))
-	m.lock.Unlock()
+	work := time.Duration(s.random.ExpFloat64() * factor * float64(meanWork))
+	s.lock.Unlock()
 	select {
 	case <-time.After(work):
 	case <-r.Context().Done():
@@ -86,9 +86,9 @@
 // thrash makes each server reach its full rate with half of its slots in use,
 // and slow down beyond that.
 func thrash(all []*testServer) {
-	for _, m := range all {
-		m.slow = 0.5
-		m.thrash = true
+	for _, s := range all {
+		s.slow = 0.5
+		s.thrash = true
 	}
 }
 
@@ -116,7 +116,7 @@
 }{
 	{"steady", 0.6, func([]*testServer) {}},
 	{"noisy", 0.6, func(all []*testServer) { all[0].slow = 4 }},
-	{"silent", 0.6, func(all []*testServer) { all[0].silent.Store(true) }},
+	{"silent", 0.6, func(all []*testServer) { all[0].stallNext.Store(true) }},
 	{"thrash", 1.5, thrash},
 	{"overload1.5", 1.5, func([]*testServer) {}},
 	{"overload3", 3, func([]*testServer) {}},
@@ -162,16 +162,16 @@
 	var all []*testServer
 	table := &describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{}}
 	for i := range fleetSize {
-		m := newTestServer(uint64(i))
-		defer m.Close()
-		defer m.CloseClientConnections()
-		all = append(all, m)
+		s := newTestServer(uint64(i))
+		defer s.Close()
+		defer s.CloseClientConnections()
+		all = append(all, s)
 		lent := slots
 		if v.noLimits {
 			lent = 10000
 		}
 		table.Services["desk"] = append(table.Services["desk"], describer.Backend{
-			Worker: fmt.Sprint(i), Address: m.Listener.Addr().String(), Domain: "d", Region: "r", Slots: lent, Connections: 8 * lent,
+			Worker: fmt.Sprint(i), Address: s.Listener.Addr().String(), Domain: "d", Region: "r", Slots: lent, Connections: 8 * lent,
 		})
 	}
 	disturb(all)
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -9,7 +9,7 @@
 //
 //	Dotterel-Tenant: minara        name of the tenant, a configured team; required
 //	Dotterel-Class: hold           selects the queue and the metrics; "default" if absent
-//	Dotterel-Deadline: 1500ms      time limit for the whole response
+//	Dotterel-Deadline: 1500ms      time limit for the complete response
 //	Dotterel-Idempotent: true      the POST or PATCH may be sent more than once
 //	Idempotency-Key: 7f3a          the POST or PATCH is sent at most once for this key
 //
@@ -17,7 +17,7 @@
 //
 // The response of the backend server is streamed to the caller. If it is
 // truncated, the caller's connection is aborted, so that the caller can't take it
-// for the whole. A failure before that is reported in JSON, with a verdict that
+// for complete. A failure before that is reported in JSON, with a verdict that
 // says whether the request may have run (see package classifier):
 //
 //	{"code":"late","message":"...","field":"","verdict":"not-run","retry":"350ms"}
@@ -58,13 +58,13 @@
 	Domain     string // failure domain of the entry host
 	Region     string // region of the entry host
 	Traffic    parser.Traffic
-	Slots      router.SlotSource // nil takes a third of each worker's slots, for tests
-	Policy     router.Policy     // nil takes router.LeastLoaded
+	Slots      router.SlotSource // nil means a third of each worker's slots, for tests
+	Policy     router.Policy     // nil means router.LeastLoaded
 	Health     router.Health
-	HedgeRatio float64 // second attempts per first attempt; 0 takes 0.05, negative disables hedging
+	HedgeRatio float64 // second attempts per first attempt; 0 means 0.05, negative disables hedging
 	Seed       uint64
 	// Connections returns how many connections to the backend server may be
-	// open; nil takes those that belong to this entry host's share of slots.
+	// open; nil means those that belong to this entry host's share of slots.
 	Connections func(b describer.Backend) int
 }
 
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// takeHedgeSlot takes a slot of another backend server in the own region, or
+// takeHedgeSlot takes a slot of another backend server in this entry host's region, or
 // returns nil if none is free or the hedge budget is used up.
 func (f *Forwarder) takeHedgeSlot(c *call, avoid map[string]bool) *router.Slot {
 	if !f.hedges.TryWithdraw() {
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// takeSlot takes a free slot in the own region, or in others if the request would
+// takeSlot takes a free slot in this entry host's region, or in others if the request would
 // miss its deadline otherwise or no backend server here is open. When all open
 // backend servers have been tried, it starts over with all of them.
 func (f *Forwarder) takeSlot(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
--- a/internal/traffic/lender/lender_test.go
+++ b/internal/traffic/lender/lender_test.go
@@ -37,27 +37,27 @@
 
 var worker = describer.Backend{Worker: "w1", Shard: "s", Domain: "d", Region: "r", Slots: 8, Connections: 64}
 
-func (w *cluster) table(name string) func() *describer.RoutingTable {
+func (c *cluster) table(name string) func() *describer.RoutingTable {
 	return func() *describer.RoutingTable {
-		w.lock.Lock()
-		defer w.lock.Unlock()
+		c.lock.Lock()
+		defer c.lock.Unlock()
 		t := &describer.RoutingTable{
 			Services: map[string][]describer.Backend{"desk": {worker}},
-			Owners:   map[string]string{"s": w.owner},
+			Owners:   map[string]string{"s": c.owner},
 			Owned:    map[string]int64{},
 		}
-		if w.owner == name || w.stale {
-			t.Owned["s"] = w.epoch
+		if c.owner == name || c.stale {
+			t.Owned["s"] = c.epoch
 		}
 		return t
 	}
 }
 
-func (w *cluster) Call(ctx context.Context, address, _ string, params, result any) error {
-	w.lock.Lock()
-	requestDelay, replyDelay := w.delay(), w.delay()
-	lost, isolated, target := w.random.IntN(10) == 0, w.isolated, w.lenders[address]
-	w.lock.Unlock()
+func (c *cluster) Call(ctx context.Context, address, _ string, params, result any) error {
+	c.lock.Lock()
+	requestDelay, replyDelay := c.delay(), c.delay()
+	lost, isolated, target := c.random.IntN(10) == 0, c.isolated, c.lenders[address]
+	c.lock.Unlock()
 	if isolated || target == nil {
 		return errNoReply
 	}
@@ -84,63 +84,63 @@
 	}
 }
 
-func (w *cluster) delay() time.Duration {
-	if w.random.IntN(20) == 0 {
-		return time.Duration(w.random.IntN(5000)) * time.Millisecond
+func (c *cluster) delay() time.Duration {
+	if c.random.IntN(20) == 0 {
+		return time.Duration(c.random.IntN(5000)) * time.Millisecond
 	}
-	return time.Duration(w.random.IntN(5)) * time.Millisecond
+	return time.Duration(c.random.IntN(5)) * time.Millisecond
 }
 
-func (w *cluster) add(name string, share *ShareLease) *Lender {
+func (c *cluster) add(name string, share *ShareLease) *Lender {
 	isOwner := func() bool {
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		return w.owner == name
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		return c.owner == name
 	}
-	l := New(Options{Name: name, Domain: "d"}, w.table(name), w, isOwner, share, zerolog.Nop())
-	w.lock.Lock()
-	w.lenders[name] = l
-	w.lock.Unlock()
+	l := New(Options{Name: name, Domain: "d"}, c.table(name), c, isOwner, share, zerolog.Nop())
+	c.lock.Lock()
+	c.lenders[name] = l
+	c.lock.Unlock()
 	return l
 }
 
 // own makes the host the owner of the shard, in a new epoch.
-func (w *cluster) own(name string) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.owner = name
-	w.epoch++
+func (c *cluster) own(name string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.owner = name
+	c.epoch++
 }
 
 // request takes a slot for the given time, at most until the deadline. It
 // returns false if there is no slot.
-func (w *cluster) request(l *Lender, deadline, duration time.Duration) bool {
+func (c *cluster) request(l *Lender, deadline, duration time.Duration) bool {
 	release, ok := l.Acquire(worker, time.Now().Add(deadline))
 	if !ok {
 		return false
 	}
-	w.addInFlight(1)
+	c.addInFlight(1)
 	go func() {
 		time.Sleep(min(duration, deadline))
-		w.addInFlight(-1)
+		c.addInFlight(-1)
 		release()
 	}()
 	return true
 }
 
-func (w *cluster) addInFlight(n int) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.inFlight += n
-	w.peak = max(w.peak, w.inFlight)
-	if w.inFlight > w.limit {
-		w.t.Errorf("%d requests in flight on %d slots", w.inFlight, w.limit)
+func (c *cluster) addInFlight(n int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.inFlight += n
+	c.peak = max(c.peak, c.inFlight)
+	if c.inFlight > c.limit {
+		c.t.Errorf("%d requests in flight on %d slots", c.inFlight, c.limit)
 	}
 }
 
 // close ends all lenders and lets requests and late replies end.
-func (w *cluster) close() {
-	for _, l := range w.lenders {
+func (c *cluster) close() {
+	for _, l := range c.lenders {
 		l.Close()
 	}
 	time.Sleep(time.Minute)
@@ -157,12 +157,12 @@
 }
 
 func runRandomLoad(t *testing.T, seed uint64) {
-	w := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
+	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
 	random := rand.New(rand.NewPCG(seed, 2))
-	w.own("a")
+	c.own("a")
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
-		w.add(name, nil)
+		c.add(name, nil)
 	}
 	for i := range 3000 {
 		name := names[random.IntN(len(names))]
@@ -171,19 +171,19 @@
 		}
 		switch n := random.IntN(1200); {
 		case n < 2:
-			w.own(name)
+			c.own(name)
 		case n < 8:
-			w.lenders[name].Close()
-			w.add(name, nil)
+			c.lenders[name].Close()
+			c.add(name, nil)
 		}
 		deadline := time.Duration(1+random.IntN(30000)) * time.Millisecond
-		w.request(w.lenders[name], deadline, time.Duration(random.IntN(15000))*time.Millisecond)
+		c.request(c.lenders[name], deadline, time.Duration(random.IntN(15000))*time.Millisecond)
 		time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 	}
-	w.close()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.peak == 0 {
+	c.close()
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.peak == 0 {
 		t.Error("no slot was ever leased")
 	}
 }
@@ -192,20 +192,20 @@
 // the shard's owner and the store are unavailable, and that they are bounded.
 func TestBaseShareServesWithoutOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{t: t, random: rand.New(rand.NewPCG(1, 1)), lenders: map[string]*Lender{}, isolated: true, limit: 2}
+		c := &cluster{t: t, random: rand.New(rand.NewPCG(1, 1)), lenders: map[string]*Lender{}, isolated: true, limit: 2}
 		store := newStore()
 		shares := []*ShareLease{newTestShare(store, "a"), newTestShare(store, "b")}
 		time.Sleep(5 * time.Second)
 		store.setDown()
-		a, b := w.add("a", shares[0]), w.add("b", shares[1])
+		a, b := c.add("a", shares[0]), c.add("b", shares[1])
 		time.Sleep(time.Hour)
-		if !w.request(a, time.Second, time.Second) || !w.request(b, time.Minute, time.Second) {
+		if !c.request(a, time.Second, time.Second) || !c.request(b, time.Minute, time.Second) {
 			t.Error("the base share must serve while owner and store are unavailable")
 		}
-		if w.request(a, time.Second, time.Second) {
+		if c.request(a, time.Second, time.Second) {
 			t.Error("the base share must be bounded")
 		}
-		w.close()
+		c.close()
 		for _, s := range shares {
 			s.Close()
 		}
@@ -216,12 +216,12 @@
 // hosts get half of them each.
 func TestGrowth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{t: t, random: rand.New(rand.NewPCG(9, 9)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
-		w.own("a")
-		a, b := w.add("a", nil), w.add("b", nil)
+		c := &cluster{t: t, random: rand.New(rand.NewPCG(9, 9)), lenders: map[string]*Lender{}, limit: worker.Slots - basePool(worker)}
+		c.own("a")
+		a, b := c.add("a", nil), c.add("b", nil)
 		use := func(l *Lender) {
 			for range 200 {
-				w.request(l, 400*time.Millisecond, 300*time.Millisecond)
+				c.request(l, 400*time.Millisecond, 300*time.Millisecond)
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
@@ -233,14 +233,14 @@
 			t.Errorf("single host: limit %d, want 4", got)
 		}
 		for range 200 {
-			w.request(a, 400*time.Millisecond, 300*time.Millisecond)
-			w.request(b, 400*time.Millisecond, 300*time.Millisecond)
+			c.request(a, 400*time.Millisecond, 300*time.Millisecond)
+			c.request(b, 400*time.Millisecond, 300*time.Millisecond)
 			time.Sleep(50 * time.Millisecond)
 		}
 		if x, y := a.Limit(worker), b.Limit(worker); x != 2 || y != 2 {
 			t.Errorf("two hosts: limits %d and %d, want 2 and 2", x, y)
 		}
-		w.close()
+		c.close()
 	})
 }
 
@@ -248,12 +248,12 @@
 // lease, requests in order, and grants by the current owner only.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{t: t, random: rand.New(rand.NewPCG(4, 4)), lenders: map[string]*Lender{}, limit: 4}
-		w.own("a")
-		a := w.add("a", nil)
+		c := &cluster{t: t, random: rand.New(rand.NewPCG(4, 4)), lenders: map[string]*Lender{}, limit: 4}
+		c.own("a")
+		a := c.add("a", nil)
 		a.Acquire(worker, time.Now().Add(time.Second))
 		for range 40 {
-			w.request(a, time.Second, time.Second)
+			c.request(a, time.Second, time.Second)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -270,14 +270,14 @@
 		if _, err := a.grant(&leaseRequest{Host: "b", Sequence: 1, Shard: "s"}); err == nil {
 			t.Error("a request that arrives after a later one must have no effect")
 		}
-		w.add("b", nil)
-		w.lock.Lock()
-		w.owner, w.stale = "b", true // a's routing table is stale, but it no longer holds the shard's lease
-		w.lock.Unlock()
+		c.add("b", nil)
+		c.lock.Lock()
+		c.owner, c.stale = "b", true // a's routing table is stale, but it no longer holds the shard's lease
+		c.lock.Unlock()
 		if _, err := a.grant(&leaseRequest{Host: "b", Sequence: 3, Shard: "s", Demands: demands}); err == nil {
 			t.Error("a former owner must not grant slots")
 		}
-		w.close()
+		c.close()
 	})
 }
 
@@ -295,8 +295,8 @@
 // counted the term from the moment at which the request was sent.
 func TestLoanCountsFromWhenSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{t: t, owner: "elsewhere"}
-		l := New(Options{Name: "a"}, w.table("a"), slowOwner{}, func() bool { return false }, nil, zerolog.Nop())
+		c := &cluster{t: t, owner: "elsewhere"}
+		l := New(Options{Name: "a"}, c.table("a"), slowOwner{}, func() bool { return false }, nil, zerolog.Nop())
 		sent := time.Now()
 		l.Acquire(worker, sent.Add(time.Second))
 		time.Sleep(1600 * time.Millisecond)
@@ -327,16 +327,16 @@
 // a call to the owner each.
 func TestUnmetWantsDoNotFlood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &cluster{t: t, owner: "elsewhere"}
-		c := new(callCounter)
-		l := New(Options{Name: "a"}, w.table("a"), c, func() bool { return false }, nil, zerolog.Nop())
+		c := &cluster{t: t, owner: "elsewhere"}
+		counter := new(callCounter)
+		l := New(Options{Name: "a"}, c.table("a"), counter, func() bool { return false }, nil, zerolog.Nop())
 		for range 10000 {
 			l.Acquire(worker, time.Now().Add(time.Second))
 			time.Sleep(time.Millisecond)
 		}
 		l.Close()
-		if c.calls > 7 {
-			t.Errorf("%d calls in 10 s", c.calls)
+		if counter.calls > 7 {
+			t.Errorf("%d calls in 10 s", counter.calls)
 		}
 	})
 }
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -55,7 +55,7 @@
 // Options configure a Limiter.
 type Options struct {
 	MaxQueue int              // most waiting requests of each tenant and class; 0 means that none waits
-	Now      func() time.Time // nil takes time.Now
+	Now      func() time.Time // nil means time.Now
 }
 
 // Limiter admits requests of all services.
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -33,7 +33,7 @@
 // Options are the inputs of Run.
 type Options struct {
 	Settings Settings
-	Client   *http.Client // nil takes one that keeps enough idle connections
+	Client   *http.Client // nil means one that keeps enough idle connections
 }
 
 // maxIdleConns bounds the idle connections to each target.
@@ -129,7 +129,7 @@
 	r.inFlight--
 }
 
-// sendAndCount sends one request, reads the whole response and counts the outcome.
+// sendAndCount sends one request, reads the complete response and counts the outcome.
 func (r *loadRun) sendAndCount(kind int, target string, due time.Time) {
 	k := &r.options.Settings.Mix[kind]
 	ctx, cancel := context.WithDeadline(context.Background(), due.Add(time.Duration(k.Deadline)+lateGrace))
@@ -148,7 +148,7 @@
 // lateGrace is how long after its deadline a response is still awaited.
 const lateGrace = 2 * time.Second
 
-// send sends one request and reads the whole response.
+// send sends one request and reads the complete response.
 func (r *loadRun) send(ctx context.Context, k *Kind, target string) (outcome, error) {
 	url := strings.TrimSuffix(target, "/") + forwarder.PathPrefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
 	request, err := http.NewRequestWithContext(ctx, k.Method, url, bytes.NewReader(make([]byte, k.Body)))
--- a/internal/traffic/loader/report.go
+++ b/internal/traffic/loader/report.go
@@ -14,8 +14,8 @@
 type outcome int
 
 const (
-	answered outcome = iota // whole response within the deadline
-	late                    // whole response after the deadline
+	answered outcome = iota // complete response within the deadline
+	late                    // complete response after the deadline
 	refused                 // error response with verdict NotRun
 	failed                  // any other error response
 	lost                    // no response, or a truncated one
@@ -32,13 +32,13 @@
 // KindReport counts the outcomes of one kind of request.
 type KindReport struct {
 	Kind           Kind
-	Answered       int64                   // whole responses within the deadline
-	Late           int64                   // whole responses after the deadline
+	Answered       int64                   // complete responses within the deadline
+	Late           int64                   // complete responses after the deadline
 	Refused        int64                   // error responses with verdict NotRun
 	Failed         int64                   // other error responses
 	Lost           int64                   // no response, or a truncated one
 	Unsent         int64                   // not sent, because too many requests were in flight
-	Latency        *hdrhistogram.Histogram // of whole responses, in microseconds since the due time
+	Latency        *hdrhistogram.Histogram // of complete responses, in microseconds since the due time
 	RefusalLatency *hdrhistogram.Histogram // of refusals, in microseconds since the due time
 
 	lock sync.Mutex
@@ -87,7 +87,7 @@
 	}
 }
 
-// Quantile returns the q-quantile of the latency of whole responses, such as the
+// Quantile returns the q-quantile of the latency of complete responses, such as the
 // median for q = 0.5.
 func (r *KindReport) Quantile(q float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(q*100)) * time.Microsecond
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -70,11 +70,11 @@
 type Options struct {
 	Domain     string           // failure domain of the entry host
 	Region     string           // region of the entry host
-	Policy     Policy           // nil takes LeastLoaded
+	Policy     Policy           // nil means LeastLoaded
 	Health     Health           // zero fields take defaults
 	LinkBudget *LinkBudget      // nil forbids other regions
 	Seed       uint64           // of random choices
-	Now        func() time.Time // nil takes time.Now
+	Now        func() time.Time // nil means time.Now
 }
 
 // Router chooses among backend servers. It is safe for concurrent use.
--- a/internal/traffic/router/server.go
+++ b/internal/traffic/router/server.go
@@ -13,7 +13,7 @@
 // Outcomes.
 const (
 	Unknown    Outcome = iota // says nothing about the backend server, such as a cancellation
-	Answered                  // a whole response
+	Answered                  // complete response, including client errors
 	Failed                    // error status, broken or stalled connection, or missed deadline
 	Overloaded                // the backend server refused the request
 )
