--- a/internal/traffic/lender/lender.go
+++ b/internal/traffic/lender/lender.go
@@ -233,7 +233,8 @@
 	}
 }
 
-// minRenewalPause is the shortest time between two rounds of renewals.
+// minRenewalPause is the shortest time between two rounds of renewals, so that
+// requests that find no slot do not cause a call each.
 const minRenewalPause = 50 * time.Millisecond
 
 func (l *Lender) waitPause(ctx context.Context) {
