--- a/internal/traffic/dialer/clientconn.go
+++ b/internal/traffic/dialer/clientconn.go
@@ -33,6 +33,7 @@
 	closed bool          // also before the first request
 }
 
+// newClientConn returns a connection that is opened by its first request.
 func newClientConn(o *Options, address string) *clientConn {
 	c := &clientConn{options: o, address: address, openedAt: time.Now()}
 	c.transport = &http.Transport{
@@ -151,6 +152,7 @@
 	return true
 }
 
+// close closes the connection, or keeps it from being opened.
 func (c *clientConn) close() {
 	c.lock.Lock()
 	c.closed = true
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -145,6 +145,7 @@
 	return p
 }
 
+// allPools returns the current pools.
 func (d *Dialer) allPools() []*Pool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -155,6 +156,7 @@
 	return out
 }
 
+// runProbes closes excess connections and probes idle ones until ctx ends.
 func (d *Dialer) runProbes(ctx context.Context) {
 	tick := time.NewTicker(d.Options.ProbeInterval)
 	defer tick.Stop()
--- a/internal/traffic/forwarder/claims.go
+++ b/internal/traffic/forwarder/claims.go
@@ -130,6 +130,7 @@
 	tooLarge bool // body exceeded maxSavedBody
 }
 
+// newSavedResponse copies status and headers; add appends the body.
 func newSavedResponse(r *backendResponse) *savedResponse {
 	s := &savedResponse{status: r.StatusCode, header: make(http.Header)}
 	copyEndToEndHeaders(s.header, r.Header)
@@ -193,6 +194,8 @@
 	return nil
 }
 
+// errNotClaimed returns the error for a key that could not be claimed, so that the
+// request was not sent.
 func errNotClaimed(err error) error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: http.StatusServiceUnavailable, Code: "unclaimed", Field: KeyHeader,
@@ -200,6 +203,8 @@
 	}
 }
 
+// errRepeated returns the error for a key that was claimed before by the owner
+// first, whose request may have run.
 func errRepeated(first string) error {
 	return &classifier.Error{
 		Verdict: classifier.MayHaveRun, Status: http.StatusConflict, Code: "repeated", Field: KeyHeader,
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -89,6 +89,7 @@
 	return nil
 }
 
+// parseMethod checks the method and notes whether it is idempotent.
 func (c *call) parseMethod(r *http.Request) error {
 	switch r.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
@@ -103,6 +104,7 @@
 	return nil
 }
 
+// parsePath splits the path into the service and the path for the backend server.
 func (c *call) parsePath(r *http.Request) error {
 	rest, ok := strings.CutPrefix(r.URL.EscapedPath(), PathPrefix)
 	if !ok {
@@ -144,6 +146,7 @@
 	return nil
 }
 
+// parseDeadline reads the time limit; without the header it stays 0.
 func (c *call) parseDeadline(r *http.Request) error {
 	value, err := singleValue(r.Header, DeadlineHeader)
 	if err != nil || value == "" {
@@ -157,6 +160,9 @@
 	return nil
 }
 
+// parseIdempotence reads the headers that say how often the request may be sent. A
+// key counts only for POST and PATCH, and makes the request non-idempotent: it is
+// sent at most once.
 func (c *call) parseIdempotence(r *http.Request) error {
 	value, err := singleValue(r.Header, IdempotentHeader)
 	if err != nil {
@@ -198,6 +204,7 @@
 	return strings.TrimSpace(values[0]), nil
 }
 
+// isName reports whether s is a valid name of a tenant, class or service.
 func isName(s string) bool {
 	if s == "" || len(s) > maxNameLength {
 		return false
@@ -213,6 +220,7 @@
 	return true
 }
 
+// invalidField returns the error for an invalid request: nothing has run.
 func invalidField(status int, code, field, message string) error {
 	return &classifier.Error{Verdict: classifier.NotRun, Status: status, Code: code, Field: field, Message: message}
 }
--- a/internal/traffic/forwarder/metrics.go
+++ b/internal/traffic/forwarder/metrics.go
@@ -60,6 +60,7 @@
 	return class
 }
 
+// classMetrics returns the metrics of the call's tenant and class.
 func (m *metrics) classMetrics(c *call) *classMetrics {
 	m.lock.RLock()
 	series := m.tenants[c.tenant][c.class]
--- a/internal/traffic/forwarder/stats.go
+++ b/internal/traffic/forwarder/stats.go
@@ -62,6 +62,7 @@
 	s.p95 = sorted[len(sorted)*95/100]
 }
 
+// observeSize records the size of a response body in bytes.
 func (r *responseStats) observeSize(service string, n int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/traffic/forwarder/tracker.go
+++ b/internal/traffic/forwarder/tracker.go
@@ -39,6 +39,7 @@
 	}, true
 }
 
+// end removes a request.
 func (t *requestTracker) end(id int64) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -65,6 +66,7 @@
 	return len(t.cancels)
 }
 
+// startDraining refuses new requests from now on.
 func (t *requestTracker) startDraining() {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/internal/traffic/lender/lender.go
+++ b/internal/traffic/lender/lender.go
@@ -237,6 +237,7 @@
 // requests that find no slot do not cause a call each.
 const minRenewalPause = 50 * time.Millisecond
 
+// waitPause waits for minRenewalPause or until ctx ends.
 func (l *Lender) waitPause(ctx context.Context) {
 	timer := time.NewTimer(minRenewalPause)
 	defer timer.Stop()
--- a/internal/traffic/lender/share.go
+++ b/internal/traffic/lender/share.go
@@ -135,6 +135,7 @@
 	<-s.Done
 }
 
+// run seeks a share and keeps its lease until ctx ends.
 func (s *ShareLease) run(ctx context.Context) {
 	pause := time.Duration(0)
 	for {
@@ -227,6 +228,7 @@
 	s.setHeld(index, count, now.Add(s.takeover), now.Add(until.Sub(now)-clockMargin))
 }
 
+// clearHeld records that no share is held.
 func (s *ShareLease) clearHeld() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -207,6 +207,7 @@
 	return w.slot, w.err
 }
 
+// refusalError returns the error for a waiting request that is refused.
 func (l *Limiter[T]) refusalError(r *Request[T], code, message string) error {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/traffic/loader/plot.go
+++ b/internal/traffic/loader/plot.go
@@ -50,6 +50,7 @@
 
 const plotPrecision = 1e8 // nanoseconds
 
+// latencyCurve returns the latency in milliseconds at each of the quantiles.
 func latencyCurve(report *KindReport) plotter.XYs {
 	out := make(plotter.XYs, 0, len(quantiles))
 	for _, q := range quantiles {
--- a/internal/traffic/loader/report.go
+++ b/internal/traffic/loader/report.go
@@ -51,6 +51,7 @@
 	significantDigits = 3
 )
 
+// newKindReports returns an empty report for each kind of the mix.
 func newKindReports(mix []Kind) []*KindReport {
 	out := make([]*KindReport, len(mix))
 	for i := range mix {
--- a/internal/traffic/router/distance.go
+++ b/internal/traffic/router/distance.go
@@ -78,6 +78,7 @@
 	return s
 }
 
+// distance returns how far the backend server is from this entry host.
 func (r *Router) distance(b describer.Backend) Distance {
 	switch {
 	case b.Domain == r.Options.Domain:
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -83,6 +83,7 @@
 	}
 }
 
+// observeLatency adds a latency to the moving average.
 func (s *server) observeLatency(seconds float64) {
 	s.responses++
 	if s.meanLatency == 0 {
@@ -109,6 +110,7 @@
 	}
 }
 
+// orInfinity returns x, or infinity for 0, which stands for no limit.
 func orInfinity(x float64) float64 {
 	if x == 0 {
 		return math.Inf(1)
