--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -1,17 +1,18 @@
-// Package restorer decides how fast a drained worker gets its work back.
+// Package restorer decides how fast a drained worker gets batch tasks back.
 //
-// # Model
+// # Algorithm
 //
-// Restore goes through rising limits on the processors that batch tasks may
-// hold. A limit is raised when it has been in force for a while and the
-// worker's services are within their targets. It is never lowered: what to do
-// about a service that misses its target is the escalator's matter, and a
-// limit that follows noisy load would swing. A limit that is held back for
-// too long is raised nevertheless, since the placer weighs each placement
-// anyway; so a restore always ends while the worker answers.
+// A restore goes through steps with rising limits on the processors that batch
+// tasks may hold on the worker. A step ends when it has lasted for a minimum
+// time and the worker's services are within their latency targets. A limit is
+// never lowered, because one that follows noisy load would oscillate; reacting
+// to a service that misses its target is left to the escalator. A step that has
+// lasted for its maximum time ends in any case, since the placer checks the
+// effect of each placement anyway. So every restore ends as long as the worker
+// responds.
 //
 //	decision := restorer.Decide(input)
-//	worker.Limited, worker.Limit = !decision.Done, decision.Limit
+//	worker.BatchLimited, worker.BatchLimit = !decision.Done, decision.Limit
 package restorer
 
 import (
@@ -23,51 +24,52 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Input is what a decision is made from. State is changed.
+// Input is what a decision is made from. Decide changes State, and only reads
+// the rest.
 type Input struct {
 	Now       time.Time
 	Worker    *accountant.Worker
 	Services  map[string]describer.Service // by name
-	Returning int                          // tasks drained off this worker that wait to run
-	Removed   bool                         // the worker has left the host list for good
+	Returning int                          // number of tasks drained from this worker that wait to run on it again
+	Removed   bool                         // whether the worker has left the host list for good
 	State     *State                       // of this worker and drain
 	Options   Options
 }
 
-// Decision is what the worker may take now.
+// Decision is what may run on the worker now.
 type Decision struct {
-	Open      bool   // requests may be sent to it
+	Open      bool   // whether service requests may be sent to the worker
 	Limit     int64  // millicores that batch tasks may hold
-	Done      bool   // has its work back
-	BlockedBy string // what holds it back; empty when Done or when only time has to pass
+	Done      bool   // whether the restore has ended
+	BlockedBy string // reason why the step can't end, for operators; empty if Done or if only time has to pass
 }
 
-// Options tune the pace. Zero fields take defaults.
+// Options are the parameters of the decisions. Zero fields take defaults.
 type Options struct {
-	Steps          []float64     // rising shares of the worker's processors, the last one 1
-	MinStep        time.Duration // shortest time of a step, longer than the lag of reports
-	MaxStep        time.Duration // longest time of a step
-	SilenceTimeout time.Duration // without inventory the worker counts as silent
-	PauseAbove            float64       // share of a service's target above which a step is held back
-	ResumeBelow           float64       // share below which it is no longer
-	Smoothing         float64       // of the newest report in the smoothed latency
+	Steps          []float64     // limits as rising shares of the worker's processors, the last one 1
+	MinStep        time.Duration // minimum time of a step, longer than the delay of reports
+	MaxStep        time.Duration // maximum time of a step
+	SilenceTimeout time.Duration // time without an inventory after which the worker counts as not responding
+	PauseAbove     float64       // latency as a share of a service's target above which the step pauses
+	ResumeBelow    float64       // latency as a share of the target below which the step resumes
+	Smoothing      float64       // weight of the newest report in the exponentially smoothed latency
 }
 
 func (o Options) orDefault() Options {
 	if len(o.Steps) == 0 {
 		o.Steps = []float64{0.125, 0.25, 0.5, 1}
 	}
-	duration := func(v *time.Duration, otherwise time.Duration) {
+	duration := func(v *time.Duration, fallback time.Duration) {
 		if *v == 0 {
-			*v = otherwise
+			*v = fallback
 		}
 	}
 	duration(&o.MinStep, time.Minute)
 	duration(&o.MaxStep, 5*time.Minute)
 	duration(&o.SilenceTimeout, time.Minute)
-	number := func(v *float64, otherwise float64) {
+	number := func(v *float64, fallback float64) {
 		if *v == 0 {
-			*v = otherwise
+			*v = fallback
 		}
 	}
 	number(&o.PauseAbove, 1)
@@ -76,33 +78,34 @@
 	return o
 }
 
-// State is what is remembered of one restore. Its zero value begins one; a
-// successor that lost it begins again at the first step, which is safe.
+// State is the memory of one restore. Its zero value begins one. It is not
+// durable: a new owner of the shard begins again at the first step, which is
+// safe.
 type State struct {
-	Step     int
-	StepSince    time.Time // of the step
-	Paused      bool
-	Smoothed map[string]float64 // logarithm of latency as a share of the target, by service
-	LastReport     map[string]time.Time
+	Step       int
+	StepSince  time.Time // of the step
+	Paused     bool
+	Smoothed   map[string]float64 // logarithm of the latency as a share of the target, by service
+	LastReport map[string]time.Time
 }
 
-// Decide returns what the worker may take now.
+// Decide returns what may run on the worker now.
 func Decide(in Input) Decision {
 	o := in.Options.orDefault()
 	if in.Removed {
 		return Decision{Done: true}
 	}
-	if silent := in.Now.Sub(in.Worker.LastInventory); silent > o.SilenceTimeout {
-		in.State.StepSince = in.Now // no time passes in a step for a silent worker
-		return Decision{BlockedBy: fmt.Sprintf("no answer from the worker for %s", silent.Round(time.Second))}
+	if silence := in.Now.Sub(in.Worker.LastInventory); silence > o.SilenceTimeout {
+		in.State.StepSince = in.Now // the step's time does not pass while the worker does not respond
+		return Decision{BlockedBy: fmt.Sprintf("no response from the worker for %s", silence.Round(time.Second))}
 	}
 	if in.State.StepSince.IsZero() {
 		in.State.StepSince = in.Now
 	}
-	service, ratio := in.State.take(in, o)
-	passed := in.Now.Sub(in.State.StepSince)
-	held := in.State.held(in, o, service, ratio)
-	if passed >= o.MaxStep || passed >= o.MinStep && held == "" {
+	service, ratio := in.State.update(in, o)
+	elapsed := in.Now.Sub(in.State.StepSince)
+	blockedBy := in.State.blockedBy(in, o, service, ratio)
+	if elapsed >= o.MaxStep || elapsed >= o.MinStep && blockedBy == "" {
 		if in.State.Step == len(o.Steps)-1 {
 			return Decision{Open: true, Limit: in.Worker.Host.Capacity.CPU, Done: true}
 		}
@@ -113,24 +116,25 @@
 	return Decision{
 		Open:      true,
 		Limit:     int64(share * float64(in.Worker.Host.Capacity.CPU)),
-		BlockedBy: held,
+		BlockedBy: blockedBy,
 	}
 }
 
-// held returns what keeps the present step from ending.
-func (s *State) held(in Input, o Options, service string, ratio float64) string {
+// blockedBy returns why the current step can't end yet, or "".
+func (s *State) blockedBy(in Input, o Options, service string, ratio float64) string {
 	if s.Paused {
 		return fmt.Sprintf("%s is at %.0f %% of its target, must fall below %.0f %%",
 			service, 100*ratio, 100*o.ResumeBelow)
 	}
 	if s.Step == len(o.Steps)-1 && in.Returning > 0 {
-		return fmt.Sprintf("%d tasks wait to come back", in.Returning)
+		return fmt.Sprintf("%d drained tasks have not returned yet", in.Returning)
 	}
 	return ""
 }
 
-// take smooths new reports and returns the service that is nearest to its target.
-func (s *State) take(in Input, o Options) (service string, ratio float64) {
+// update adds new reports to the smoothed latencies. It returns the service
+// whose latency is the highest share of its target, and that share.
+func (s *State) update(in Input, o Options) (service string, ratio float64) {
 	if s.Smoothed == nil {
 		s.Smoothed = make(map[string]float64)
 		s.LastReport = make(map[string]time.Time)
