--- a/internal/control/placer/baseline.go
+++ b/internal/control/placer/baseline.go
@@ -7,32 +7,34 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// The policies in this file are the baselines of measurements.
+// noRoom is the reason when no worker that accepts tasks has room.
 const noRoom = "no open worker has room"
 
-// FirstFit takes the first open worker by name with room.
+// FirstFit chooses the first open worker, in order of names, that has room. It
+// is a baseline for measurements.
 type FirstFit struct{}
 
 // Place implements Policy.
 func (FirstFit) Place(fleet *accountant.Fleet, r Request, _ time.Time) Choice {
 	for _, name := range fleet.Names() {
-		if suits(fleet.Workers[name], r) {
+		if accepts(fleet.Workers[name], r) {
 			return Choice{Worker: name}
 		}
 	}
 	return Choice{Reason: noRoom}
 }
 
-// LeastLoaded takes the open worker with the greatest share of processors
-// free after placement.
+// LeastLoaded chooses the open worker that has the largest share of processors
+// free after the placement. It is a baseline for measurements.
 type LeastLoaded struct{}
 
 // Place implements Policy.
 func (LeastLoaded) Place(fleet *accountant.Fleet, r Request, _ time.Time) Choice {
-	return emptiest(fleet, r, func(*accountant.Worker) bool { return true }, noRoom)
+	return leastLoaded(fleet, r, func(*accountant.Worker) bool { return true }, noRoom)
 }
 
-// NoColocation keeps batch tasks off workers that answer for a service.
+// NoColocation places batch tasks only on workers without a service, on the
+// least loaded. It is a baseline for measurements.
 type NoColocation struct{}
 
 // Place implements Policy.
@@ -40,14 +42,15 @@
 	allowed := func(w *accountant.Worker) bool {
 		return r.Job.Kind == describer.LatencyCritical || len(w.Host.Services) == 0
 	}
-	return emptiest(fleet, r, allowed, "no open worker without a service has room")
+	return leastLoaded(fleet, r, allowed, "no open worker without a service has room")
 }
 
-// StaticThreshold packs batch tasks beside services up to a fixed share of a
-// worker's processors, and only while the service's load is low.
+// StaticThreshold places batch tasks on workers with a service up to a fixed
+// share of their processors, and only while the service's load is low. It is a
+// baseline for measurements.
 type StaticThreshold struct {
-	Share float64 // greatest share of processors for batch tasks, 0 to 1
-	Load  float64 // greatest load of a service beside new batch tasks, 0 to 1
+	Share float64 // maximum share of processors for batch tasks, 0 to 1
+	Load  float64 // maximum load of a service at which batch tasks are placed, 0 to 1
 }
 
 // Place implements Policy.
@@ -59,31 +62,34 @@
 		limit := s.Share * float64(w.Host.Capacity.CPU)
 		return w.Load() <= s.Load && float64(w.BatchCPU()+r.Want.CPU) <= limit
 	}
-	return emptiest(fleet, r, allowed, "no open worker is below the threshold")
+	return leastLoaded(fleet, r, allowed, "no open worker is below the threshold")
 }
 
-func emptiest(
-	fleet *accountant.Fleet, r Request, allowed func(*accountant.Worker) bool, why string,
+// leastLoaded returns the allowed worker with the largest share of processors
+// free after the placement, or a Choice with the given reason.
+func leastLoaded(
+	fleet *accountant.Fleet, r Request, allowed func(*accountant.Worker) bool, reason string,
 ) Choice {
-	best, most := "", -1.0
+	best, maxFree := "", -1.0
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
-		if !suits(w, r) || !allowed(w) {
+		if !accepts(w, r) || !allowed(w) {
 			continue
 		}
 		free := float64(w.Free().CPU-r.Want.CPU) / float64(max(w.Host.Capacity.CPU, 1))
-		if free > most {
-			best, most = name, free
+		if free > maxFree {
+			best, maxFree = name, free
 		}
 	}
 	if best == "" {
-		return Choice{Reason: why}
+		return Choice{Reason: reason}
 	}
 	return Choice{Worker: best}
 }
 
-// suits reports whether the request may be placed and fits.
-func suits(w *accountant.Worker, r Request) bool {
+// accepts reports whether the worker is open and allowed for the request, and
+// has room for it.
+func accepts(w *accountant.Worker, r Request) bool {
 	if w.Closed || r.Avoid[w.Host.Name] {
 		return false
 	}
--- a/internal/control/placer/placer.go
+++ b/internal/control/placer/placer.go
@@ -1,8 +1,11 @@
 // Package placer chooses the worker for a task.
 //
-// A [Policy] ranks the open workers of a shard; it neither changes the
-// accounts nor does I/O. Policies are exchangeable, and the baselines that
-// measurements compare against are policies too.
+// A [Policy] chooses among the workers of one shard. It neither changes the
+// accounts nor does I/O, so policies can be exchanged. [InterferenceAware] is
+// the default policy; the others are simple baselines to measure it against.
+//
+// The package also decides how large a task's grant is ([SizeGrant],
+// [ResizeGrant]) and which tasks make way for an urgent one ([Preempt]).
 package placer
 
 import (
@@ -12,18 +15,18 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Request is a task that wants a worker.
+// Request is a task to be placed.
 type Request struct {
 	Task     describer.TaskID
 	Job      *describer.Job
-	Want     describer.Resources // to be granted, see Size
-	ReturnTo string              // drained worker it is owed back to, or empty
-	Avoid    map[string]bool     // workers on which it failed
-	Deadline time.Time
+	Want     describer.Resources // grant to be held, see SizeGrant
+	ReturnTo string              // drained worker that the task ran on and returns to; empty if none
+	Avoid    map[string]bool     // names of workers not to be used, such as those on which the task failed
+	Deadline time.Time           // wanted end; zero if none
 }
 
-// Choice is a policy's answer. Worker is empty if none is suitable, and Why
-// says the reason.
+// Choice is a policy's result. Worker is empty if none is suitable; Reason then
+// says why, for operators.
 type Choice struct {
 	Worker string
 	Reason string
@@ -31,5 +34,7 @@
 
 // Policy chooses a worker for a request.
 type Policy interface {
+	// Place returns the worker on which the request is to be placed. It must not
+	// change the fleet.
 	Place(fleet *accountant.Fleet, r Request, now time.Time) Choice
 }
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -38,12 +38,12 @@
 	return placer.Request{Task: describer.TaskID{Job: "j", Index: index}, Job: job, Want: job.Declared}
 }
 
-func hold(w *accountant.Worker, index int, cpu int64) {
+func allocate(w *accountant.Worker, index int, cpu int64) {
 	r := request(100+index, cpu)
 	Expect(w.Allocate(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
 }
 
-var _ = Describe("Default", func() {
+var _ = Describe("InterferenceAware", func() {
 	target := map[string]describer.Service{"desk": {Name: "desk", Target: 100 * time.Millisecond}}
 
 	It("prefers a worker without a service", func() {
@@ -52,7 +52,7 @@
 		Expect(policy.Place(f, request(0, 1000), now).Worker).To(Equal("b"))
 	})
 
-	It("says why it keeps a task off", func() {
+	It("says why it refuses a task", func() {
 		f := fleet(worker("a", "desk"))
 		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		choice := policy.Place(f, request(0, 8000), now)
@@ -60,17 +60,17 @@
 		Expect(choice.Reason).To(HavePrefix("would slow desk by up to "))
 	})
 
-	It("tries one small task where nothing is known", func() {
+	It("accepts one small task at a time where there are no reports", func() {
 		f := fleet(worker("a", "desk"))
 		policy := placer.InterferenceAware{Learner: learner.New(learner.Options{Prior: 3}), Services: target}
 		Expect(policy.Place(f, request(0, 1500), now).Worker).To(Equal("a"))
-		hold(f.Workers["a"], 0, 1500)
+		allocate(f.Workers["a"], 0, 1500)
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(BeEmpty())
 		f.Workers["a"].Release(request(100, 0).Task, describer.Token{})
 		Expect(policy.Place(f, request(1, 1500), now).Worker).To(Equal("a"))
 	})
 
-	It("accepts slow-down far below the target", func() {
+	It("accepts a slowdown far below the target", func() {
 		place := func(p99 time.Duration) string {
 			f := fleet(worker("a", "desk"))
 			l := learner.New(learner.Options{Prior: 1})
@@ -86,17 +86,17 @@
 		Expect(place(60 * time.Millisecond)).To(BeEmpty())
 	})
 
-	It("keeps off while services recover, except for urgent tasks", func() {
+	It("places only urgent tasks while batch placement is blocked", func() {
 		f := fleet(worker("a", "desk"))
 		f.Workers["a"].BatchBlockedUntil = now.Add(time.Second)
 		policy := placer.InterferenceAware{Services: target}
-		Expect(policy.Place(f, request(0, 100), now).Reason).To(Equal("kept off while services recover"))
+		Expect(policy.Place(f, request(0, 100), now).Reason).To(Equal("batch placement is blocked while services recover"))
 		urgent := request(0, 100)
 		urgent.Job.Priority = describer.Urgent
 		Expect(policy.Place(f, urgent, now).Worker).To(Equal("a"))
 	})
 
-	It("brings drained tasks home", func() {
+	It("returns drained tasks to their former worker", func() {
 		f := fleet(worker("a"), worker("b"), worker("c"))
 		r := request(0, 1000)
 		r.ReturnTo = "c"
@@ -115,7 +115,7 @@
 		Expect(used).To(HaveLen(3))
 	})
 
-	It("stays within the limit of a restore", func() {
+	It("stays within the batch limit of a restore", func() {
 		f := fleet(worker("a"))
 		f.Workers["a"].BatchLimited, f.Workers["a"].BatchLimit = true, 500
 		Expect(placer.InterferenceAware{}.Place(f, request(0, 501), now).Worker).To(BeEmpty())
@@ -124,9 +124,9 @@
 })
 
 var _ = Describe("baselines", func() {
-	It("differ in their choice", func() {
+	It("choose different workers", func() {
 		f := fleet(worker("a", "desk"), worker("b", "desk"), worker("c"))
-		hold(f.Workers["c"], 0, 4000)
+		allocate(f.Workers["c"], 0, 4000)
 		r := request(0, 1000)
 		Expect(placer.FirstFit{}.Place(f, r, now).Worker).To(Equal("a"))
 		Expect(placer.LeastLoaded{}.Place(f, r, now).Worker).To(Equal("a"))
@@ -137,7 +137,7 @@
 	})
 })
 
-var _ = Describe("sizes", func() {
+var _ = Describe("grant sizes", func() {
 	capacity := describer.Resources{CPU: 16000, Memory: 60000, Accelerators: 1}
 	job := &describer.Job{Team: "t", Class: "c", Declared: describer.Resources{CPU: 8000, Memory: 1000}}
 
@@ -153,7 +153,7 @@
 		Expect(placer.SizeGrant(nil, job, capacity)).To(Equal(job.Declared))
 	})
 
-	It("grow when use reaches the grant, within the factor that declarations may be off by", func() {
+	It("grow when use reaches the grant, within the maximum error of a declaration", func() {
 		var u placer.Usage
 		grant := accountant.Grant{Team: "t", Class: "c", Resources: job.Declared}
 		for range 200 {
@@ -166,7 +166,7 @@
 		Expect(placer.SizeGrant(&u, job, capacity).CPU).To(Equal(capacity.CPU))
 	})
 
-	It("leave a throttled task as it is", func() {
+	It("do not grow for a throttled task", func() {
 		g := accountant.Grant{Resources: job.Declared, Used: job.Declared, ThrottledTo: 8000}
 		Expect(placer.ResizeGrant(g, capacity).CPU).To(BeEquivalentTo(8000))
 		g.ThrottledTo = 0
@@ -174,40 +174,40 @@
 	})
 })
 
-var _ = Describe("MakeRoom", func() {
+var _ = Describe("Preempt", func() {
 	var w *accountant.Worker
 
 	BeforeEach(func() {
 		w = worker("a")
 		for i := range 4 {
-			hold(w, i, 4000)
+			allocate(w, i, 4000)
 		}
 	})
 
 	It("throttles before it evicts", func() {
-		room := placer.Preempt(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
-		Expect(room.Worker).To(Equal("a"))
-		Expect(room.Evict).To(BeEmpty())
-		Expect(room.Throttle).To(HaveLen(4))
-		Expect(room.Freed.CPU).To(BeEquivalentTo(8000))
+		p := placer.Preempt(fleet(w), request(0, 8000), placer.Costs{}, 9, 0)
+		Expect(p.Worker).To(Equal("a"))
+		Expect(p.Evict).To(BeEmpty())
+		Expect(p.Throttle).To(HaveLen(4))
+		Expect(p.Freed.CPU).To(BeEquivalentTo(8000))
 	})
 
-	It("evicts the fewest when throttling is not enough", func() {
-		room := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
-		Expect(room.Evict).To(HaveLen(1))
+	It("evicts the fewest tasks when throttling is not enough", func() {
+		p := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 0)
+		Expect(p.Evict).To(HaveLen(1))
 	})
 
 	It("says why it refuses", func() {
 		Expect(placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 0, 0).Reason).To(Equal("the eviction budget is used up"))
 		Expect(placer.Preempt(fleet(w), request(0, 90000), placer.Costs{}, 9, 0).Reason).To(Equal("no open worker is large enough"))
 		late := placer.Preempt(fleet(w), request(0, 9000), placer.Costs{}, 9, 3*time.Second)
-		Expect(late.Reason).To(HavePrefix("making room takes 4.5s"))
+		Expect(late.Reason).To(HavePrefix("preemption takes 4.5s"))
 	})
 })
 
-// TestMakeRoomIsEnough checks on random accounts that an urgent task has its
-// place in bound, within the budget and without touching urgent or
-// latency-critical tasks, or a reason why not.
+// TestMakeRoomIsEnough checks on random accounts that a preemption frees enough
+// for the urgent task, in time, within the budget and without touching urgent or
+// latency-critical tasks, or else states a reason.
 func TestMakeRoomIsEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleet(worker("a"), worker("b", "desk"), worker("c"))
@@ -223,37 +223,37 @@
 		elapsed := time.Duration(rapid.IntRange(0, 8).Draw(t, "elapsed")) * time.Second
 		r := request(0, rapid.Int64Range(1, 20000).Draw(t, "want"))
 		r.Want.Memory = rapid.Int64Range(0, 60000).Draw(t, "memory")
-		room := placer.Preempt(f, r, placer.Costs{}, budget, elapsed)
-		if room.Worker == "" {
-			if room.Reason == "" {
+		p := placer.Preempt(f, r, placer.Costs{}, budget, elapsed)
+		if p.Worker == "" {
+			if p.Reason == "" {
 				t.Fatal("refused without a reason")
 			}
 			return
 		}
-		if len(room.Evict) > budget || elapsed+room.Wait > placer.UrgentStartLimit {
-			t.Fatalf("%d evictions with a budget of %d, starts after %s", len(room.Evict), budget, elapsed+room.Wait)
+		if len(p.Evict) > budget || elapsed+p.Wait > placer.UrgentStartLimit {
+			t.Fatalf("%d evictions with a budget of %d, starts after %s", len(p.Evict), budget, elapsed+p.Wait)
 		}
-		w := f.Workers[room.Worker]
-		for _, task := range room.Evict {
-			mustGiveWay(t, w.Grants[task])
+		w := f.Workers[p.Worker]
+		for _, task := range p.Evict {
+			mustBePreemptible(t, w.Grants[task])
 			w.Release(task, describer.Token{})
 		}
-		for _, s := range room.Throttle {
+		for _, s := range p.Throttle {
 			g := w.Grants[s.Task]
-			mustGiveWay(t, g)
+			mustBePreemptible(t, g)
 			g.Resources.CPU = s.To
 			if err := w.Resize(s.Task, g.Token, g.Resources); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := w.Allocate(r.Task, accountant.Grant{Resources: r.Want}); err != nil {
-			t.Fatal(fmt.Errorf("room was not enough: %w", err))
+			t.Fatal(fmt.Errorf("freed resources are not enough: %w", err))
 		}
 	})
 }
 
-func mustGiveWay(t *rapid.T, g accountant.Grant) {
+func mustBePreemptible(t *rapid.T, g accountant.Grant) {
 	if g.Kind != describer.Batch || g.Priority == describer.Urgent {
-		t.Fatalf("%v %v task had to give way", g.Priority, g.Kind)
+		t.Fatalf("%v %v task was preempted", g.Priority, g.Kind)
 	}
 }
