--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -49,7 +49,7 @@
 // and carries out the decided actions.
 func (f *fixture) report(ratio float64) []Action {
 	f.now = f.now.Add(10 * time.Second)
-	f.worker.Reports = map[string]runner.Latency{"desk": {
+	f.worker.Reports = map[string]runner.LatencyReport{"desk": {
 		Service: "desk", To: f.now, Count: 300, Load: 0.5,
 		P99: time.Duration(ratio * float64(target)),
 	}}
@@ -127,7 +127,7 @@
 		f.learner = learner.New(learner.Options{})
 		f.bounds = map[string]time.Duration{"desk": 55 * time.Millisecond}
 		for range 30 {
-			f.learner.Observe(learner.Sample{Latency: runner.Latency{
+			f.learner.Observe(learner.Sample{Latency: runner.LatencyReport{
 				Service: "desk", To: f.now, Count: 300, Load: 0.5, P99: target / 2,
 			}})
 		}
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -47,7 +47,7 @@
 // Sample is one latency report with what ran on the worker during its interval.
 type Sample struct {
 	Worker  string
-	Latency runner.Latency
+	Latency runner.LatencyReport
 	Shares  map[string]float64 // mean share of the worker's processors by class, 0 to 1
 }
 
--- a/internal/control/reducer/journal.go
+++ b/internal/control/reducer/journal.go
@@ -7,135 +7,143 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Bounds of the journal.
 const (
-	maxInFlight          = 2       // appends of a shard without an answer
-	maxAppendBytes       = 256_000 // estimated size of one append
-	maxUnsent            = 20_000  // records, above which new work is refused
-	writeBudget          = 200     // appends a second of all shards together
-	defaultSnapshotLeast = 2_000   // records between snapshots, at least
+	maxInFlight         = 2       // unanswered appends per shard
+	maxAppendBytes      = 256_000 // estimated size of one append
+	maxUnsent           = 20_000  // number of unsent records at which new work is refused
+	maxAppendsPerSecond = 200     // write budget of the store, shared by all shards
+
+	// defaultMinSnapshotRecords is the minimum number of records between two snapshots
+	// of a shard.
+	defaultMinSnapshotRecords = 2_000
 )
 
-// journal groups a shard's records into appends. All records that are decided
-// while the bound on appends is reached go into the next one.
+// journal buffers a shard's records and groups them into appends (group commit).
+// Records that are decided while no further append is allowed go into the next one.
 type journal struct {
-	shard         *shard
-	unsent        []describer.Record
-	waiting       []consequence // of unsent and of batches in flight, in order
-	sent          int64         // last batch sent
-	durable       int64         // last batch known to be durable
-	flushed       time.Time
-	sinceSnapshot int
+	shard                *shard
+	unsent               []describer.Record
+	followUps            []followUp // actions waiting for unsent or unanswered batches, in order
+	lastSent             int64      // number of the last batch sent
+	lastDurable          int64      // number of the last batch known to be durable
+	flushedAt            time.Time  // time of the last append
+	recordsSinceSnapshot int
 }
 
-// consequence is what follows once a batch is durable.
-type consequence struct {
-	batch   int64
-	start   *task // ask the worker to start its run
-	token   describer.Token
-	request RequestID // answer it
-	job     *job      // with the job's status
-	key     *KeyClaim // or with the claim
-	grown   *task     // tell the worker about the greater grant
-	halt    bool      // stop the runs of the job, which is cancelled
-	trust   string    // propose the restored drain of this worker
+// followUp is an action to take once a batch is durable. One of start, grown,
+// restoredWorker, key and job is set and selects the action.
+type followUp struct {
+	batch          int64
+	start          *task           // task whose run is started on its worker
+	token          describer.Token // token of the run of start or grown
+	request        RequestID       // request to answer with key or the status of job
+	job            *job
+	key            *KeyClaim
+	grown          *task  // task whose larger grant is sent to its worker
+	stopRuns       bool   // whether to stop the runs of job, which was cancelled
+	restoredWorker string // worker to propose as restored
 }
 
-// next returns the batch that a record added now will be in.
-func (j *journal) next() int64 { return j.sent + 1 }
+// nextBatch returns the number of the batch that the next added record belongs to. It
+// may move to a later batch if it does not fit.
+func (j *journal) nextBatch() int64 { return j.lastSent + 1 }
 
-// isSent reports whether every record has been handed to an Append.
-func (j *journal) isSent() bool { return len(j.unsent) == 0 }
+// allSent reports whether every record is part of an AppendRecords effect.
+func (j *journal) allSent() bool { return len(j.unsent) == 0 }
 
+// isFull reports whether new work must be refused until the store catches up.
 func (j *journal) isFull() bool { return len(j.unsent) >= maxUnsent }
 
-func (j *journal) isDurable(batch int64) bool { return batch <= j.durable }
+func (j *journal) isDurable(batch int64) bool { return batch <= j.lastDurable }
 
 func (j *journal) add(r describer.Record) { j.unsent = append(j.unsent, r) }
 
-// then carries a consequence out once the records added so far are durable.
-func (j *journal) then(c consequence) {
-	c.batch = j.next()
-	if j.isSent() {
-		c.batch = j.sent
+// whenDurable runs a follow-up once all records added so far are durable.
+func (j *journal) whenDurable(f followUp) {
+	f.batch = j.nextBatch()
+	if j.allSent() {
+		f.batch = j.lastSent
 	}
-	if j.isDurable(c.batch) {
-		j.shard.follow(c)
+	if j.isDurable(f.batch) {
+		j.shard.runFollowUp(f)
 		return
 	}
-	j.waiting = append(j.waiting, c)
+	j.followUps = append(j.followUps, f)
 }
 
-// gap is the time between appends of one shard that keeps the whole fleet
-// within its write budget.
-func (h *shard) gap() time.Duration {
-	return time.Duration(len(h.state.config.Shards)) * time.Second / writeBudget
+// minAppendInterval returns the time between two appends of one shard that keeps all
+// shards of the configuration together within maxAppendsPerSecond.
+func (sh *shard) minAppendInterval() time.Duration {
+	return time.Duration(len(sh.state.config.Shards)) * time.Second / maxAppendsPerSecond
 }
 
-// mayFlush reports whether an append may go out now.
-func (h *shard) mayFlush() bool {
-	if h.journal.sent-h.journal.durable >= maxInFlight {
+// mayFlush reports whether an append may be sent now. A shard that is being released
+// doesn't wait for the interval between appends.
+func (sh *shard) mayFlush() bool {
+	if sh.journal.lastSent-sh.journal.lastDurable >= maxInFlight {
 		return false
 	}
-	return h.phase == releasing || h.state.now.Sub(h.journal.flushed) >= h.gap()
+	return sh.ownership == releasing || sh.state.now.Sub(sh.journal.flushedAt) >= sh.minAppendInterval()
 }
 
-// flush sends what was decided as one append.
-func (h *shard) flush() {
-	j := &h.journal
-	if j.isSent() || !h.mayFlush() || h.handing {
+// flush sends unsent records as one append, if one may be sent now.
+func (sh *shard) flush() {
+	j := &sh.journal
+	if j.allSent() || !sh.mayFlush() || sh.releaseSent {
 		return
 	}
-	n := fitting(j.unsent)
-	j.sent++
+	n := countFitting(j.unsent)
+	j.lastSent++
 	batch := j.unsent[:n:n]
-	j.split(n)
-	j.flushed = h.state.now
-	j.sinceSnapshot += n
-	h.state.emit(Append{Shard: h.id, Epoch: h.epoch, Batch: j.sent, Records: batch})
+	j.trimUnsent(n)
+	j.flushedAt = sh.state.now
+	j.recordsSinceSnapshot += n
+	sh.state.emit(AppendRecords{Shard: sh.id, Epoch: sh.epoch, Batch: j.lastSent, Records: batch})
 }
 
-// split leaves the records from n on for the next batch. Consequences stay
-// with the batch of their last record, which for a split one is the next.
-func (j *journal) split(n int) {
+// trimUnsent removes the first n records, which were sent as batch lastSent. The
+// remaining ones move to the next batch, and with them the follow-ups of the batch and
+// the batch numbers noted in tasks, jobs and workers.
+func (j *journal) trimUnsent(n int) {
 	rest := j.unsent[n:]
 	if len(rest) == 0 {
 		j.unsent = nil
 		return
 	}
 	j.unsent = append([]describer.Record(nil), rest...)
-	for i := range j.waiting {
-		if j.waiting[i].batch == j.sent {
-			j.waiting[i].batch = j.sent + 1
+	for i := range j.followUps {
+		if j.followUps[i].batch == j.lastSent {
+			j.followUps[i].batch = j.lastSent + 1
 		}
 	}
 	for _, r := range j.unsent {
-		j.postpone(r)
+		j.moveToNextBatch(r)
 	}
 }
 
-func (j *journal) postpone(r describer.Record) {
-	if t := j.shard.book.task(r.Task); t != nil {
-		t.batch = j.next()
+// moveToNextBatch updates the batch numbers of what the record changed.
+func (j *journal) moveToNextBatch(r describer.Record) {
+	if t := j.shard.view.task(r.Task); t != nil {
+		t.lastBatch = j.nextBatch()
 	}
 	for _, id := range [...]string{r.JobID, r.Task.Job} {
-		if one := j.shard.book.jobs[id]; one != nil {
-			one.batch = max(one.batch, j.next())
+		if affected := j.shard.view.jobs[id]; affected != nil {
+			affected.lastBatch = max(affected.lastBatch, j.nextBatch())
 		}
 	}
 	if w := j.shard.workers[r.Worker]; r.Kind == describer.DrainRestored && w != nil {
-		w.batch = j.next()
+		w.restoredBatch = j.nextBatch()
 	}
 	if r.Job != nil {
-		j.shard.book.jobs[r.Job.ID].batch = j.next()
+		j.shard.view.jobs[r.Job.ID].lastBatch = j.nextBatch()
 	}
 }
 
-// fitting returns how many records one append takes, at least one.
-func fitting(records []describer.Record) int {
+// countFitting returns how many of the records fit into one append; at least one.
+func countFitting(records []describer.Record) int {
 	size := 0
 	for i := range records {
-		size += estimate(&records[i])
+		size += estimateSize(&records[i])
 		if size > maxAppendBytes && i > 0 {
 			return i
 		}
@@ -143,8 +151,8 @@
 	return len(records)
 }
 
-// estimate returns about the encoded size of a record in bytes.
-func estimate(r *describer.Record) int {
+// estimateSize returns the approximate encoded size of a record in bytes.
+func estimateSize(r *describer.Record) int {
 	size := 200 + len(r.Result) + len(r.Reason) + len(r.Checkpoint) + len(r.Key) + len(r.Owner)
 	if r.Job != nil {
 		size += 200 + len(r.Job.Payload)
@@ -152,58 +160,60 @@
 	return size
 }
 
-// appended carries out what waited for the batch.
-func (h *shard) appended(batch int64) {
-	j := &h.journal
-	if batch <= j.durable || batch > j.sent {
+// handleAppended runs the follow-ups of all batches up to this one, which are durable
+// now.
+func (sh *shard) handleAppended(batch int64) {
+	j := &sh.journal
+	if batch <= j.lastDurable || batch > j.lastSent {
 		return
 	}
-	j.durable = batch
+	j.lastDurable = batch
 	n := 0
-	for n < len(j.waiting) && j.waiting[n].batch <= batch {
+	for n < len(j.followUps) && j.followUps[n].batch <= batch {
 		n++
 	}
-	ready := j.waiting[:n]
-	j.waiting = j.waiting[n:]
-	for _, c := range ready {
-		h.follow(c)
+	ready := j.followUps[:n]
+	j.followUps = j.followUps[n:]
+	for _, f := range ready {
+		sh.runFollowUp(f)
 	}
-	h.maySnapshot()
+	sh.maybeSnapshot()
 }
 
-func (h *shard) follow(c consequence) {
+func (sh *shard) runFollowUp(f followUp) {
 	switch {
-	case c.start != nil:
-		h.ask(c.start, c.token)
-	case c.grown != nil:
-		if c.grown.state == describer.Started && c.grown.token == c.token {
-			h.throttle(c.grown, c.grown.granted.CPU)
+	case f.start != nil:
+		sh.sendStart(f.start, f.token)
+	case f.grown != nil:
+		if f.grown.state == describer.Started && f.grown.token == f.token {
+			sh.sendThrottle(f.grown, f.grown.granted.CPU)
 		}
-	case c.trust != "":
-		h.propose(c.trust)
-	case c.key != nil:
-		h.state.reply(Reply{Request: c.request, Key: c.key})
-	case c.job != nil:
-		if c.halt {
-			h.halt(c.job)
+	case f.restoredWorker != "":
+		sh.proposeRestored(f.restoredWorker)
+	case f.key != nil:
+		sh.state.reply(Reply{Request: f.request, Key: f.key})
+	case f.job != nil:
+		if f.stopRuns {
+			sh.stopRuns(f.job)
 		}
-		h.state.reply(Reply{Request: c.request, Job: h.jobStatus(c.job)})
+		sh.state.reply(Reply{Request: f.request, Job: sh.jobStatus(f.job)})
 	}
 }
 
-// abandon answers the callers that wait for a shard which is owned no longer.
-func (j *journal) abandon(s *State) {
-	for _, c := range j.waiting {
-		if c.key == nil && c.job == nil {
+// refuseWaiting refuses the requests that wait for records of a shard that this daemon
+// no longer owns. Records that were sent may still be in the ledger.
+func (j *journal) refuseWaiting(s *State) {
+	for _, f := range j.followUps {
+		if f.key == nil && f.job == nil {
 			continue
 		}
 		verdict := classifier.MayHaveRun
-		if c.batch > j.sent {
+		if f.batch > j.lastSent {
 			verdict = classifier.NotRun
 		}
-		s.refuse(c.request, refusal{
-			code: "owner-lost", verdict: verdict, retry: lostRetry,
-			message: "the shard has a new owner; ask again",
+		s.refuse(f.request, refusal{
+			code: "owner-lost", verdict: verdict, retry: ownerLostRetry,
+			message: "this daemon no longer owns the shard; retry the request",
 		})
 	}
 }
--- a/internal/control/reducer/ownership.go
+++ b/internal/control/reducer/ownership.go
@@ -10,27 +10,43 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Times of ownership.
 const (
+	// reviewInterval is the time between reviews of ownership and drains.
 	reviewInterval = time.Second
-	claimRetry     = 2 * time.Second  // after a failed claim, doubled each time
-	claimRetryMost = 30 * time.Second // upper bound of the same
-	settleTime     = 10 * time.Second // of stable membership before a shard is handed over
-	rankDelay      = 10 * time.Second // the n-th daemon of a shard's ranking claims it after n times this
-	doubtDelay     = 30 * time.Second // between claims of a shard that a live peer says it owns
-	tenureMost     = time.Hour        // of a shard that nobody takes over, before it is offered again
-	handOverPause  = 30 * time.Second // before a shard that was handed over is claimed again
+
+	// The delay between failed claims of a shard doubles with each failure.
+	minClaimRetry = 2 * time.Second
+	maxClaimRetry = 30 * time.Second
+
+	// stableTime is how long membership must not change before a shard is handed
+	// over to a daemon that ranks higher.
+	stableTime = 10 * time.Second
+
+	// rankDelay staggers claims: a daemon waits this long for each peer that ranks
+	// higher for the shard.
+	rankDelay = 10 * time.Second
+
+	// heldClaimDelay is the additional wait before claiming a shard that a live peer
+	// reports as its own.
+	heldClaimDelay = 30 * time.Second
+
+	// maxTenure is the longest time between two attempts to hand over a shard that
+	// no other daemon takes.
+	maxTenure = time.Hour
+
+	// handOverPause is the wait before a shard that was handed over is claimed again.
+	handOverPause = 30 * time.Second
 )
 
-// HomeShard returns the id of the shard whose ledger holds the job, by
-// rendezvous hashing over all shards of the configuration. It is empty if
+// HomeShard returns the id of the shard whose ledger holds the job. It is chosen by
+// rendezvous hashing of the job id over all shards of the configuration, and empty if
 // there are none.
 func HomeShard(c *describer.Configuration, job string) string {
 	best, most := "", uint64(0)
 	seed := xxhash.Sum64String(job)
 	for i := range c.Shards {
 		id := c.Shards[i].ID
-		weight := mix(seed, xxhash.Sum64String(id))
+		weight := mixHashes(seed, xxhash.Sum64String(id))
 		if best == "" || weight > most || weight == most && id < best {
 			best, most = id, weight
 		}
@@ -38,8 +54,8 @@
 	return best
 }
 
-// mix combines two hashes into one (the finaliser of splitmix64).
-func mix(a, b uint64) uint64 {
+// mixHashes combines two hashes into one with the finalizer of splitmix64.
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -48,74 +64,77 @@
 	return x ^ x>>31
 }
 
-// arrangeShards follows the configuration's shards of the own failure domain.
-// An owned shard that was removed is handed over.
-func (s *State) arrangeShards() {
+// updateShards adopts the configuration's shards of this failure domain. An owned shard
+// that was removed from the configuration is released.
+func (s *State) updateShards() {
 	found := make(map[string]bool)
 	for _, c := range s.config.Shards {
 		if c.Domain != s.options.Domain {
 			continue
 		}
 		found[c.ID] = true
-		h := s.shards[c.ID]
-		if h == nil {
-			h = &shard{state: s, id: c.ID, freeAt: s.now, tenure: settleTime}
-			s.shards[c.ID] = h
+		sh := s.shards[c.ID]
+		if sh == nil {
+			sh = &shard{state: s, id: c.ID, freeSince: s.now, minTenure: stableTime}
+			s.shards[c.ID] = sh
 		}
-		h.config = c
+		sh.config = c
 	}
-	for id, h := range s.shards {
+	for id, sh := range s.shards {
 		if found[id] {
 			continue
 		}
-		switch h.phase {
-		case foreign:
+		switch sh.ownership {
+		case notOwned:
 			delete(s.shards, id)
 		case owning:
-			h.phase = releasing
+			sh.ownership = releasing
 		}
 	}
-	s.order = s.order[:0]
-	for _, h := range s.shards {
-		s.order = append(s.order, h)
+	s.sortedShards = s.sortedShards[:0]
+	for _, sh := range s.shards {
+		s.sortedShards = append(s.sortedShards, sh)
 	}
-	slices.SortFunc(s.order, func(a, b *shard) int { return compareText(a.id, b.id) })
+	slices.SortFunc(s.sortedShards, func(a, b *shard) int { return compareStrings(a.id, b.id) })
 	s.reviewOwnership()
 }
 
-func (s *State) changePeers(alive []Peer) {
+// updatePeers adopts the live peers and notes when membership changed.
+func (s *State) updatePeers(alive []Peer) {
 	alive = slices.Clone(alive)
-	slices.SortFunc(alive, func(a, b Peer) int { return compareText(a.Name, b.Name) })
+	slices.SortFunc(alive, func(a, b Peer) int { return compareStrings(a.Name, b.Name) })
 	if !slices.EqualFunc(alive, s.peers, func(a, b Peer) bool {
 		return a.Name == b.Name && a.Domain == b.Domain && a.Leaving == b.Leaving
 	}) {
-		s.settled = s.now
+		s.peersChangedAt = s.now
 	}
 	s.peers = alive
-	s.published = false
+	s.tableUpToDate = false
 	s.reviewOwnership()
 }
 
-// rank returns how many live peers go before this daemon for the shard, one
-// of them not counted.
-func (s *State) rank(id, without string) int {
+// rank returns how many live peers of this failure domain rank higher than this daemon
+// as owner of the shard, by rendezvous hashing. Leaving peers and the peer named
+// excluded are not counted.
+func (s *State) rank(id, excluded string) int {
 	seed := xxhash.Sum64String(id)
-	mine := mix(seed, xxhash.Sum64String(s.options.Daemon))
-	before := 0
+	mine := mixHashes(seed, xxhash.Sum64String(s.options.Daemon))
+	higher := 0
 	for _, p := range s.peers {
-		if p.Name == s.options.Daemon || p.Name == without || p.Domain != s.options.Domain || p.Leaving {
+		if p.Name == s.options.Daemon || p.Name == excluded || p.Domain != s.options.Domain || p.Leaving {
 			continue
 		}
-		weight := mix(seed, xxhash.Sum64String(p.Name))
+		weight := mixHashes(seed, xxhash.Sum64String(p.Name))
 		if weight > mine || weight == mine && p.Name < s.options.Daemon {
-			before++
+			higher++
 		}
 	}
-	return before
+	return higher
 }
 
-// holder returns the live peer that says it owns the shard, or an empty name.
-func (s *State) holder(id string) string {
+// peerHolding returns the name of a live peer that reports the shard as its own, or an
+// empty string.
+func (s *State) peerHolding(id string) string {
 	for _, p := range s.peers {
 		if p.Name != s.options.Daemon && p.Domain == s.options.Domain && slices.Contains(p.Shards, id) {
 			return p.Name
@@ -124,176 +143,180 @@
 	return ""
 }
 
-// reviewOwnership claims and hands over shards. Views of membership may
-// differ between daemons; the store's lease decides.
+// reviewOwnership claims and hands over shards. The daemons' views of membership may
+// differ; the shard lease in the store decides who owns a shard.
 func (s *State) reviewOwnership() {
-	for _, h := range s.order {
-		switch h.phase {
-		case foreign:
-			h.considerClaim()
+	for _, sh := range s.sortedShards {
+		switch sh.ownership {
+		case notOwned:
+			sh.maybeClaim()
 		case owning:
-			h.considerRelease()
+			sh.maybeRelease()
 		}
 	}
 }
 
-func (h *shard) considerClaim() {
-	s := h.state
-	wait := time.Duration(s.rank(h.id, "")) * rankDelay
-	if holder := s.holder(h.id); holder == "" {
-		h.heldAt = time.Time{}
+// maybeClaim claims the shard after a wait that depends on the daemon's rank and on
+// whether a live peer reports the shard as its own.
+func (sh *shard) maybeClaim() {
+	s := sh.state
+	wait := time.Duration(s.rank(sh.id, "")) * rankDelay
+	if holder := s.peerHolding(sh.id); holder == "" {
+		sh.heldSince = time.Time{}
 	} else {
-		// It may be cut off from the store and not know that it lost the shard.
-		h.freeAt = time.Time{}
-		if h.heldAt.IsZero() {
-			h.heldAt = s.now
+		// The peer may be cut off from the store and not know that it lost the shard.
+		sh.freeSince = time.Time{}
+		if sh.heldSince.IsZero() {
+			sh.heldSince = s.now
 		}
-		wait = s.doubt(h, holder)
+		wait = s.heldClaimWait(sh, holder)
 	}
-	if s.stopping || s.now.Before(h.tryAt) || s.now.Sub(h.since()) < wait {
+	if s.stopping || s.now.Before(sh.nextClaimAt) || s.now.Sub(sh.claimWaitSince()) < wait {
 		return
 	}
-	h.phase = claiming
-	s.emit(Claim{Shard: h.id})
+	sh.ownership = claiming
+	s.emit(ClaimShard{Shard: sh.id})
 }
 
-// since returns from when a claim's wait counts.
-func (h *shard) since() time.Time {
-	if !h.heldAt.IsZero() {
-		return h.heldAt
+// claimWaitSince returns when the wait before the next claim began.
+func (sh *shard) claimWaitSince() time.Time {
+	if !sh.heldSince.IsZero() {
+		return sh.heldSince
 	}
-	if h.freeAt.IsZero() {
-		h.freeAt = h.state.now
+	if sh.freeSince.IsZero() {
+		sh.freeSince = sh.state.now
 	}
-	return h.freeAt
+	return sh.freeSince
 }
 
-// doubt returns how long a daemon waits before it tries to claim a shard that
-// a live peer says it owns.
-func (s *State) doubt(h *shard, holder string) time.Duration {
-	return doubtDelay + time.Duration(s.rank(h.id, holder))*rankDelay
+// heldClaimWait returns how long this daemon waits before it claims a shard that the
+// live peer holder reports as its own.
+func (s *State) heldClaimWait(sh *shard, holder string) time.Duration {
+	return heldClaimDelay + time.Duration(s.rank(sh.id, holder))*rankDelay
 }
 
-// considerRelease hands a shard to a better placed daemon once membership
-// has been stable for a while.
-func (h *shard) considerRelease() {
-	s := h.state
+// maybeRelease starts to release the shard on a planned stop, or to hand it over to a
+// daemon that ranks higher after membership has been stable for stableTime.
+func (sh *shard) maybeRelease() {
+	s := sh.state
 	if s.stopping {
-		h.phase = releasing
+		sh.ownership = releasing
 		return
 	}
-	stable := s.now.Sub(s.settled) >= settleTime && s.now.Sub(h.claimed) >= h.tenure
-	if s.rank(h.id, "") == 0 || !stable || !s.reached || h.isRecovering() || h.isRestoring() {
+	stable := s.now.Sub(s.peersChangedAt) >= stableTime && s.now.Sub(sh.claimedAt) >= sh.minTenure
+	if s.rank(sh.id, "") == 0 || !stable || !s.storeReachable || sh.hasUnsyncedRuns() || sh.hasRestoringWorker() {
 		return
 	}
-	// Whoever is better placed may be cut off from the store. If nobody takes
-	// the shard over and it comes back, it stays longer each time.
-	h.tenure = min(2*max(h.tenure, settleTime), tenureMost)
-	h.phase = releasing
+	// The daemon that ranks higher may be cut off from the store. If no daemon takes
+	// the shard and this one claims it again, it keeps it twice as long as before.
+	sh.minTenure = min(2*max(sh.minTenure, stableTime), maxTenure)
+	sh.ownership = releasing
 }
 
-// isRestoring reports whether a worker is being given its work back. The steps
-// that it has reached are in memory only; a new owner would begin them again.
-func (h *shard) isRestoring() bool {
-	for _, w := range h.order {
-		if h.state.drains[w.name].state == describer.Restoring {
+// hasRestoringWorker reports whether a worker of the shard is being restored. The
+// progress of a restore is only in memory, so a new owner would start it again.
+func (sh *shard) hasRestoringWorker() bool {
+	for _, w := range sh.sortedWorkers {
+		if sh.state.drains[w.name].state == describer.Restoring {
 			return true
 		}
 	}
 	return false
 }
 
-// isRecovering reports whether some worker with runs has not been heard yet.
-// A hand-over would begin the wait for it anew.
-func (h *shard) isRecovering() bool {
-	for _, w := range h.order {
-		if !w.heard && len(w.runs) > 0 {
+// hasUnsyncedRuns reports whether a worker with runs has not answered a sync since this
+// daemon claimed the shard. A hand-over would start the wait for it again.
+func (sh *shard) hasUnsyncedRuns() bool {
+	for _, w := range sh.sortedWorkers {
+		if !w.synced && len(w.runs) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// closeLedger writes the owner's last record. A successor need not wait for
-// this daemon to notice an outage; the leases that it granted are all there is.
-func (h *shard) closeLedger() {
-	if h.closing {
+// recordRelease writes the owner's last record, which says when all leases that it
+// granted have expired. The next owner then waits only this long for unreachable
+// workers, instead of the outage limit. No lease is granted or renewed afterwards.
+func (sh *shard) recordRelease() {
+	if sh.releaseRecorded {
 		return
 	}
-	h.closing = true
+	sh.releaseRecorded = true
 	wait := time.Duration(0)
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		if len(w.runs) > 0 {
-			wait = max(wait, w.extent.Sub(h.state.now))
+			wait = max(wait, w.leasesEnd.Sub(sh.state.now))
 		}
 	}
-	h.append(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: h.epoch}, LeaseWait: wait})
+	sh.appendRecord(describer.Record{Kind: describer.ShardReleased, Token: describer.Token{Epoch: sh.epoch}, LeaseWait: wait})
 }
 
-// handOver emits Release once every decision has been sent to the ledger.
-func (h *shard) handOver() {
-	if h.handing || !h.journal.isSent() {
+// sendRelease emits ReleaseShard once all records have been sent to the ledger.
+func (sh *shard) sendRelease() {
+	if sh.releaseSent || !sh.journal.allSent() {
 		return
 	}
-	h.handing = true
-	h.state.emit(Release{Shard: h.id, Epoch: h.epoch})
+	sh.releaseSent = true
+	sh.state.emit(ReleaseShard{Shard: sh.id, Epoch: sh.epoch})
 }
 
-func (s *State) claimFailed(e ClaimFailed) {
-	h := s.shards[e.Shard]
-	if h == nil || h.phase != claiming {
+// handleClaimFailed schedules the next claim with a growing delay.
+func (s *State) handleClaimFailed(e ClaimFailed) {
+	sh := s.shards[e.Shard]
+	if sh == nil || sh.ownership != claiming {
 		return
 	}
-	h.phase = foreign
-	wait := min(claimRetry<<min(h.tries, 8), claimRetryMost)
-	h.heldAt = time.Time{}
-	h.tries++
-	h.tryAt = s.now.Add(wait)
+	sh.ownership = notOwned
+	wait := min(minClaimRetry<<min(sh.failedClaims, 8), maxClaimRetry)
+	sh.heldSince = time.Time{}
+	sh.failedClaims++
+	sh.nextClaimAt = s.now.Add(wait)
 }
 
-// claimed replays the ledger. Started tasks keep their grants until an
-// inventory under the new epoch or the lapse of their leases says more.
-func (s *State) claimed(e ShardClaimed) {
-	h := s.shards[e.Shard]
-	if h == nil {
-		s.emit(Release{Shard: e.Shard, Epoch: e.Epoch})
+// handleClaimed rebuilds the shard from its ledger. Started tasks keep their grants until
+// an inventory under the new epoch arrives or their leases expire.
+func (s *State) handleClaimed(e ShardClaimed) {
+	sh := s.shards[e.Shard]
+	if sh == nil {
+		s.emit(ReleaseShard{Shard: e.Shard, Epoch: e.Epoch})
 		return
 	}
-	if h.book != nil {
-		h.lose()
+	if sh.view != nil {
+		sh.dropOwnership()
 	}
-	h.phase = owning
-	h.epoch = e.Epoch
-	h.book = newBook()
-	h.claimed = s.now
-	s.contact = s.now
-	h.sequence = 0
-	h.workers = make(map[string]*worker)
-	h.fleet = &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
-	h.teams = make(map[string]*team)
-	h.journal = journal{shard: h}
-	h.proposed = make(map[string]time.Time)
-	h.idle = false
-	h.passed = s.now
-	h.tries = 0
-	h.arrangeWorkers()
-	h.budget = h.newBudget(s.now)
-	h.released = describer.Record{}
-	if h.restore(e.Snapshot) != nil {
-		// A shard whose past can't be read must not decide anything.
-		h.phase = releasing
+	sh.ownership = owning
+	sh.epoch = e.Epoch
+	sh.view = newLedgerView()
+	sh.claimedAt = s.now
+	s.storeContactAt = s.now
+	sh.lastSequence = 0
+	sh.workers = make(map[string]*worker)
+	sh.fleet = &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
+	sh.teams = make(map[string]*team)
+	sh.journal = journal{shard: sh}
+	sh.proposedAt = make(map[string]time.Time)
+	sh.placementIdle = false
+	sh.lastPassAt = s.now
+	sh.failedClaims = 0
+	sh.updateWorkers()
+	sh.evictionBudget = sh.newEvictionBudget(s.now)
+	sh.formerRelease = describer.Record{}
+	if sh.restore(e.Snapshot) != nil {
+		// Without the complete state no decision would be safe.
+		sh.ownership = releasing
 		return
 	}
 	for _, r := range e.Records {
-		h.apply(r)
+		sh.apply(r)
 	}
-	h.journal.sinceSnapshot = len(e.Records)
-	for _, w := range h.order {
-		w.extent = h.formerExtent()
+	sh.journal.recordsSinceSnapshot = len(e.Records)
+	for _, w := range sh.sortedWorkers {
+		w.leasesEnd = sh.formerLeasesEnd()
 	}
-	for _, w := range slices.Clone(h.order) { // sync may forget one
-		h.refresh(w)
-		h.sync(w)
+	for _, w := range slices.Clone(sh.sortedWorkers) { // sendSync may remove a worker
+		sh.updateClosed(w)
+		sh.sendSync(w)
 	}
-	s.published = false
+	s.tableUpToDate = false
 }
--- a/internal/control/reducer/plan.go
+++ b/internal/control/reducer/plan.go
@@ -10,24 +10,24 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// maxPlanned is how many pending tasks a plan looks at.
+// maxPlanned is the number of pending tasks of one shard that a plan considers.
 const maxPlanned = 5000
 
-// plan answers with the steps that an intent takes on the shards owned here.
-// A job is planned by the owner of its shard alone.
-func (s *State) plan(e PlanRequested) {
+// replyPlan answers with the steps that the intent would take on the shards owned here.
+// An intent about a job is planned only by the owner of the job's shard.
+func (s *State) replyPlan(e PlanRequested) {
 	fleets := make(map[string]*accountant.Fleet)
 	var pending []placer.Request
-	for _, h := range s.order {
-		if h.book == nil || h.phase != owning || !s.isConcerned(h, e.Intent) {
+	for _, sh := range s.sortedShards {
+		if sh.view == nil || sh.ownership != owning || !s.isAffected(sh, e.Intent) {
 			continue
 		}
-		fleets[h.id] = h.fleet
-		pending = h.waiting(pending)
+		fleets[sh.id] = sh.fleet
+		pending = sh.appendPending(pending)
 	}
 	steps, expected, err := planner.Steps(s.config, e.Intent, fleets, pending, s.now)
 	if err != nil {
-		s.reply(Reply{Request: e.Request, Err: asError(err)})
+		s.reply(Reply{Request: e.Request, Err: toError(err)})
 		return
 	}
 	s.reply(Reply{Request: e.Request, Plan: &describer.Plan{
@@ -40,26 +40,29 @@
 	}})
 }
 
-func (s *State) isConcerned(h *shard, intent describer.Intent) bool {
+// isAffected reports whether the intent may concern the shard.
+func (s *State) isAffected(sh *shard, intent describer.Intent) bool {
 	if intent.Job == nil {
 		return true
 	}
-	_, known := h.book.jobs[intent.Job.ID]
-	return known || HomeShard(&s.config, intent.Job.ID) == h.id
+	_, known := sh.view.jobs[intent.Job.ID]
+	return known || HomeShard(&s.config, intent.Job.ID) == sh.id
 }
 
-// waiting adds the shard's pending tasks, in the order of their teams' names.
-func (h *shard) waiting(out []placer.Request) []placer.Request {
-	for _, name := range sortedKeys(h.teams) {
-		h.teams[name].pending.Ascend(func(t *task) bool {
-			out = append(out, h.request(t))
+// appendPending appends placement requests for the shard's pending tasks, ordered by
+// the names of their teams.
+func (sh *shard) appendPending(out []placer.Request) []placer.Request {
+	for _, name := range sortedKeys(sh.teams) {
+		sh.teams[name].pending.Ascend(func(t *task) bool {
+			out = append(out, sh.placementRequest(t))
 			return len(out) < maxPlanned
 		})
 	}
 	return out
 }
 
-func asError(err error) *classifier.Error {
+// toError returns err as a classified error; unclassified ones get status 500.
+func toError(err error) *classifier.Error {
 	var e *classifier.Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -12,27 +12,28 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// Policies are the exchangeable decisions. Nil ones have defaults.
+// Policies are the replaceable parts of the decisions. Zero values have defaults.
 type Policies struct {
-	Place    placer.Policy    // default placer.Default with the learner
-	Learner  *learner.Learner // of interference
-	Escalate escalator.Options
-	Restore  restorer.Options
+	Placement   placer.Policy    // chooses workers for tasks; the default is placer.Default with Learner
+	Learner     *learner.Learner // estimates how batch tasks slow down services
+	Escalation  escalator.Options
+	Restoration restorer.Options
 }
 
-// The budget of evictions that one shard spends on latency and on urgent work.
+// The eviction budget of a shard limits evictions for the latency of services and for
+// urgent tasks. It is a token bucket.
 const (
-	evictionBurst = 4.0
-	evictionShare = 0.25 // evictions an hour for each worker
+	evictionBurst = 4.0  // capacity in evictions
+	evictionRate  = 0.25 // evictions per hour and worker
 )
 
-// adaptPolicies follows the targets and weights of the configuration.
-func (s *State) adaptPolicies() {
+// updatePolicies adopts the services and weights of the configuration.
+func (s *State) updatePolicies() {
 	s.services = make(map[string]describer.Service, len(s.config.Services))
 	for _, one := range s.config.Services {
 		s.services[one.Name] = one
 	}
-	s.placer = s.policies.Place
+	s.placer = s.policies.Placement
 	if s.placer == nil {
 		s.placer = placer.InterferenceAware{
 			Learner:  s.policies.Learner,
@@ -42,37 +43,41 @@
 	}
 }
 
-// observe takes in what an inventory reports on use and latency.
-func (h *shard) observe(w *worker, in *runner.Synced) {
+// observeInventory processes the resource use and latencies that an inventory reports:
+// it escalates if services are slow, and resizes grants.
+func (sh *shard) observeInventory(w *worker, in *runner.SyncResult) {
 	fresh := false
 	for i := range in.Latency {
-		fresh = h.observeLatency(w, &in.Latency[i]) || fresh
+		fresh = sh.observeLatency(w, &in.Latency[i]) || fresh
 	}
-	if !h.isDeciding() || !h.state.reached {
+	if !sh.isWritable() || !sh.state.storeReachable {
 		return
 	}
 	if fresh {
-		h.escalate(w)
+		sh.escalate(w)
 	}
-	h.adaptGrants(w, in.Running)
+	sh.adaptGrants(w, in.Running)
 }
 
-// observeLatency teaches the learner what the interval's colocation cost.
-func (h *shard) observeLatency(w *worker, l *runner.Latency) bool {
+// observeLatency passes the latency of a service, with the batch tasks that ran next to
+// it in the reported interval, to the learner. It reports false if the report is not
+// newer than the last one.
+func (sh *shard) observeLatency(w *worker, l *runner.LatencyReport) bool {
 	if last, ok := w.account.Reports[l.Service]; ok && !l.To.After(last.To) {
 		return false
 	}
 	if w.account.Reports == nil {
-		w.account.Reports = make(map[string]runner.Latency)
+		w.account.Reports = make(map[string]runner.LatencyReport)
 	}
 	w.account.Reports[l.Service] = *l
-	if shares, ok := h.state.timeline.Average(w.name, l.From, l.To); ok {
-		h.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
+	if shares, ok := sh.state.timeline.Average(w.name, l.From, l.To); ok {
+		sh.state.policies.Learner.Observe(learner.Sample{Worker: w.name, Latency: *l, Shares: shares})
 	}
 	return true
 }
 
-func (h *shard) observeRun(w *worker, r *runner.Running) {
+// observeRun updates the use and progress of a run.
+func (sh *shard) observeRun(w *worker, r *runner.ActiveRun) {
 	g, ok := w.account.Grants[r.Task]
 	if !ok {
 		return
@@ -80,106 +85,113 @@
 	g.Used = r.Used
 	g.Progress = r.Progress
 	w.account.Grants[r.Task] = g
-	h.state.usage.Observe(g)
+	sh.state.usage.Observe(g)
 }
 
-// escalate relieves the worker's services, in order of cost.
-func (h *shard) escalate(w *worker) {
+// escalate takes measures against slow services on the worker, the cheapest first.
+func (sh *shard) escalate(w *worker) {
 	actions := escalator.Decide(escalator.Input{
-		Now:           h.state.now,
+		Now:           sh.state.now,
 		Worker:        w.account,
-		Services:      h.state.services,
-		Learner:       h.state.policies.Learner,
-		State:         &w.escalation,
-		Budget:        h.budget,
-		Options:       h.state.policies.Escalate,
-		LatencyBounds: h.bounds(w),
+		Services:      sh.state.services,
+		Learner:       sh.state.policies.Learner,
+		State:         &w.escalationState,
+		Budget:        sh.evictionBudget,
+		Options:       sh.state.policies.Escalation,
+		LatencyBounds: sh.latencyBounds(w),
 	})
 	for _, a := range actions {
-		h.act(w, a)
+		sh.applyAction(w, a)
 	}
 }
 
-// limiter is a placement policy that also limits what runs already.
-type limiter interface {
-	// LatencyBounds returns the latency that batch tasks may bring each service to.
+// runLimiter is an optional interface of placement policies that also limit runs after
+// their start.
+type runLimiter interface {
+	// LatencyBounds returns for each service the greatest latency that batch tasks may cause.
 	LatencyBounds(w *accountant.Worker) map[string]time.Duration
-	// MayGrow weighs a greater grant like a placement.
+	// MayGrow reports whether a grant may grow, by the rules for placements.
 	MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool
 }
 
-func (h *shard) bounds(w *worker) map[string]time.Duration {
-	if l, ok := h.state.placer.(limiter); ok {
+// latencyBounds returns the bounds of the placement policy, or nil if it has none.
+func (sh *shard) latencyBounds(w *worker) map[string]time.Duration {
+	if l, ok := sh.state.placer.(runLimiter); ok {
 		return l.LatencyBounds(w.account)
 	}
 	return nil
 }
 
-func (h *shard) mayGrow(t *task, w *worker, cpu int64) bool {
-	l, ok := h.state.placer.(limiter)
+// mayGrow reports whether the placement policy allows the run a processor grant of cpu
+// millicores.
+func (sh *shard) mayGrow(t *task, w *worker, cpu int64) bool {
+	l, ok := sh.state.placer.(runLimiter)
 	if !ok {
 		return true
 	}
 	to := t.granted
 	to.CPU = cpu
-	return l.MayGrow(w.account, w.account.Grants[t.id()], to, h.state.now)
+	return l.MayGrow(w.account, w.account.Grants[t.id()], to, sh.state.now)
 }
 
-func (h *shard) act(w *worker, a escalator.Action) {
+// applyAction carries out one measure of the escalator, unless the run has ended or its
+// start is not confirmed.
+func (sh *shard) applyAction(w *worker, a escalator.Action) {
 	if a.Kind == escalator.BlockBatch {
 		w.account.BatchBlockedUntil = a.Until
 		return
 	}
-	t := h.book.task(a.Task)
-	if t == nil || t.state != describer.Started || t.token != a.Token || t.phase != confirmed {
+	t := sh.view.task(a.Task)
+	if t == nil || t.state != describer.Started || t.token != a.Token || t.startPhase != startConfirmed {
 		return
 	}
 	switch a.Kind {
 	case escalator.Unthrottle:
-		h.setCeiling(t, 0)
-		h.grow(t, a.CPU)
+		sh.setCeiling(t, 0)
+		sh.grow(t, a.CPU)
 	case escalator.Throttle:
-		h.setCeiling(t, a.CPU)
-		h.shrink(t, a.CPU)
+		sh.setCeiling(t, a.CPU)
+		sh.shrink(t, a.CPU)
 	case escalator.Move:
-		h.end(t, stopping{reason: reasonEvicted, checkpoint: true})
+		sh.stopRun(t, stopRequest{reason: reasonEvicted, checkpoint: true})
 	case escalator.Stop:
-		h.end(t, stopping{reason: reasonEvicted})
+		sh.stopRun(t, stopRequest{reason: reasonEvicted})
 	}
 }
 
-// setCeiling keeps a run that is throttled for a service from growing.
-func (h *shard) setCeiling(t *task, cpu int64) {
-	w := h.worker(t.worker)
+// setCeiling keeps a run that is throttled for the sake of a service from growing above
+// cpu millicores; 0 removes the ceiling.
+func (sh *shard) setCeiling(t *task, cpu int64) {
+	w := sh.ensureWorker(t.worker)
 	if g, ok := w.account.Grants[t.id()]; ok {
 		g.ThrottledTo = cpu
 		w.account.Grants[t.id()] = g
 	}
 }
 
-// want is what a run of the task is granted: what its class was measured to
-// use rather than what was declared.
-func (h *shard) want(t *task) describer.Resources {
+// wantedGrant returns the resources to grant to a run of the task. For batch tasks it is
+// the measured use of their class rather than what was declared.
+func (sh *shard) wantedGrant(t *task) describer.Resources {
 	if t.job.Kind == describer.LatencyCritical {
 		return t.job.Declared
 	}
-	return placer.SizeGrant(&h.state.usage, t.job.Job, unlimited)
+	return placer.SizeGrant(&sh.state.usage, t.job.Job, unlimited)
 }
 
-// unlimited is larger than any worker.
+// unlimited is larger than the capacity of any worker.
 var unlimited = describer.Resources{CPU: 1 << 40, Memory: 1 << 40, Accelerators: 1 << 20}
 
-// room returns what a new grant for the task may take on the worker.
-func room(t *task, w *accountant.Worker) describer.Resources {
+// roomFor returns the largest grant that the task may get on the worker now.
+func roomFor(t *task, w *accountant.Worker) describer.Resources {
 	if t.job.Kind == describer.Batch {
 		return w.FreeForBatch()
 	}
 	return w.Free()
 }
 
-// interference returns the slow-down of the worker's services by the batch
-// tasks that run there, 0 is none.
-func (h *shard) interference(w *worker) float64 {
+// interference returns the estimated slowdown of the worker's services by the batch
+// tasks that run there, for the service that suffers most; 0 means none.
+func (sh *shard) interference(w *worker) float64 {
 	shares := w.account.BatchShares()
 	if len(shares) == 0 {
 		return 0
@@ -187,16 +199,17 @@
 	worst := 0.0
 	for _, service := range w.account.Host.Services {
 		load := w.account.Reports[service].Load
-		if _, seen := h.state.policies.Learner.Baseline(service, load); !seen {
+		if _, seen := sh.state.policies.Learner.Baseline(service, load); !seen {
 			continue
 		}
-		mean, _ := h.state.policies.Learner.Slowdown(service, shares, load)
+		mean, _ := sh.state.policies.Learner.Slowdown(service, shares, load)
 		worst = max(worst, mean)
 	}
 	return worst
 }
 
-// newBudget returns the shard's budget of evictions.
-func (h *shard) newBudget(now time.Time) *escalator.Budget {
-	return escalator.NewBudget(evictionBurst, evictionShare*float64(max(len(h.order), 4)), now)
+// newEvictionBudget returns a full eviction budget for the shard's number of workers, at
+// least four.
+func (sh *shard) newEvictionBudget(now time.Time) *escalator.Budget {
+	return escalator.NewBudget(evictionBurst, evictionRate*float64(max(len(sh.sortedWorkers), 4)), now)
 }
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -16,30 +16,32 @@
 	maxID      = 200      // bytes
 )
 
-// Times to come back that refusals state.
+// Delays after which callers are told to retry a refused request.
 const (
-	storeRetry = 5 * time.Second
-	ownerRetry = 2 * time.Second
-	lostRetry  = 2 * time.Second
-	fullRetry  = 10 * time.Second
+	storeRetry     = 5 * time.Second
+	ownerRetry     = 2 * time.Second
+	ownerLostRetry = 2 * time.Second
+	overloadRetry  = 10 * time.Second
 )
 
-// refusal is a failure to be told to a caller.
+// refusal describes an error reply.
 type refusal struct {
-	status  int // default 503
-	code    string
-	field   string
+	status  int    // HTTP status; 0 means 503
+	code    string // error code for programs
+	field   string // request field that is wrong, if any
 	message string
-	verdict classifier.Verdict
-	retry   time.Duration
+	verdict classifier.Verdict // whether the request may have had an effect
+	retry   time.Duration      // delay after which the caller may retry; 0 if that is no use
 }
 
+// reply emits the reply, unless the event asked for none.
 func (s *State) reply(r Reply) {
 	if r.Request != 0 {
 		s.emit(r)
 	}
 }
 
+// refuse replies with an error.
 func (s *State) refuse(request RequestID, r refusal) {
 	if r.status == 0 {
 		r.status = http.StatusServiceUnavailable
@@ -57,175 +59,184 @@
 func notOwner() refusal {
 	return refusal{
 		code: "not-owner", verdict: classifier.NotRun, retry: ownerRetry,
-		message: "this daemon doesn't own the shard",
+		message: "this daemon does not own the shard",
 	}
 }
 
-func storeAway() refusal {
+func storeUnavailable() refusal {
 	return refusal{
 		code: "store-unavailable", verdict: classifier.NotRun, retry: storeRetry,
-		message: "the store doesn't answer and nothing was recorded",
+		message: "the store is unreachable; nothing was recorded",
 	}
 }
 
-// deciding returns the shard if it may record new decisions, or refuses.
-func (s *State) deciding(request RequestID, id string) *shard {
-	h := s.shards[id]
+// writableShard returns the shard if it may record new decisions. Otherwise it refuses
+// the request and returns nil.
+func (s *State) writableShard(request RequestID, id string) *shard {
+	sh := s.shards[id]
 	switch {
-	case h == nil || h.book == nil || !h.isDeciding():
+	case sh == nil || sh.view == nil || !sh.isWritable():
 		s.refuse(request, notOwner())
-	case !s.reached:
-		s.refuse(request, storeAway())
-	case h.journal.isFull():
+	case !s.storeReachable:
+		s.refuse(request, storeUnavailable())
+	case sh.journal.isFull():
 		s.refuse(request, refusal{
-			code: "overloaded", verdict: classifier.NotRun, retry: fullRetry,
-			message: "too many records wait for the store",
+			code: "overloaded", verdict: classifier.NotRun, retry: overloadRetry,
+			message: "too many records are waiting to be written to the store",
 		})
 	default:
-		return h
+		return sh
 	}
 	return nil
 }
 
-// submit accepts a job once. The answer waits until that is durable.
-func (s *State) submit(e Submitted) {
+// submit accepts a job and replies once that is durable. A repeated submission is
+// answered with the state of the accepted job.
+func (s *State) submit(e SubmitRequested) {
 	if r, ok := s.validate(&e.Job); !ok {
 		s.refuse(e.Request, r)
 		return
 	}
-	if h, j := s.find(e.Job.ID); j != nil {
-		h.resubmit(e, j)
+	if sh, j := s.findJob(e.Job.ID); j != nil {
+		sh.resubmit(e, j)
 		return
 	}
-	h := s.deciding(e.Request, HomeShard(&s.config, e.Job.ID))
-	if h == nil {
+	sh := s.writableShard(e.Request, HomeShard(&s.config, e.Job.ID))
+	if sh == nil {
 		return
 	}
 	accepted := e.Job
 	accepted.Accepted = s.now
-	h.append(describer.Record{Kind: describer.JobAccepted, Job: &accepted})
-	j := h.book.jobs[accepted.ID]
-	j.batch = h.journal.next()
-	h.journal.then(consequence{request: e.Request, job: j})
+	sh.appendRecord(describer.Record{Kind: describer.JobAccepted, Job: &accepted})
+	j := sh.view.jobs[accepted.ID]
+	j.lastBatch = sh.journal.nextBatch()
+	sh.journal.whenDurable(followUp{request: e.Request, job: j})
 }
 
-// resubmit answers a repeated submission with the job's state.
-func (h *shard) resubmit(e Submitted, j *job) {
+// resubmit answers a repeated submission with the job's state, and refuses a different
+// job with the same id.
+func (sh *shard) resubmit(e SubmitRequested, j *job) {
 	if !isSameJob(&e.Job, j.Job) {
-		h.state.refuse(e.Request, refusal{
+		sh.state.refuse(e.Request, refusal{
 			status: http.StatusConflict, code: "conflict", field: "id",
-			verdict: classifier.NotRun, message: "another job has this id",
+			verdict: classifier.NotRun, message: "a different job with this id exists",
 		})
 		return
 	}
-	h.answer(e.Request, j)
+	sh.replyWhenDurable(e.Request, j)
 }
 
+// isSameJob reports whether two submissions are equal in all that callers specify.
 func isSameJob(a, b *describer.Job) bool {
 	return a.Team == b.Team && a.Class == b.Class && a.Kind == b.Kind && a.Priority == b.Priority &&
 		a.Tasks == b.Tasks && a.Declared == b.Declared && a.RunTime == b.RunTime &&
 		a.Deadline.Equal(b.Deadline) && bytes.Equal(a.Payload, b.Payload)
 }
 
-// find returns the job and its shard if it is in a book here.
-func (s *State) find(id string) (*shard, *job) {
-	for _, h := range s.order {
-		if h.book == nil {
+// findJob returns the job and its shard if an owned shard has it, or nil.
+func (s *State) findJob(id string) (*shard, *job) {
+	for _, sh := range s.sortedShards {
+		if sh.view == nil {
 			continue
 		}
-		if j := h.book.jobs[id]; j != nil {
-			return h, j
+		if j := sh.view.jobs[id]; j != nil {
+			return sh, j
 		}
 	}
 	return nil, nil
 }
 
-// answer replies with the job's state once what it says is durable.
-func (h *shard) answer(request RequestID, j *job) {
+// replyWhenDurable replies with the job's state once all records behind it are durable.
+// It refuses the request if they are not and the store is unreachable.
+func (sh *shard) replyWhenDurable(request RequestID, j *job) {
 	switch {
-	case h.journal.isDurable(j.batch):
-		h.state.reply(Reply{Request: request, Job: h.jobStatus(j)})
-	case !h.state.reached:
-		h.state.refuse(request, storeAway())
+	case sh.journal.isDurable(j.lastBatch):
+		sh.state.reply(Reply{Request: request, Job: sh.jobStatus(j)})
+	case !sh.state.storeReachable:
+		sh.state.refuse(request, storeUnavailable())
 	default:
-		h.journal.then(consequence{request: request, job: j})
+		sh.journal.whenDurable(followUp{request: request, job: j})
 	}
 }
 
-// locate finds a job for a caller, or refuses.
-func (s *State) locate(request RequestID, id string) (*shard, *job) {
-	if h, j := s.find(id); j != nil {
-		return h, j
+// findJobOrRefuse returns the job and its shard. Otherwise it refuses the request and
+// returns nil.
+func (s *State) findJobOrRefuse(request RequestID, id string) (*shard, *job) {
+	if sh, j := s.findJob(id); j != nil {
+		return sh, j
 	}
 	home := s.shards[HomeShard(&s.config, id)]
-	if home == nil || home.book == nil || home.phase != owning {
+	if home == nil || home.view == nil || home.ownership != owning {
 		s.refuse(request, notOwner())
 		return nil, nil
 	}
 	s.refuse(request, refusal{
 		status: http.StatusNotFound, code: "unknown-job", field: "id",
-		verdict: classifier.NotRun, message: "no job has this id",
+		verdict: classifier.NotRun, message: "unknown job id",
 	})
 	return nil, nil
 }
 
-func (s *State) inquire(e Inquired) {
-	if h, j := s.locate(e.Request, e.Job); j != nil {
-		h.answer(e.Request, j)
+func (s *State) replyJobStatus(e JobStatusRequested) {
+	if sh, j := s.findJobOrRefuse(e.Request, e.Job); j != nil {
+		sh.replyWhenDurable(e.Request, j)
 	}
 }
 
-// cancel ends a job: what is pending never starts, what may run is stopped.
-func (s *State) cancel(e Cancelled) {
-	h, j := s.locate(e.Request, e.Job)
+// cancel cancels a job: pending tasks never start, and runs are stopped once the
+// cancellation is durable.
+func (s *State) cancel(e CancelRequested) {
+	sh, j := s.findJobOrRefuse(e.Request, e.Job)
 	if j == nil {
 		return
 	}
 	if j.cancelled || j.isOver() {
-		h.answer(e.Request, j)
+		sh.replyWhenDurable(e.Request, j)
 		return
 	}
-	if s.deciding(e.Request, h.id) == nil {
+	if s.writableShard(e.Request, sh.id) == nil {
 		return
 	}
-	h.append(describer.Record{Kind: describer.JobCancelled, JobID: j.ID})
-	j.batch = h.journal.next()
-	h.journal.then(consequence{request: e.Request, job: j, halt: true})
+	sh.appendRecord(describer.Record{Kind: describer.JobCancelled, JobID: j.ID})
+	j.lastBatch = sh.journal.nextBatch()
+	sh.journal.whenDurable(followUp{request: e.Request, job: j, stopRuns: true})
 }
 
-// halt stops what a cancelled job has running.
-func (h *shard) halt(j *job) {
+// stopRuns stops the runs of a cancelled job.
+func (sh *shard) stopRuns(j *job) {
 	for i := range j.tasks {
-		h.end(&j.tasks[i], stopping{reason: "cancelled"})
+		sh.stopRun(&j.tasks[i], stopRequest{reason: "cancelled"})
 	}
 }
 
+// validate checks a submitted job. It returns a refusal and false if the job is invalid
+// or no configuration is known.
 func (s *State) validate(j *describer.Job) (refusal, bool) {
 	var field, message string
 	switch {
 	case j.ID == "" || len(j.ID) > maxID:
-		field, message = "id", "the id must have 1 to 200 bytes"
+		field, message = "id", "the id must be 1 to 200 bytes long"
 	case j.Team == "":
-		field, message = "team", "a team is needed"
+		field, message = "team", "the team must not be empty"
 	case s.config.Revision == 0:
 		return refusal{
 			code: "not-ready", verdict: classifier.NotRun, retry: ownerRetry,
-			message: "no configuration is known yet",
+			message: "the daemon has no configuration yet",
 		}, false
 	case !s.hasTeam(j.Team):
-		field, message = "team", "the team is unknown"
+		field, message = "team", "the team is not in the configuration"
 	case j.Kind > describer.LatencyCritical:
-		field, message = "kind", "the kind is unknown"
+		field, message = "kind", "unknown kind of job"
 	case j.Priority > describer.Urgent:
-		field, message = "priority", "the priority is unknown"
+		field, message = "priority", "unknown priority"
 	case j.Tasks < 1 || j.Tasks > maxTasks:
-		field, message = "tasks", "a job has 1 to 10000 tasks"
+		field, message = "tasks", "a job must have 1 to 10000 tasks"
 	case !j.Declared.IsValid():
-		field, message = "declared", "the declared resources must be positive"
+		field, message = "declared", "the declared resources must not be negative or all zero"
 	case j.RunTime < 0:
-		field, message = "runtime", "the run time can't be negative"
+		field, message = "runtime", "the run time must not be negative"
 	case len(j.Payload) > maxPayload:
-		field, message = "payload", "the payload is larger than 64 KiB"
+		field, message = "payload", "the payload must not exceed 64 KiB"
 	default:
 		return refusal{}, true
 	}
--- a/internal/control/reducer/task.go
+++ b/internal/control/reducer/task.go
@@ -7,28 +7,29 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// Reasons of releases that count differently.
+// Reasons of releases that have an effect of their own. They are stored in ledgers.
 const (
-	reasonNotBegun = "not begun" // the run never began
-	reasonEvicted  = "evicted"   // for services or for urgent work
+	reasonNotStarted = "not begun" // the run never started, so the task has not run
+	reasonEvicted    = "evicted"   // stopped for a service or an urgent task; counts as an eviction
 )
 
 // job is an accepted job with its tasks.
 type job struct {
 	*describer.Job
-	order     uint64 // of acceptance
+	seq       uint64 // sequence number of the acceptance within the shard
 	tasks     []task
-	counts    [describer.Failed + 1]int
+	counts    [describer.Failed + 1]int // number of tasks by state
 	cancelled bool
-	ended     time.Time
-	batch     int64 // of the latest record that a caller may hear of
+	endedAt   time.Time
+	lastBatch int64 // batch of the latest record that shows in the job's status
 }
 
+// isOver reports whether no task is pending or started.
 func (j *job) isOver() bool {
 	return j.counts[describer.Pending] == 0 && j.counts[describer.Started] == 0
 }
 
-// mayHaveRun reports whether any task may have begun.
+// mayHaveRun reports whether any task has run or may have.
 func (j *job) mayHaveRun() bool {
 	for i := range j.tasks {
 		if j.tasks[i].ran || j.tasks[i].state == describer.Started {
@@ -38,18 +39,19 @@
 	return false
 }
 
-// phase is what the owner knows about the start of a task's run.
-type phase uint8
+// startPhase is what the owner knows about the start of a task's current run.
+type startPhase uint8
 
 const (
-	decided   phase = iota // recorded, the worker was not asked
-	asked                  // StartTask without an answer yet
-	uncertain              // the answer was lost
-	confirmed              // the worker said that it runs
-	adopted                // recorded by a former owner
+	startRecorded   startPhase = iota // recorded; the worker has not been called yet
+	startSent                         // StartTask was emitted and has no outcome yet
+	startUnanswered                   // StartTask failed; the run may have started
+	startConfirmed                    // the worker confirmed that the run started
+	startAdopted                      // recorded by a former owner; not confirmed yet
 )
 
-// task is the state of one task. The fields above the line are durable.
+// task is the state of one task. The fields before startPhase are part of snapshots; the
+// others are only in memory.
 type task struct {
 	job        *job
 	worker     string
@@ -66,33 +68,34 @@
 	state      describer.TaskState
 	ran        bool
 
-	phase      phase
-	queued     bool
-	slot       int32     // in worker.runs
-	call       uint64    // worker.calls when the start was confirmed
-	seen       uint64    // worker.calls of the latest inventory that named it
-	batch      int64     // of the latest record
-	stop       *stopping // a stop is wanted
-	shrinkTo   int64     // processors of a throttle that no inventory shows yet; 0 is none
-	shrinkFrom int64     // sequence of the first such throttle
-	policy     string    // why it isn't placed
+	startPhase     startPhase
+	queued         bool
+	slot           int32        // index in worker.runs
+	confirmedSync  uint64       // value of worker.syncs when the start was confirmed
+	seenSync       uint64       // value of worker.syncs at the latest inventory that listed the run
+	lastBatch      int64        // batch of the latest record about the task
+	stop           *stopRequest // decision to stop the run; nil if there is none
+	shrinkTo       int64        // millicores of a smaller grant that no inventory shows yet; 0 if there is none
+	shrinkSequence int64        // sequence number of the first throttle to shrinkTo
+	pendingReason  string       // why the task is not placed; empty if unknown
 }
 
 func (t *task) id() describer.TaskID {
 	return describer.TaskID{Job: t.job.ID, Index: int(t.index)}
 }
 
-func (t *task) start(r describer.Record) {
+// applyStart begins a run.
+func (t *task) applyStart(r describer.Record) {
 	t.state = describer.Started
 	t.worker = r.Worker
 	t.token = r.Token
 	t.granted = r.Granted
-	t.phase = adopted
+	t.startPhase = startAdopted
 }
 
-// release ends a run without a result. The task waits to resume.
-func (t *task) release(r describer.Record) {
-	t.ran = t.ran || r.Reason != reasonNotBegun
+// applyRelease ends a run without a result. The task is pending until it can resume.
+func (t *task) applyRelease(r describer.Record) {
+	t.ran = t.ran || r.Reason != reasonNotStarted
 	if r.Checkpoint != "" {
 		t.checkpoint = r.Checkpoint
 	}
@@ -103,28 +106,31 @@
 		t.evictions++
 	}
 	t.reason = r.Reason
-	t.end(describer.Pending)
+	t.endRun(describer.Pending)
 }
 
-func (t *task) fail(r describer.Record) {
+// applyFailure ends a run that failed. The task is pending until it is tried again.
+func (t *task) applyFailure(r describer.Record) {
 	t.ran = true
 	t.attempts++
-	t.failedOn = addText(t.failedOn, t.worker)
+	t.failedOn = appendUnique(t.failedOn, t.worker)
 	t.reason = r.Reason
-	t.end(describer.Pending)
+	t.endRun(describer.Pending)
 }
 
-func (t *task) finish(r describer.Record) {
+// applyFinish stores the result of the task.
+func (t *task) applyFinish(r describer.Record) {
 	t.ran = true
 	t.result = r.Result
 	t.reason = ""
 	t.drainedOff = ""
 	t.failedOn = nil
-	t.end(describer.Done)
+	t.endRun(describer.Done)
 }
 
-// end leaves the run behind. A task of a cancelled job never starts again.
-func (t *task) end(state describer.TaskState) {
+// endRun clears the run and sets the task's new state. A task of a cancelled job becomes
+// cancelled whatever the state.
+func (t *task) endRun(state describer.TaskState) {
 	if t.job.cancelled {
 		state = describer.Cancelled
 	}
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -10,120 +10,126 @@
 	"dotterelcart.dev/dotterelcart/internal/control/restorer"
 )
 
-// Bounds on workers.
 const (
-	silentAfter  = 3               // unanswered inventories in a row before leases are left to lapse
-	refusalPause = 5 * time.Second // without placements after a refused start
+	// maxMissedSyncs is the number of unanswered syncs in a row after which a worker
+	// counts as unreachable: it gets no tasks and its leases are left to expire.
+	maxMissedSyncs = 3
+
+	// refusalPause is how long nothing is placed on a worker that refused a start.
+	refusalPause = 5 * time.Second
 )
 
-// worker is the owner's view of one worker.
+// worker is the state of one worker as its shard's owner knows it.
 type worker struct {
-	name    string
-	account *accountant.Worker
-	listed  bool // in the host list
-	runs    []*task
-	stops   int // stops without an answer
-
-	calls    uint64        // inventories asked for
-	calling  bool          // one is without an answer
-	called   time.Time     // when it was asked for
-	heard    bool          // an inventory under this epoch has come
-	failures int           // unanswered in a row
-	clock    time.Time     // of the worker, by its latest inventory
-	clockAt  time.Time     // when that call began
-	slack    time.Duration // how long that call took at most
-	due      time.Time     // of the next inventory
-	lapsing  bool          // a timer for the lapse of its leases is set
-	extent   time.Time     // no lease given so far lasts longer, margin not counted
-	acks     []describer.TaskID
-	ackRuns  []describer.Token
-	pause    time.Time // no placements before
-
-	evidence   evidence
-	probing    bool // one task may be placed in spite of being set aside
-	restore    restorer.State
-	held       string    // what holds its restore back
-	batch      int64     // of the record that it is restored
-	resized    time.Time // when grants were last adapted to use
-	slower     float64   // published interference
-	escalation escalator.State
-	gone       time.Time // since when it is missing in the host list
+	name         string
+	account      *accountant.Worker
+	listed       bool // whether the host list has it
+	runs         []*task
+	pendingStops int // stops that have no answer yet
+
+	syncs          uint64             // number of syncs sent
+	syncPending    bool               // whether the latest sync has no outcome yet
+	syncSentAt     time.Time          // time of the latest sync
+	synced         bool               // whether it has answered a sync under this epoch
+	missedSyncs    int                // unanswered syncs in a row
+	clock          time.Time          // the worker's clock at its latest inventory
+	clockReadAt    time.Time          // this daemon's clock at the start of that sync
+	clockError     time.Duration      // upper bound of the duration of that sync
+	nextSyncAt     time.Time          // time of the next scheduled sync
+	lapseScheduled bool               // whether a timer for the expiry of its leases is set
+	leasesEnd      time.Time          // end of the longest lease granted so far, without the margin
+	ackTasks       []describer.TaskID // finished runs to acknowledge with the next sync
+	ackTokens      []describer.Token  // tokens of the runs in ackTasks
+	pausedUntil    time.Time          // nothing is placed before this time
+
+	failureStreak   failureStreak
+	probeAllowed    bool // whether one task may be placed in spite of the quarantine
+	restoreState    restorer.State
+	restoreHold     string    // what delays its restore; empty if nothing does
+	restoredBatch   int64     // batch of the record that its restore is complete
+	resizedAt       time.Time // last time that grants were adapted to use
+	interference    float64   // interference in the latest routing table
+	escalationState escalator.State
+	missingSince    time.Time // time from which the host list lacks it; zero if it is listed
 }
 
-func (s *State) arrangeWorkers() {
-	for _, h := range s.order {
-		if h.book != nil {
-			h.arrangeWorkers()
+func (s *State) updateWorkers() {
+	for _, sh := range s.sortedShards {
+		if sh.view != nil {
+			sh.updateWorkers()
 		}
 	}
 }
 
-// arrangeWorkers follows the host list and the shard's racks. A worker that
-// vanished from the lagging list stays as long as it has grants.
-func (h *shard) arrangeWorkers() {
-	racks := make(map[string]bool, len(h.config.Racks))
-	for _, rack := range h.config.Racks {
+// updateWorkers adopts the workers of the shard's racks from the host list. A worker that
+// is no longer listed stays as long as it has runs, because the list may be out of date.
+func (sh *shard) updateWorkers() {
+	racks := make(map[string]bool, len(sh.config.Racks))
+	for _, rack := range sh.config.Racks {
 		racks[rack] = true
 	}
-	for _, w := range h.order {
+	for _, w := range sh.sortedWorkers {
 		w.listed = false
 	}
-	for i := range h.state.hosts {
-		host := &h.state.hosts[i]
-		if host.Role == describer.Worker && host.Domain == h.config.Domain && racks[host.Rack] {
-			h.list(host)
+	for i := range sh.state.hosts {
+		host := &sh.state.hosts[i]
+		if host.Role == describer.Worker && host.Domain == sh.config.Domain && racks[host.Rack] {
+			sh.updateListed(host)
 		}
 	}
-	for _, w := range slices.Clone(h.order) {
-		h.review(w)
+	for _, w := range slices.Clone(sh.sortedWorkers) {
+		sh.reviewWorker(w)
 	}
 }
 
-// list takes in a line of the host list. The capacity that the worker itself
-// has stated goes before the listed one.
-func (h *shard) list(host *describer.Host) {
-	w := h.worker(host.Name)
+// updateListed adopts an entry of the host list. A capacity that the worker itself has
+// reported takes precedence over the listed one.
+func (sh *shard) updateListed(host *describer.Host) {
+	w := sh.ensureWorker(host.Name)
 	capacity := w.account.Host.Capacity
 	w.account.Host = *host
-	if w.heard {
+	if w.synced {
 		w.account.Host.Capacity = capacity
 	}
 	w.listed = true
-	w.gone = time.Time{}
+	w.missingSince = time.Time{}
 }
 
-func (h *shard) review(w *worker) {
-	if !w.listed && w.gone.IsZero() {
-		w.gone = h.state.now
+// reviewWorker removes a worker that is no longer listed and not needed any more, and
+// updates the others.
+func (sh *shard) reviewWorker(w *worker) {
+	if !w.listed && w.missingSince.IsZero() {
+		w.missingSince = sh.state.now
 	}
-	if !w.listed && len(w.runs) == 0 && !w.calling {
-		h.forget(w)
+	if !w.listed && len(w.runs) == 0 && !w.syncPending {
+		sh.removeWorker(w)
 		return
 	}
-	h.refresh(w)
+	sh.updateClosed(w)
 }
 
-func (h *shard) forget(w *worker) {
-	delete(h.workers, w.name)
-	delete(h.fleet.Workers, w.name)
-	h.state.timeline.Forget(w.name)
-	h.order = slices.DeleteFunc(h.order, func(o *worker) bool { return o == w })
+// removeWorker removes a worker that has no runs.
+func (sh *shard) removeWorker(w *worker) {
+	delete(sh.workers, w.name)
+	delete(sh.fleet.Workers, w.name)
+	sh.state.timeline.Forget(w.name)
+	sh.sortedWorkers = slices.DeleteFunc(sh.sortedWorkers, func(o *worker) bool { return o == w })
 }
 
-// formerExtent is when the leases that former owners granted have lapsed. One
-// that was cut off may have gone on renewing for the outage limit; one that
-// gave the shard up to this owner said how long its leases last.
-func (h *shard) formerExtent() time.Time {
-	if h.released.Token.Epoch == h.epoch-1 && h.released.Kind == describer.ShardReleased {
-		return h.claimed.Add(h.released.LeaseWait)
+// formerLeasesEnd returns when all leases granted by former owners have expired, without
+// the margin. An owner that lost contact to the store may have renewed leases for the
+// outage limit. An owner that released the shard recorded how long its leases last.
+func (sh *shard) formerLeasesEnd() time.Time {
+	if sh.formerRelease.Token.Epoch == sh.epoch-1 && sh.formerRelease.Kind == describer.ShardReleased {
+		return sh.claimedAt.Add(sh.formerRelease.LeaseWait)
 	}
-	return h.claimed.Add(h.state.options.OutageLimit + h.state.options.TaskLease)
+	return sh.claimedAt.Add(sh.state.options.OutageLimit + sh.state.options.TaskLease)
 }
 
-// worker returns the worker of that name. One that is known from the ledger
-// only is closed and has no capacity.
-func (h *shard) worker(name string) *worker {
-	if w := h.workers[name]; w != nil {
+// ensureWorker returns the worker with the given name, which it adds if necessary. A
+// worker that is known only from the ledger is closed and has no capacity.
+func (sh *shard) ensureWorker(name string) *worker {
+	if w := sh.workers[name]; w != nil {
 		return w
 	}
 	account := &accountant.Worker{
@@ -132,38 +138,40 @@
 		Closed: true,
 	}
 	w := &worker{name: name, account: account}
-	w.extent = h.formerExtent()
-	h.workers[name] = w
-	h.fleet.Workers[name] = account
-	at, _ := slices.BinarySearchFunc(h.order, name, func(o *worker, n string) int { return compareText(o.name, n) })
-	h.order = slices.Insert(h.order, at, w)
-	h.schedule(w)
-	if h.book.asides[name] != "" {
-		h.after(probeInterval, timer{kind: timerProbe, worker: w})
+	w.leasesEnd = sh.formerLeasesEnd()
+	sh.workers[name] = w
+	sh.fleet.Workers[name] = account
+	at, _ := slices.BinarySearchFunc(sh.sortedWorkers, name, func(o *worker, n string) int { return compareStrings(o.name, n) })
+	sh.sortedWorkers = slices.Insert(sh.sortedWorkers, at, w)
+	sh.scheduleSync(w)
+	if sh.view.quarantined[name] != "" {
+		sh.addTimer(probeInterval, timer{kind: timerProbe, worker: w})
 	}
 	return w
 }
 
-// refresh recomputes whether tasks may be placed on the worker.
-func (h *shard) refresh(w *worker) {
-	if _, drained := h.state.drains[w.name]; !drained {
-		h.limit(w, false, 0)
-		w.held = ""
+// updateClosed recomputes whether the worker is closed to new tasks, and removes the
+// limits of a drain that is over.
+func (sh *shard) updateClosed(w *worker) {
+	if _, drained := sh.state.drains[w.name]; !drained {
+		sh.setBatchLimit(w, false, 0)
+		w.restoreHold = ""
 	}
-	closed := h.closedBy(w) != ""
+	closed := sh.closedReason(w) != ""
 	if w.account.Closed && !closed {
-		w.account.OpenedAt = h.state.now
-		h.idle = false
+		w.account.OpenedAt = sh.state.now
+		sh.placementIdle = false
 	}
 	if w.account.Closed != closed {
-		h.state.published = false
+		sh.state.tableUpToDate = false
 	}
 	w.account.Closed = closed
 }
 
-// closedBy says why no task is placed on the worker, or nothing.
-func (h *shard) closedBy(w *worker) string {
-	d, drained := h.state.drains[w.name]
+// closedReason returns why no tasks are placed on the worker, or an empty string if they
+// may be.
+func (sh *shard) closedReason(w *worker) string {
+	d, drained := sh.state.drains[w.name]
 	switch {
 	case !w.listed:
 		return "not in the host list"
@@ -171,22 +179,22 @@
 		return "leaving"
 	case drained && d.state == describer.Draining:
 		return "draining for " + d.id
-	case !w.heard:
-		return "no inventory yet"
-	case w.failures >= silentAfter:
-		return "no answer"
-	case h.book.asides[w.name] != "" && !w.probing:
-		return h.book.asides[w.name]
-	case h.state.now.Before(w.pause):
-		return "refused a start"
+	case !w.synced:
+		return "not synced yet"
+	case w.missedSyncs >= maxMissedSyncs:
+		return "not answering"
+	case sh.view.quarantined[w.name] != "" && !w.probeAllowed:
+		return sh.view.quarantined[w.name]
+	case sh.state.now.Before(w.pausedUntil):
+		return "recently refused a start"
 	}
 	return ""
 }
 
-// hold accounts a started task's grant. In replay it may exceed what the
-// worker has; it is still there.
-func (h *shard) hold(t *task) {
-	w := h.worker(t.worker)
+// addRun adds a started task and its grant to the accounts of its worker and team. During
+// replay the grant may exceed the worker's known capacity; it is accounted all the same.
+func (sh *shard) addRun(t *task) {
+	w := sh.ensureWorker(t.worker)
 	g := accountant.Grant{
 		Token:     t.token,
 		Class:     t.job.Class,
@@ -195,41 +203,44 @@
 		Priority:  t.job.Priority,
 		Resources: t.granted,
 		ReturnTo:  t.drainedOff,
-		Since:     h.state.now,
+		Since:     sh.state.now,
 	}
 	if w.account.Allocate(t.id(), g) != nil {
 		w.account.Adopt(t.id(), g)
 	}
 	t.slot = int32(len(w.runs))
 	w.runs = append(w.runs, t)
-	team := h.team(t.job.Team)
+	team := sh.ensureTeam(t.job.Team)
 	team.used = team.used.Add(t.granted)
-	h.noteShares(w)
+	sh.recordShares(w)
 }
 
-// noteShares keeps what runs on the worker for late reports.
-func (h *shard) noteShares(w *worker) {
+// recordShares notes the batch tasks that run on the worker from now on. The learner needs
+// them when a latency report for this time arrives later.
+func (sh *shard) recordShares(w *worker) {
 	if len(w.account.Host.Services) > 0 {
-		h.state.timeline.Record(w.name, h.state.now, w.account.BatchShares())
+		sh.state.timeline.Record(w.name, sh.state.now, w.account.BatchShares())
 	}
 }
 
-func (h *shard) unhold(t *task) {
-	w := h.worker(t.worker)
+// removeRun removes a task that is no longer started from the accounts of its worker and
+// team.
+func (sh *shard) removeRun(t *task) {
+	w := sh.ensureWorker(t.worker)
 	w.account.Release(t.id(), t.token)
 	last := len(w.runs) - 1
 	w.runs[t.slot] = w.runs[last]
 	w.runs[t.slot].slot = t.slot
 	w.runs[last] = nil
 	w.runs = w.runs[:last]
-	if t.stop != nil && t.stop.asked {
-		w.stops--
+	if t.stop != nil && t.stop.sent {
+		w.pendingStops--
 	}
-	team := h.team(t.job.Team)
+	team := sh.ensureTeam(t.job.Team)
 	team.used = team.used.Sub(t.granted)
-	h.idle = false
-	h.noteShares(w)
+	sh.placementIdle = false
+	sh.recordShares(w)
 	if !w.listed && last == 0 {
-		h.schedule(w)
+		sh.scheduleSync(w)
 	}
 }
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -41,7 +41,7 @@
 func (f *fixture) report(ratio float64) Decision {
 	f.in.Now = f.in.Now.Add(10 * time.Second)
 	f.in.Worker.LastInventory = f.in.Now
-	f.in.Worker.Reports = map[string]runner.Latency{"desk": {
+	f.in.Worker.Reports = map[string]runner.LatencyReport{"desk": {
 		Service: "desk", To: f.in.Now, Count: 300, P99: time.Duration(ratio * float64(target)),
 	}}
 	return Decide(f.in)
--- a/internal/job/dispatcher/advice_test.go
+++ b/internal/job/dispatcher/advice_test.go
@@ -19,17 +19,17 @@
 
 func newDesk(queue specifier.Queue, workers ...string) *desk {
 	d := &desk{Shard: New(Options{
-		Name: "desk", Service: "desk", Lease: worldLease, OutageLimit: worldOutage, HoldWait: time.Second,
+		Name: "desk", Service: "desk", Lease: worldLease, OutageLimit: worldOutage, PollWait: time.Second,
 	}, epoch)}
 	var list []specifier.Worker
 	for _, id := range workers {
 		list = append(list, specifier.Worker{
-			ID: id, Born: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
+			ID: id, Incarnation: 1, Service: "desk", Capacity: describer.Resources{CPU: workerCPU, Memory: 1000},
 		})
 	}
-	d.do(Configured{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
+	d.do(CatalogUpdated{Catalog: &specifier.Catalog{Version: 1, Queues: []specifier.Queue{queue}}}, WorkersListed{Workers: list})
 	for _, id := range workers {
-		d.do(Held{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: time.Minute}})
+		d.do(PollAnswered{Worker: id, Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: time.Minute}})
 	}
 	d.pass(100 * time.Millisecond)
 	return d
@@ -48,7 +48,7 @@
 
 func (d *desk) pass(t time.Duration) {
 	d.now = d.now.Add(t)
-	d.do(StoreReached{OK: true}, Tick{})
+	d.do(OwnershipChecked{Confirmed: true}, Tick{})
 }
 
 // taken removes and returns the effects of one type.
@@ -84,7 +84,7 @@
 		asked := taken[AskAdvice](d)
 		Expect(asked).To(HaveLen(1))
 		Expect(asked[0].Workers).To(HaveLen(3))
-		d.do(Advised{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w2", "t2"}}, Validity: 3 * time.Second})
+		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w2", "t2"}}, Validity: 3 * time.Second})
 		starts := taken[StartRun](d)
 		Expect(starts).To(HaveLen(2))
 		Expect(starts).To(HaveEach(And(HaveField("Worker.ID", "w2"), HaveField("Ticket", "t2"))))
@@ -94,18 +94,18 @@
 		d := newDesk(advised, "w1")
 		d.do(JobArrived{Job: oneStep(9, nil)})
 		asked := taken[AskAdvice](d)
-		d.do(Advised{Step: asked[0].Step, Failed: true})
+		d.do(AdviceAnswered{Step: asked[0].Step, Failed: true})
 		Expect(taken[AskAdvice](d)).To(BeEmpty())
 		d.pass(adviceRetry)
 		asked = taken[AskAdvice](d)
 		Expect(asked).To(HaveLen(1))
-		d.do(Advised{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w1", "t1"}}, Validity: time.Second})
+		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers, Tickets: []Ticket{{"w1", "t1"}}, Validity: time.Second})
 		starts := taken[StartRun](d)
 		Expect(starts).To(HaveLen(4))
 		d.pass(time.Second)
-		d.do(StartAnswered{Worker: "w1", Born: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
+		d.do(StartAnswered{Worker: "w1", Incarnation: 1, Task: starts[0].Task, Run: 1, Fault: Unhealthy})
 		d.pass(time.Second)
-		d.do(Held{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Born: 1, Clock: 2 * time.Minute}})
+		d.do(PollAnswered{Worker: "w1", Sent: d.now, Inventory: specifier.Inventory{Incarnation: 1, Clock: 2 * time.Minute}})
 		Expect(taken[StartRun](d)).To(BeEmpty())
 		Expect(taken[AskAdvice](d)).To(HaveLen(1))
 	})
@@ -114,7 +114,7 @@
 		d := newDesk(advised, "w1")
 		d.do(JobArrived{Job: oneStep(1, nil)})
 		asked := taken[AskAdvice](d)
-		d.do(Advised{Step: asked[0].Step, Asked: asked[0].Workers})
+		d.do(AdviceAnswered{Step: asked[0].Step, Asked: asked[0].Workers})
 		d.pass(5 * time.Second)
 		Expect(taken[AskAdvice](d)).To(BeEmpty())
 	})
@@ -153,7 +153,7 @@
 	It("keeps its data's rack as long as there is room there", func() {
 		d := newDesk(queue, "w1", "w2")
 		d.workers["w2"].rack = "r1-2"
-		d.do(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.Rack = "r1-2" })})
+		d.do(JobArrived{Job: oneStep(5, func(s *specifier.Step) { s.PreferredRack = "r1-2" })})
 		count := make(map[string]int)
 		for _, s := range taken[StartRun](d) {
 			count[s.Worker.ID]++
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -64,12 +64,12 @@
 	Epoch   int64    // number of ownerships before this one
 	Workers []string // that may have runs of an earlier ownership
 
-	Released  bool                // the predecessor has stopped as planned
-	Leftovers []recorder.Leftover // after such a stop: Workers, with the time that their leases have left
+	Released     bool                   // the predecessor has stopped as planned
+	WorkerLeases []recorder.WorkerLease // after such a stop: Workers, with the time that their leases have left
 
 	Lease       time.Duration // granted to everything that runs on a worker with each renewal
 	OutageLimit time.Duration // how long an owner that can't reach the store goes on
-	HoldWait    time.Duration // how long a renewal waits at the worker for an end
+	PollWait    time.Duration // how long a renewal waits at the worker for an end
 	ClockError  time.Duration // by which the time of day may be off, ahead of a due time
 }
 
@@ -123,8 +123,8 @@
 		contact:   now,
 	}
 	if o.Released {
-		for _, left := range o.Leftovers {
-			s.inherited[left.Worker] = now.Add(left.Lapse)
+		for _, left := range o.WorkerLeases {
+			s.inherited[left.Worker] = now.Add(left.Remaining)
 		}
 		return s
 	}
@@ -171,7 +171,7 @@
 	switch e := event.(type) {
 	case Tick:
 		s.tick()
-	case Configured:
+	case CatalogUpdated:
 		s.configure(e.Catalog)
 	case WorkersListed:
 		s.listWorkers(e.Workers)
@@ -181,15 +181,15 @@
 		s.arrive(e.Job)
 	case JobCancelled:
 		s.cancel(e.ID)
-	case Held:
+	case PollAnswered:
 		s.held(e)
-	case HoldFailed:
+	case PollFailed:
 		s.holdFailed(e)
 	case StartAnswered:
 		s.startAnswered(e)
 	case StopAnswered:
 		s.stopAnswered(e)
-	case Advised:
+	case AdviceAnswered:
 		s.advised(e)
 	case PaceAnswered:
 		s.paceAnswered(e)
@@ -197,9 +197,9 @@
 		s.moved(e)
 	case Committed:
 		s.committedBatch(e.Batch)
-	case StoreReached:
+	case OwnershipChecked:
 		s.contact = s.now
-		if !e.OK {
+		if !e.Confirmed {
 			s.contact = s.now.Add(-s.options.OutageLimit)
 		}
 	}
@@ -282,11 +282,11 @@
 // isSettled reports whether it is known of every inherited run where it is.
 func (s *Shard) isSettled() bool { return len(s.inherited) == 0 && s.listed }
 
-// Jobs counts the jobs that have not ended.
-func (s *Shard) Jobs() int { return len(s.jobs) }
+// JobCount counts the jobs that have not ended.
+func (s *Shard) JobCount() int { return len(s.jobs) }
 
-// State is a job's state. It is false for a job that is not here.
-func (s *Shard) State(id string) (specifier.State, bool) {
+// JobState is a job's state. It is false for a job that is not here.
+func (s *Shard) JobState(id string) (specifier.State, bool) {
 	j := s.jobs[id]
 	if j == nil {
 		return "", false
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -176,7 +176,7 @@
 }
 
 func (st *step) fitterNeed() fitter.Request {
-	return fitter.Request{Reserved: st.needs.counted, FillerCPU: st.needs.filler, Rack: st.spec.Rack}
+	return fitter.Request{Reserved: st.needs.counted, FillerCPU: st.needs.filler, Rack: st.spec.PreferredRack}
 }
 
 // placeStep starts as many waiting tasks of a step as there is room for.
@@ -199,7 +199,7 @@
 			p.reserve(st, t)
 			return
 		}
-		if st.spec.Tight && need.Rack == "" {
+		if st.spec.TightlyCoupled && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
 		p.rooms[i].Reserve(&need)
@@ -227,7 +227,7 @@
 	for i, w := range p.workers {
 		ends := w.reg.Capacity.CPU - w.used.lasting // once the tasks that end have ended
 		fits := st.needs.counted.CPU <= ends && st.needs.counted.Memory <= w.reg.Capacity.Memory
-		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.Spread > 0 && w.perStep[st] >= st.spec.Spread {
+		if !fits || !w.reg.HasLabel(st.spec.Label) || st.spec.MaxPerWorker > 0 && w.perStep[st] >= st.spec.MaxPerWorker {
 			continue
 		}
 		if best < 0 || p.rooms[i].Free.CPU > p.rooms[best].Free.CPU {
@@ -247,7 +247,7 @@
 		switch {
 		case st.spec.Filler:
 			p.rooms[i].Interference = p.s.harmTo(w, st.spec.Image, st.spec.Needs.CPU)
-		case st.spec.Target > 0:
+		case st.spec.LatencyTarget > 0:
 			p.rooms[i].SameImage = w.servingOf(st.spec.Image)
 		}
 	}
@@ -263,7 +263,7 @@
 		if st.spec.Filler && w.wouldHarm(p.rooms[i].Interference) || !p.isAdvised(st, w) {
 			return false
 		}
-		return st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread
+		return st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker
 	}
 	if t.last == "" {
 		return fitter.Choose(p.rooms, need, allowed)
@@ -301,13 +301,13 @@
 	for _, t := range st.tasks {
 		i := fitter.Choose(rooms, need, func(i int) bool {
 			w := p.workers[i]
-			free := st.spec.Spread == 0 || w.perStep[st]+count[i] < st.spec.Spread
+			free := st.spec.MaxPerWorker == 0 || w.perStep[st]+count[i] < st.spec.MaxPerWorker
 			return free && w.reg.HasLabel(st.spec.Label) && w.runs[t.id()] == nil && p.isAdvised(st, w)
 		})
 		if i < 0 {
 			return
 		}
-		if st.spec.Tight && need.Rack == "" {
+		if st.spec.TightlyCoupled && need.Rack == "" {
 			need.Rack = p.workers[i].rack
 		}
 		rooms[i].Reserve(&need)
@@ -337,7 +337,7 @@
 	}
 	w.add(&run{task: t, id: t.id(), worker: w, number: number, phase: starting, ordered: s.now, needs: t.step.needs, pace: full})
 	order := StartRun{
-		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, Until: s.until(w),
+		Worker: w.reg, Task: t.id(), Run: number, Payload: t.step.job.spec.Payload, LeaseEnd: s.until(w),
 	}
 	if t.step.spec.Checkpoint {
 		order.Checkpoint = t.checkpoint
@@ -359,7 +359,7 @@
 			continue
 		}
 		room := w.room()
-		if need.Fits(&room) && (st.spec.Spread == 0 || w.perStep[st] < st.spec.Spread) && allowed(w) {
+		if need.Fits(&room) && (st.spec.MaxPerWorker == 0 || w.perStep[st] < st.spec.MaxPerWorker) && allowed(w) {
 			return true
 		}
 	}
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -110,15 +110,15 @@
 		s.hold(w)
 		return
 	}
-	if reg.Born > w.reg.Born {
-		s.rebirth(w, reg.Born)
+	if reg.Incarnation > w.reg.Incarnation {
+		s.rebirth(w, reg.Incarnation)
 	}
 	if reg.Draining && !w.reg.Draining {
 		s.emit(Log{Message: "worker drains", Worker: reg.ID})
 	}
-	born := w.reg.Born
+	born := w.reg.Incarnation
 	w.reg = reg
-	w.reg.Born = max(born, reg.Born)
+	w.reg.Incarnation = max(born, reg.Incarnation)
 	w.rack = reg.Rack()
 	w.missing = time.Time{}
 }
@@ -145,7 +145,7 @@
 func (s *Shard) rebirth(w *worker, born int64) {
 	s.emit(Log{Message: "worker born again", Worker: w.reg.ID})
 	s.dropRuns(w)
-	w.reg.Born = born
+	w.reg.Incarnation = born
 	w.synced, w.answered, w.clock, w.lapsed = false, time.Time{}, 0, time.Time{}
 	w.seen, w.observed, w.ends = 0, 0, nil
 	w.faults, w.avoided, w.tail = 0, time.Time{}, 0
@@ -245,13 +245,13 @@
 	if w.holding || s.now.Before(w.next) || !s.mayAct() {
 		return
 	}
-	h := HoldWorker{Worker: w.reg, Observed: w.observed}
+	h := PollWorker{Worker: w.reg, Acknowledged: w.observed}
 	if w.failing == 0 {
 		// A silent worker is not renewed, so that its leases lapse at a known time.
-		h.Until = s.until(w)
+		h.LeaseEnd = s.until(w)
 	}
 	if w.synced && len(w.ends) == 0 && w.failing == 0 {
-		h.Wait = s.options.HoldWait
+		h.Wait = s.options.PollWait
 		if w.tail > watchedTail && w.used.filler > 0 {
 			h.Wait = paceInterval
 		}
@@ -274,7 +274,7 @@
 	return until
 }
 
-func (s *Shard) holdFailed(e HoldFailed) {
+func (s *Shard) holdFailed(e PollFailed) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
@@ -285,7 +285,7 @@
 	switch e.Fault {
 	case Fenced:
 		s.resign(w)
-	case Reborn:
+	case WorkerRestarted:
 		// The registration tells the time of birth; until then nothing is known.
 		w.synced = false
 	}
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -69,12 +69,12 @@
 	Start(ctx context.Context, token int64, order dispatcher.StartRun) dispatcher.Fault
 	Stop(ctx context.Context, token int64, order dispatcher.StopRun) dispatcher.Fault
 	Pace(ctx context.Context, token int64, order dispatcher.PaceRun) dispatcher.Fault
-	Hold(ctx context.Context, token int64, order dispatcher.HoldWorker) (specifier.Inventory, dispatcher.Fault)
+	Poll(ctx context.Context, token int64, order dispatcher.PollWorker) (specifier.Inventory, dispatcher.Fault)
 }
 
 // Adviser knows which workers may run a step.
 type Adviser interface {
-	Advise(ctx context.Context, ask dispatcher.AskAdvice) dispatcher.Advised
+	Advise(ctx context.Context, ask dispatcher.AskAdvice) dispatcher.AdviceAnswered
 }
 
 // Directory lists the registered workers.
@@ -172,14 +172,14 @@
 		}
 	}
 	m.log.Info().Int64("version", c.Version).Int("queues", len(c.Queues)).Msg("configuration in force")
-	m.post(dispatcher.Configured{Catalog: c})
+	m.post(dispatcher.CatalogUpdated{Catalog: c})
 }
 
 // Catalog is the configuration in force.
 func (m *Manager) Catalog() *specifier.Catalog { return m.catalog.Load() }
 
-// Contact is when the store last answered.
-func (m *Manager) Contact() time.Time { return time.Unix(0, m.contact.Load()) }
+// LastContact is when the store last answered.
+func (m *Manager) LastContact() time.Time { return time.Unix(0, m.contact.Load()) }
 
 func (m *Manager) reached() { m.contact.Store(time.Now().UnixNano()) }
 
@@ -235,7 +235,7 @@
 			failing = false
 			m.takeWorkers(list, took)
 		}
-		waiter.Pause(ctx, listInterval)
+		waiter.Sleep(ctx, listInterval)
 	}
 }
 
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -15,16 +15,16 @@
 
 // View is what a daemon knows of all shards.
 type View struct {
-	Read    time.Time // when it was last read or confirmed; zero before the first time
+	ReadAt  time.Time // when it was last read or confirmed; zero before the first time
 	Shards  map[string]ShardView
 	Layouts map[string]recorder.Layout // by service
 }
 
 // ShardView is what a daemon knows of one shard.
 type ShardView struct {
-	Owner    string // daemon; empty without an owner
-	Load     recorder.Load
-	Received time.Time // when the load came
+	Owner        string // daemon; empty without an owner
+	Load         recorder.Load
+	LoadReceived time.Time // when the load came
 }
 
 // followRetry is the longest time between tries to read a store that does not
@@ -38,7 +38,7 @@
 func (m *Manager) View() View {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return View{Read: m.view.Read, Shards: maps.Clone(m.view.Shards), Layouts: maps.Clone(m.view.Layouts)}
+	return View{ReadAt: m.view.ReadAt, Shards: maps.Clone(m.view.Shards), Layouts: maps.Clone(m.view.Layouts)}
 }
 
 // followView keeps the view until ctx ends.
@@ -50,7 +50,7 @@
 		if whole {
 			m.view = newView()
 		}
-		m.view.Read = time.Now()
+		m.view.ReadAt = time.Now()
 		for _, item := range items {
 			m.takeView(item)
 		}
@@ -63,7 +63,7 @@
 
 // takeView takes in one key. A record that can't be read changes nothing.
 func (m *Manager) takeView(item storer.Item) {
-	kind, name := recorder.ParseView(item.Key)
+	kind, name := recorder.ParseViewKey(item.Key)
 	s := m.view.Shards[name]
 	var err error
 	switch kind {
@@ -78,7 +78,7 @@
 		if !item.Deleted {
 			err = recorder.Decode(item.Value, &load)
 		}
-		s.Load, s.Received = load, time.Now()
+		s.Load, s.LoadReceived = load, time.Now()
 	case recorder.LayoutView:
 		var layout recorder.Layout
 		if err = recorder.Decode(item.Value, &layout); err == nil {
@@ -121,7 +121,7 @@
 				f.m.log.Warn().Err(err).Str("prefix", f.prefix).Msg("store not followed")
 			}
 			failing = true
-			waiter.Pause(ctx, delays.NextBackOff())
+			waiter.Sleep(ctx, delays.NextBackOff())
 			continue
 		}
 		delays.Reset()
@@ -132,7 +132,7 @@
 		f.m.reached()
 		take(items, whole)
 		if len(items) > 0 && f.pause > 0 {
-			waiter.Pause(ctx, f.pause)
+			waiter.Sleep(ctx, f.pause)
 		}
 	}
 }
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -24,9 +24,9 @@
 	var largest describer.Resources
 	for _, s := range r.shards.View().Shards {
 		if s.Load.Service == queue.Service && s.Load.Workers > 0 {
-			largest.CPU = max(largest.CPU, s.Load.Largest.CPU)
-			largest.Memory = max(largest.Memory, s.Load.Largest.Memory)
-			largest.Accelerators = max(largest.Accelerators, s.Load.Largest.Accelerators)
+			largest.CPU = max(largest.CPU, s.Load.MaxCapacity.CPU)
+			largest.Memory = max(largest.Memory, s.Load.MaxCapacity.Memory)
+			largest.Accelerators = max(largest.Accelerators, s.Load.MaxCapacity.Accelerators)
 		}
 	}
 	if largest.IsZero() {
@@ -52,7 +52,7 @@
 	defer r.mu.Unlock()
 	var shards []admitter.Shard
 	for name, s := range view.Shards {
-		if s.Load.Service == queue.Service && time.Since(s.Received) < staleView {
+		if s.Load.Service == queue.Service && time.Since(s.LoadReceived) < staleView {
 			shards = append(shards, r.shard(name, s, queue, job))
 		}
 	}
@@ -63,24 +63,24 @@
 // shard is the load of one shard, with what was accepted here since.
 func (r *Receiver) shard(name string, s manager.ShardView, queue specifier.Queue, job *specifier.Job) admitter.Shard {
 	out := admitter.Shard{
-		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.Received),
-		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.Lasting, LongRunningLimit: s.Load.Limit,
-		ReclaimableCPU: s.Load.Turning, UnusedCPU: s.Load.Unused, FillerCPU: s.Load.Fillers, HasLabel: true,
+		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
+		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LastingCPU, LongRunningLimit: s.Load.LastingLimit,
+		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
 		out.RoundTrip = afarDistance
 	}
 	for _, step := range job.Steps {
 		out.HasLabel = out.HasLabel && (step.Label == "" || slices.Contains(s.Load.Labels, step.Label))
-		out.HasRack = out.HasRack || step.Rack != "" && slices.Contains(s.Load.Labels, step.Rack)
+		out.HasRack = out.HasRack || step.PreferredRack != "" && slices.Contains(s.Load.Labels, step.PreferredRack)
 	}
 	for _, b := range s.Load.Backlog {
 		if b.Priority <= queue.Priority {
-			out.ReservedBacklog += b.Counted
-			out.FillerBacklog += b.Filler
+			out.ReservedBacklog += b.FiniteWork
+			out.FillerBacklog += b.FillerWork
 		}
 	}
-	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.Received) })
+	recent := slices.DeleteFunc(r.accepted[name], func(a accepted) bool { return a.at.Before(s.LoadReceived) })
 	r.accepted[name] = recent
 	for _, a := range recent {
 		out.ReservedBacklog += a.work.ReservedWork
@@ -99,7 +99,7 @@
 }
 
 func workOf(queue specifier.Queue, job *specifier.Job) admitter.Work {
-	w := admitter.Work{Chain: job.Chain()}
+	w := admitter.Work{Chain: job.CriticalPath()}
 	w.Objective = time.Duration(float64(w.Chain)*queue.Slack) + queue.Completion
 	for _, step := range job.Steps {
 		cpu := step.Needs.CPU * int64(step.Count)
@@ -112,7 +112,7 @@
 		default:
 			w.ReservedWork += work
 		}
-		w.NeedsRack = w.NeedsRack || step.Rack != ""
+		w.NeedsRack = w.NeedsRack || step.PreferredRack != ""
 	}
 	return w
 }
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -23,9 +23,9 @@
 	ErrFull   = errors.New("runner: worker lacks the resources")
 )
 
-// Start asks for one run of a task. Repeating it with the same token is
+// StartRequest asks for one run of a task. Repeating it with the same token is
 // idempotent.
-type Start struct {
+type StartRequest struct {
 	Task       describer.TaskID    `json:"task"`
 	Token      describer.Token     `json:"token"`
 	Class      string              `json:"class"`
@@ -38,29 +38,29 @@
 	Payload    json.RawMessage     `json:"payload,omitempty"`
 }
 
-// Stop asks for the end of a run. The run may be of a former owner, so Epoch
+// StopRequest asks for the end of a run. The run may be of a former owner, so Epoch
 // is that of the caller's ownership, and it fences.
-type Stop struct {
+type StopRequest struct {
 	Epoch      int64            `json:"epoch"`
 	Task       describer.TaskID `json:"task"`
 	Token      describer.Token  `json:"token"`
 	Checkpoint bool             `json:"checkpoint"` // save progress first
 }
 
-// Stopped is the answer: the run is over, and no run under this or a lower
+// StopResult is the answer: the run is over, and no run under this or a lower
 // token will begin on this worker.
-type Stopped struct {
+type StopResult struct {
 	Ran        bool            `json:"ran"`      // it had begun
 	Finished   bool            `json:"finished"` // it had completed before the stop
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
 }
 
-// Throttle sets the processor grant of a run. Epoch is that of the caller's
+// ThrottleRequest sets the processor grant of a run. Epoch is that of the caller's
 // ownership, and it fences. A worker ignores a call whose Epoch and Sequence
 // are not after those of the last one for the run, so that a late message
 // can't undo a newer one.
-type Throttle struct {
+type ThrottleRequest struct {
 	Epoch    int64            `json:"epoch"`
 	Sequence int64            `json:"sequence"`
 	Task     describer.TaskID `json:"task"`
@@ -74,13 +74,13 @@
 	Token describer.Token  `json:"token"`
 }
 
-// Sync renews leases in bulk and exchanges state: one call a worker and
+// SyncRequest renews leases in bulk and exchanges state: one call a worker and
 // interval. It raises the worker's epoch.
 //
 // Until bounds what a late message can do: a lease that the call grants ends
 // no later than Until by the worker's own clock, and a start that arrives
 // after it is refused. Zero leaves Lease from the arrival as the only bound.
-type Sync struct {
+type SyncRequest struct {
 	Shard string        `json:"shard"`
 	Epoch int64         `json:"epoch"`
 	Lease time.Duration `json:"lease"`
@@ -89,17 +89,17 @@
 	Ack   []Run         `json:"ack,omitempty"`   // finished runs whose end is durable; the worker forgets them
 }
 
-// Synced is the worker's inventory.
-type Synced struct {
+// SyncResult is the worker's inventory.
+type SyncResult struct {
 	Clock    time.Time           `json:"clock,omitzero"` // the worker's, when it answered
 	Capacity describer.Resources `json:"capacity"`
-	Running  []Running           `json:"running"`
-	Finished []Finished          `json:"finished"` // kept until acknowledged
-	Latency  []Latency           `json:"latency"`  // lagging reports
+	Running  []ActiveRun         `json:"running"`
+	Finished []FinishedRun       `json:"finished"` // kept until acknowledged
+	Latency  []LatencyReport     `json:"latency"`  // lagging reports
 }
 
-// Running is a run in progress with its lagging usage.
-type Running struct {
+// ActiveRun is a run in progress with its lagging usage.
+type ActiveRun struct {
 	Run
 	Order    describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
 	Granted  describer.Resources `json:"granted"`
@@ -107,8 +107,8 @@
 	Progress float64             `json:"progress"` // 0 to 1
 }
 
-// Finished is a run that ended by itself or by a lapsed lease.
-type Finished struct {
+// FinishedRun is a run that ended by itself or by a lapsed lease.
+type FinishedRun struct {
 	Run
 	OK         bool            `json:"ok"`
 	Lapsed     bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
@@ -117,8 +117,8 @@
 	Checkpoint string          `json:"checkpoint,omitempty"`
 }
 
-// Latency is what a service's requests took on the worker in a past interval.
-type Latency struct {
+// LatencyReport is what a service's requests took on the worker in a past interval.
+type LatencyReport struct {
 	Service string        `json:"service"`
 	From    time.Time     `json:"from"`
 	To      time.Time     `json:"to"`
@@ -130,8 +130,8 @@
 // Worker is the interface to all workers; address is Host.Control. Failures
 // are *classifier.Error values.
 type Worker interface {
-	Start(ctx context.Context, address string, s Start) error
-	Stop(ctx context.Context, address string, s Stop) (Stopped, error)
-	Throttle(ctx context.Context, address string, t Throttle) error
-	Sync(ctx context.Context, address string, s Sync) (Synced, error)
+	Start(ctx context.Context, address string, s StartRequest) error
+	Stop(ctx context.Context, address string, s StopRequest) (StopResult, error)
+	Throttle(ctx context.Context, address string, t ThrottleRequest) error
+	Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error)
 }
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -33,15 +33,15 @@
 
 // Sender posts calls below one base URL.
 type Sender struct {
-	Part   string           // prefix of error messages
-	Base   string           // base URL without trailing slash; may be empty if calls name whole URLs
-	Codes  map[string]error // error that a refusal's code stands for
-	client *http.Client
+	ErrorPrefix  string           // prefix of error messages
+	Base         string           // base URL without trailing slash; may be empty if calls name whole URLs
+	ErrorsByCode map[string]error // error that a refusal's code stands for
+	client       *http.Client
 }
 
 // New makes a sender whose errors begin with part.
 func New(part, base string, client *http.Client) *Sender {
-	return &Sender{Part: part, Base: strings.TrimSuffix(base, "/"), client: client}
+	return &Sender{ErrorPrefix: part, Base: strings.TrimSuffix(base, "/"), client: client}
 }
 
 // refusal is the body of every answer that is not 200.
@@ -106,11 +106,11 @@
 		return s.fail(classifier.MayHaveRun, "status", fmt.Errorf("status %d", status))
 	}
 	return &classifier.Error{
-		Verdict: classifier.Parse(r.Verdict),
+		Verdict: classifier.ParseVerdict(r.Verdict),
 		Status:  status,
 		Code:    r.Code,
-		Message: s.Part + ": " + r.Message,
-		Err:     s.Codes[r.Code],
+		Message: s.ErrorPrefix + ": " + r.Message,
+		Err:     s.ErrorsByCode[r.Code],
 	}
 }
 
@@ -119,7 +119,7 @@
 		Verdict: verdict,
 		Status:  http.StatusBadGateway,
 		Code:    code,
-		Message: s.Part + ": call failed",
+		Message: s.ErrorPrefix + ": call failed",
 		Err:     err,
 	}
 }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -25,8 +25,8 @@
 	return hoster.Typical("seq", "seq-bne", "menu-desk", 1)[0]
 }
 
-func start(epoch, sequence int64) runner.Start {
-	return runner.Start{
+func start(epoch, sequence int64) runner.StartRequest {
+	return runner.StartRequest{
 		Task: task, Token: describer.Token{Epoch: epoch, Sequence: sequence}, Class: "render",
 		Granted: describer.Resources{CPU: 32000, Memory: 1024},
 		Lease:   10 * time.Second, RunTime: 4 * time.Second,
@@ -51,10 +51,10 @@
 		g.Expect(failure(m.Start(start(1, 1)))).To(Succeed())
 		time.Sleep(5 * time.Second)
 		g.Expect(failure(m.Start(start(1, 1)))).To(Succeed())
-		out, err := m.Sync(runner.Sync{Epoch: 1})
+		out, err := m.Sync(runner.SyncRequest{Epoch: 1})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(out.Finished).To(HaveExactElements(HaveField("OK", true)))
-		out, _ = m.Sync(runner.Sync{Epoch: 1, Ack: []runner.Run{out.Finished[0].Run}})
+		out, _ = m.Sync(runner.SyncRequest{Epoch: 1, Ack: []runner.Run{out.Finished[0].Run}})
 		g.Expect(out.Finished).To(BeEmpty())
 		g.Expect(a.Report().Runs).To(Equal(1))
 		g.Expect(a.Report().Finished).To(Equal(1))
@@ -68,12 +68,12 @@
 		g.Expect(failure(m.Start(s))).To(Succeed())
 		time.Sleep(9 * time.Second)
 		id := runner.Run{Task: task, Token: s.Token}
-		_, err := m.Sync(runner.Sync{Epoch: 1, Lease: 10 * time.Second, Renew: []runner.Run{id}})
+		_, err := m.Sync(runner.SyncRequest{Epoch: 1, Lease: 10 * time.Second, Renew: []runner.Run{id}})
 		g.Expect(err).NotTo(HaveOccurred())
 		time.Sleep(9 * time.Second)
 		g.Expect(m.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
-		out, _ := m.Sync(runner.Sync{Epoch: 1})
+		out, _ := m.Sync(runner.SyncRequest{Epoch: 1})
 		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("Lapsed", true), HaveField("Checkpoint", "19s"))))
 		g.Expect(a.Report().Lapsed).To(Equal(1))
 	})
@@ -81,11 +81,11 @@
 
 func TestFencesOldEpochsAndTokens(t *testing.T) {
 	virtual(t, func(g Gomega, m *hoster.Agent, a *auditor.Auditor) {
-		_, err := m.Sync(runner.Sync{Epoch: 2})
+		_, err := m.Sync(runner.SyncRequest{Epoch: 2})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = m.Start(start(1, 9))
-		g.Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
-		_, err = m.Stop(runner.Stop{Task: task, Token: describer.Token{Epoch: 2, Sequence: 5}})
+		g.Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
+		_, err = m.Stop(runner.StopRequest{Task: task, Token: describer.Token{Epoch: 2, Sequence: 5}})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(failure(m.Start(start(2, 5)))).NotTo(Succeed())
 		g.Expect(failure(m.Start(start(2, 4)))).NotTo(Succeed())
@@ -99,9 +99,9 @@
 		s := start(1, 1)
 		g.Expect(failure(m.Start(s))).To(Succeed())
 		time.Sleep(time.Second)
-		g.Expect(m.Throttle(runner.Throttle{Task: task, Token: s.Token, CPU: 16000})).To(Succeed())
+		g.Expect(m.Throttle(runner.ThrottleRequest{Task: task, Token: s.Token, CPU: 16000})).To(Succeed())
 		time.Sleep(time.Second)
-		out, err := m.Stop(runner.Stop{Task: task, Token: s.Token, Checkpoint: true})
+		out, err := m.Stop(runner.StopRequest{Task: task, Token: s.Token, Checkpoint: true})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(out.Checkpoint).To(Equal("1.5s"))
 		s = start(1, 2)
@@ -217,11 +217,11 @@
 		err := c.Start(ctx, w.Host.Control, start(0, 1))
 		Expect(err).To(MatchError(runner.ErrFenced))
 		w.LoseAnswers(1)
-		_, err = c.Stop(ctx, w.Host.Control, runner.Stop{Task: task, Token: describer.Token{Epoch: 1, Sequence: 1}})
-		Expect(classifier.Of(err)).To(Equal(classifier.MayHaveRun))
+		_, err = c.Stop(ctx, w.Host.Control, runner.StopRequest{Task: task, Token: describer.Token{Epoch: 1, Sequence: 1}})
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		w.Kill()
 		err = c.Start(ctx, w.Host.Control, start(1, 2))
-		Expect(classifier.Of(err)).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		Expect(w.Restart()).To(Succeed())
 		Expect(c.Start(ctx, w.Host.Control, start(0, 1))).To(Succeed())
 	})
--- a/internal/traffic/classifier/classifier.go
+++ b/internal/traffic/classifier/classifier.go
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("verdict(%d)", uint8(v))
 }
 
-// Parse reads the text form of a verdict; unknown text is MayHaveRun.
-func Parse(s string) Verdict {
+// ParseVerdict reads the text form of a verdict; unknown text is MayHaveRun.
+func ParseVerdict(s string) Verdict {
 	switch s {
 	case "not-run":
 		return NotRun
@@ -74,9 +74,9 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Of returns the verdict of err: that of the outermost *Error in its chain,
+// VerdictOf returns the verdict of err: that of the outermost *Error in its chain,
 // otherwise MayHaveRun.
-func Of(err error) Verdict {
+func VerdictOf(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
 		return e.Verdict
--- a/internal/traffic/dialer/dialer.go
+++ b/internal/traffic/dialer/dialer.go
@@ -37,17 +37,17 @@
 
 // Defaults of Options.
 const (
-	DefaultSilence = 5 * time.Second
-	DefaultConnect = 2 * time.Second
-	DefaultAge     = 10 * time.Minute
+	DefaultStallTimeout   = 5 * time.Second
+	DefaultConnectTimeout = 2 * time.Second
+	DefaultMaxAge         = 10 * time.Minute
 )
 
 // Options are the bounds of connections. Zero fields take the defaults.
 type Options struct {
-	Silence time.Duration // longest time without progress on a busy connection
-	Connect time.Duration // longest time to open a connection
-	Age     time.Duration // older connections are not used again
-	Probe   time.Duration // idle connections are probed this often; half of Silence if 0
+	StallTimeout   time.Duration // longest time without progress on a busy connection
+	ConnectTimeout time.Duration // longest time to open a connection
+	MaxAge         time.Duration // older connections are not used again
+	ProbeInterval  time.Duration // idle connections are probed this often; half of Silence if 0
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes all that it has.
 	Connections func(b describer.Backend) int
@@ -88,8 +88,8 @@
 	return d.pool(b).send(r)
 }
 
-// Open returns the number of open connections to the worker.
-func (d *Dialer) Open(worker string) int {
+// OpenConnections returns the number of open connections to the worker.
+func (d *Dialer) OpenConnections(worker string) int {
 	d.lock.Lock()
 	p := d.pools[worker]
 	d.lock.Unlock()
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Keep drops the pools of workers for which known is false.
-func (d *Dialer) Keep(known func(worker string) bool) {
+// Prune drops the pools of workers for which known is false.
+func (d *Dialer) Prune(known func(worker string) bool) {
 	d.lock.Lock()
 	var gone []*Pool
 	for worker, p := range d.pools {
@@ -152,7 +152,7 @@
 }
 
 func (d *Dialer) probe(ctx context.Context) {
-	tick := time.NewTicker(d.Options.Probe)
+	tick := time.NewTicker(d.Options.ProbeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -168,17 +168,17 @@
 }
 
 func withDefaults(o Options) Options {
-	if o.Silence <= 0 {
-		o.Silence = DefaultSilence
+	if o.StallTimeout <= 0 {
+		o.StallTimeout = DefaultStallTimeout
 	}
-	if o.Connect <= 0 {
-		o.Connect = DefaultConnect
+	if o.ConnectTimeout <= 0 {
+		o.ConnectTimeout = DefaultConnectTimeout
 	}
-	if o.Age <= 0 {
-		o.Age = DefaultAge
+	if o.MaxAge <= 0 {
+		o.MaxAge = DefaultMaxAge
 	}
-	if o.Probe <= 0 {
-		o.Probe = o.Silence / 2
+	if o.ProbeInterval <= 0 {
+		o.ProbeInterval = o.StallTimeout / 2
 	}
 	if o.Connections == nil {
 		o.Connections = func(b describer.Backend) int { return b.Connections }
--- a/internal/traffic/dialer/pool.go
+++ b/internal/traffic/dialer/pool.go
@@ -108,7 +108,7 @@
 func (p *Pool) probe(ctx context.Context) {
 	for _, c := range p.stale() {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, p.options.Silence)
+			ctx, cancel := context.WithTimeout(ctx, p.options.StallTimeout)
 			defer cancel()
 			if c.probe(ctx) {
 				p.put(c)
@@ -137,7 +137,7 @@
 func (p *Pool) stale() []*carrier {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	limit := time.Now().Add(-p.options.Probe)
+	limit := time.Now().Add(-p.options.ProbeInterval)
 	fresh := p.idle[:0:0]
 	var out []*carrier
 	for _, c := range p.idle {
--- a/internal/traffic/forwarder/answer.go
+++ b/internal/traffic/forwarder/answer.go
@@ -17,7 +17,7 @@
 	*http.Response
 	forwarder *Forwarder
 	call      *call
-	place     *router.Place
+	place     *router.Slot
 	cancel    context.CancelFunc
 	start     time.Time
 	outcome   router.Outcome
@@ -126,11 +126,11 @@
 // account charges bytes that crossed regions to the tenant and the link.
 func (f *Forwarder) account(c *call, a *answer, n int64) {
 	f.delays.size(c.service, n)
-	if !a.place.Afar {
+	if !a.place.CrossRegion {
 		return
 	}
 	c.afar += n + max(c.body.length, 0)
-	f.Link.Charge(n+max(c.body.length, 0), time.Now())
+	f.LinkBudget.Charge(n+max(c.body.length, 0), time.Now())
 }
 
 func announce(h, trailer http.Header) {
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -175,11 +175,11 @@
 	}
 	harm(all)
 	options := forwarder.Options{
-		Domain: "d", Region: "r", Policy: v.policy, Hedge: v.hedge, Slots: &router.FixedShare{Hosts: 1},
+		Domain: "d", Region: "r", Policy: v.policy, HedgeRatio: v.hedge, Slots: &router.FixedShare{Hosts: 1},
 		Traffic: parser.Traffic{Silence: parser.Duration(300 * time.Millisecond)},
 	}
 	if v.plain {
-		options.Health = router.Health{Failures: 1 << 30, Slow: 1 << 30}
+		options.Health = router.Health{MaxFailures: 1 << 30, SlowFactor: 1 << 30}
 	}
 	teams := []describer.Team{{Name: "minara", Weight: 1}, {Name: "council", Weight: 1}}
 	f := forwarder.New(options, func() *describer.RoutingTable { return table }, func() []describer.Team { return teams }, nil, nil, zerolog.Nop())
@@ -196,7 +196,7 @@
 	return report
 }
 
-func show(b *testing.B, row *loader.Row) {
+func show(b *testing.B, row *loader.KindReport) {
 	b.ReportMetric(float64(row.Quantile(0.5).Microseconds())/1000, "p50-ms")
 	b.ReportMetric(float64(row.Quantile(0.99).Microseconds())/1000, "p99-ms")
 	b.ReportMetric(float64(row.Quantile(0.999).Microseconds())/1000, "p99.9-ms")
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -51,15 +51,15 @@
 
 // Options are the settings of a forwarder. Zero fields take defaults.
 type Options struct {
-	Name    string // of the entry host
-	Domain  string // its failure domain
-	Region  string
-	Traffic parser.Traffic
-	Slots   router.Slots  // nil: a third of each worker's slots, for tests
-	Policy  router.Policy // router.LeastLoaded if nil
-	Health  router.Health
-	Hedge   float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
-	Seed    uint64
+	Name       string // of the entry host
+	Domain     string // its failure domain
+	Region     string
+	Traffic    parser.Traffic
+	Slots      router.SlotSource // nil: a third of each worker's slots, for tests
+	Policy     router.Policy     // router.LeastLoaded if nil
+	Health     router.Health
+	HedgeRatio float64 // second attempts as a share of first ones; 0 takes 0.05, negative none
+	Seed       uint64
 	// Connections returns how many connections to the backend server may be
 	// open; nil takes eight for each slot lent.
 	Connections func(b describer.Backend) int
@@ -67,12 +67,12 @@
 
 // Forwarder is an http.Handler for callers.
 type Forwarder struct {
-	Options Options
-	Router  *router.Router
-	Dialer  *dialer.Dialer
-	Limiter *limiter.Limiter[*router.Place]
-	Link    *router.Link
-	Done    chan struct{} // closed when upkeep has ended
+	Options    Options
+	Router     *router.Router
+	Dialer     *dialer.Dialer
+	Limiter    *limiter.Limiter[*router.Slot]
+	LinkBudget *router.LinkBudget
+	Done       chan struct{} // closed when upkeep has ended
 
 	table   func() *describer.RoutingTable
 	teams   func() []describer.Team
@@ -100,35 +100,35 @@
 	log zerolog.Logger,
 ) *Forwarder {
 	o = withDefaults(o)
-	link := router.NewLink(o.Traffic.Link)
+	link := router.NewLinkBudget(o.Traffic.Link)
 	f := &Forwarder{
-		Options: o,
-		born:    time.Now().UnixNano(),
-		Link:    link,
-		Done:    make(chan struct{}),
-		table:   table,
-		teams:   teams,
-		claimer: claimer,
-		log:     log.With().Str("part", "forwarder").Logger(),
-		metrics: newMetrics(scope),
-		retries: retrier.NewBudget(o.Traffic.Budget, retryReserve),
-		hedges:  retrier.NewBudget(o.Hedge, hedgeReserve),
+		Options:    o,
+		born:       time.Now().UnixNano(),
+		LinkBudget: link,
+		Done:       make(chan struct{}),
+		table:      table,
+		teams:      teams,
+		claimer:    claimer,
+		log:        log.With().Str("part", "forwarder").Logger(),
+		metrics:    newMetrics(scope),
+		retries:    retrier.NewBudget(o.Traffic.Budget, retryReserve),
+		hedges:     retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
-		Domain: o.Domain,
-		Region: o.Region,
-		Policy: o.Policy,
-		Health: o.Health,
-		Link:   link,
-		Seed:   o.Seed,
+		Domain:     o.Domain,
+		Region:     o.Region,
+		Policy:     o.Policy,
+		Health:     o.Health,
+		LinkBudget: link,
+		Seed:       o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
-		Silence:     time.Duration(o.Traffic.Silence),
-		Connections: o.Connections,
+		StallTimeout: time.Duration(o.Traffic.Silence),
+		Connections:  o.Connections,
 	})
-	f.Limiter = limiter.New[*router.Place](limiter.Options{Queue: o.Traffic.Queue})
+	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
 	if s, ok := o.Slots.(attacher); ok {
-		s.Attach(f.Dialer.Open, f.Limiter.Kick)
+		s.Attach(f.Dialer.OpenConnections, f.Limiter.Dispatch)
 	}
 	f.gate.init()
 	ctx, stop := context.WithCancel(context.Background())
@@ -175,8 +175,8 @@
 	if t.Budget <= 0 {
 		t.Budget = defaultBudget
 	}
-	if o.Hedge == 0 {
-		o.Hedge = defaultHedge
+	if o.HedgeRatio == 0 {
+		o.HedgeRatio = defaultHedge
 	}
 	if o.Slots == nil {
 		o.Slots = &router.FixedShare{Hosts: entryHosts}
@@ -196,14 +196,14 @@
 	ctx, leave, ok := f.gate.enter(r.Context())
 	if !ok {
 		w.Header().Set("Connection", "close")
-		classifier.Answer(w, errStopping)
+		classifier.WriteError(w, errStopping)
 		return
 	}
 	defer leave()
 	call, err := f.read(r)
 	if err != nil {
 		f.metrics.refused(call)
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	call.ends = start.Add(call.deadline)
@@ -221,7 +221,7 @@
 	body, err := newPayload(w, r, f.Options.Traffic.Body, c.ends)
 	if err != nil {
 		f.metrics.refused(c)
-		classifier.Answer(w, err)
+		classifier.WriteError(w, err)
 		return
 	}
 	c.body = body
@@ -251,7 +251,7 @@
 		f.metrics.refused(c)
 	}
 	f.log.Debug().Str("tenant", c.tenant).Str("class", c.class).Str("code", failure.Code).AnErr("cause", failure.Err).Stringer("verdict", failure.Verdict).Msg("request failed")
-	classifier.Answer(w, failure)
+	classifier.WriteError(w, failure)
 }
 
 // Drain refuses new requests and waits until those in flight have ended or
@@ -288,7 +288,7 @@
 			return
 		case <-tick.C:
 		}
-		f.Limiter.Kick()
+		f.Limiter.Dispatch()
 		if i%keepEvery == 0 {
 			f.keep()
 		}
@@ -307,7 +307,7 @@
 			known[b.Worker] = true
 		}
 	}
-	f.Dialer.Keep(func(worker string) bool { return known[worker] })
+	f.Dialer.Prune(func(worker string) bool { return known[worker] })
 }
 
 // weights finds a team's weight in the latest list.
--- a/internal/traffic/lender/seat_test.go
+++ b/internal/traffic/lender/seat_test.go
@@ -52,14 +52,14 @@
 	m.down = true
 }
 
-func seat(store Store, name string) *Seat {
-	return NewSeat(store, "d", name, DefaultTerm, zerolog.Nop())
+func seat(store Store, name string) *ShareLease {
+	return NewShareLease(store, "d", name, DefaultTerm, zerolog.Nop())
 }
 
 func TestSeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newStore()
-		var all []*Seat
+		var all []*ShareLease
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
 			all = append(all, seat(store, name))
 			synctest.Wait()
@@ -68,7 +68,7 @@
 		taken := map[int]bool{}
 		for _, s := range all[:4] {
 			number, count, _ := s.Held(time.Now())
-			if count != DefaultSeats || taken[number] {
+			if count != DefaultShares || taken[number] {
 				t.Errorf("seat %d of %d", number, count)
 			}
 			taken[number] = true
--- a/internal/traffic/limiter/limiter.go
+++ b/internal/traffic/limiter/limiter.go
@@ -52,8 +52,8 @@
 
 // Options bound the queues.
 type Options struct {
-	Queue int              // waiting requests for each tenant and class; 0 lets none wait
-	Now   func() time.Time // time.Now if nil
+	MaxQueue int              // waiting requests for each tenant and class; 0 lets none wait
+	Now      func() time.Time // time.Now if nil
 }
 
 // Limiter admits requests of all services.
@@ -97,9 +97,9 @@
 	}
 }
 
-// Try takes a place only if one is free and nobody waits. It returns ErrBusy
+// TryAcquire takes a place only if one is free and nobody waits. It returns ErrBusy
 // otherwise.
-func (l *Limiter[T]) Try(q Request[T]) (T, error) {
+func (l *Limiter[T]) TryAcquire(q Request[T]) (T, error) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	s := l.service(q.Service)
@@ -136,7 +136,7 @@
 		return nil, place, s.refusal("late", "the deadline would be missed", wait)
 	}
 	queue := t.queue(q.Class)
-	if len(queue.waiters) >= l.Options.Queue {
+	if len(queue.waiters) >= l.Options.MaxQueue {
 		var none T
 		return nil, none, s.refusal("overloaded", "the queue of the tenant and class is full", wait)
 	}
@@ -159,8 +159,8 @@
 	l.dispatch()
 }
 
-// Kick looks for places anew, for instance after more slots were lent.
-func (l *Limiter[T]) Kick() {
+// Dispatch looks for places anew, for instance after more slots were lent.
+func (l *Limiter[T]) Dispatch() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.dispatch()
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -78,7 +78,7 @@
 type run struct {
 	options Options
 	client  *http.Client
-	rows    []*Row
+	rows    []*KindReport
 	wait    sync.WaitGroup
 
 	lock   sync.Mutex
@@ -114,7 +114,7 @@
 func (r *run) enter() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.flight >= r.options.Settings.Flight {
+	if r.flight >= r.options.Settings.MaxInFlight {
 		return false
 	}
 	r.flight++
@@ -147,7 +147,7 @@
 const patience = 2 * time.Second
 
 func (r *run) exchange(ctx context.Context, k *Kind, target string) (outcome, error) {
-	url := strings.TrimSuffix(target, "/") + forwarder.Prefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
+	url := strings.TrimSuffix(target, "/") + forwarder.PathPrefix + k.Service + "/" + strings.TrimPrefix(k.Path, "/")
 	request, err := http.NewRequestWithContext(ctx, k.Method, url, bytes.NewReader(make([]byte, k.Body)))
 	if err != nil {
 		return lost, err
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -8,31 +8,31 @@
 // Health holds the bounds of outlier ejection, slow start and the learnt
 // limit of requests in flight. Zero fields take defaults.
 type Health struct {
-	Failures int           // in a row that eject a backend server
-	Eject    time.Duration // first ejection; doubles up to 16 times this
-	Floor    float64       // share of a service's open backend servers that stays in use
-	Slow     float64       // times the median latency of the others that counts as an outlier
-	Ramp     time.Duration // slow start after an ejection
+	MaxFailures int           // in a row that eject a backend server
+	Ejection    time.Duration // first ejection; doubles up to 16 times this
+	MinOpen     float64       // share of a service's open backend servers that stays in use
+	SlowFactor  float64       // times the median latency of the others that counts as an outlier
+	SlowStart   time.Duration // slow start after an ejection
 }
 
-// DefaultEject is the first ejection's time.
-const DefaultEject = 5 * time.Second
+// DefaultEjection is the first ejection's time.
+const DefaultEjection = 5 * time.Second
 
 func (h Health) withDefaults() Health {
-	if h.Failures <= 0 {
-		h.Failures = 5
+	if h.MaxFailures <= 0 {
+		h.MaxFailures = 5
 	}
-	if h.Eject <= 0 {
-		h.Eject = DefaultEject
+	if h.Ejection <= 0 {
+		h.Ejection = DefaultEjection
 	}
-	if h.Floor <= 0 {
-		h.Floor = 0.7
+	if h.MinOpen <= 0 {
+		h.MinOpen = 0.7
 	}
-	if h.Slow <= 0 {
-		h.Slow = 3
+	if h.SlowFactor <= 0 {
+		h.SlowFactor = 3
 	}
-	if h.Ramp <= 0 {
-		h.Ramp = 20 * time.Second
+	if h.SlowStart <= 0 {
+		h.SlowStart = 20 * time.Second
 	}
 	return h
 }
@@ -48,8 +48,8 @@
 	if s.window > 0 {
 		out = min(out, s.window)
 	}
-	if since := now.Sub(s.returned); !s.returned.IsZero() && since < h.Ramp {
-		out = min(out, float64(slots)*float64(since)/float64(h.Ramp))
+	if since := now.Sub(s.returned); !s.returned.IsZero() && since < h.SlowStart {
+		out = min(out, float64(slots)*float64(since)/float64(h.SlowStart))
 	}
 	return max(1, int(out))
 }
@@ -63,7 +63,7 @@
 )
 
 // learn updates the server after a request; the lock is held.
-func (r *Router) learn(p *Place, o Outcome) {
+func (r *Router) learn(p *Slot, o Outcome) {
 	s := p.server
 	now := r.Options.Now()
 	switch o {
@@ -77,7 +77,7 @@
 	case Overloaded:
 		s.shrink()
 	}
-	if s.failures >= r.Options.Health.Failures || o == Answered && r.isOutlier(p) {
+	if s.failures >= r.Options.Health.MaxFailures || o == Answered && r.isOutlier(p) {
 		r.eject(p, now)
 	}
 }
@@ -114,7 +114,7 @@
 
 // isOutlier reports whether the server is far slower than the mean of the
 // other ones at its distance.
-func (r *Router) isOutlier(p *Place) bool {
+func (r *Router) isOutlier(p *Slot) bool {
 	if p.server.answers < enough {
 		return false
 	}
@@ -126,27 +126,27 @@
 			n++
 		}
 	}
-	return n >= 3 && p.server.latency > r.Options.Health.Slow*sum/float64(n)
+	return n >= 3 && p.server.latency > r.Options.Health.SlowFactor*sum/float64(n)
 }
 
 // eject takes the server out of use unless too few would remain.
-func (r *Router) eject(p *Place, now time.Time) {
+func (r *Router) eject(p *Slot, now time.Time) {
 	s := p.server
 	s.failures = 0
 	if s.isEjected(now) || !r.mayEject(p, now) {
 		return
 	}
-	if now.Sub(s.returned) > 10*r.Options.Health.Eject {
+	if now.Sub(s.returned) > 10*r.Options.Health.Ejection {
 		s.ejects = 0
 	}
-	s.ejected = now.Add(r.Options.Health.Eject << min(s.ejects, 4))
+	s.ejected = now.Add(r.Options.Health.Ejection << min(s.ejects, 4))
 	s.returned = s.ejected
 	s.ejects++
 	s.latency = 0
 	s.answers = 0
 }
 
-func (r *Router) mayEject(p *Place, now time.Time) bool {
+func (r *Router) mayEject(p *Slot, now time.Time) bool {
 	open, used := 0, 0
 	for _, s := range r.row(p) {
 		if s.backend.Closed {
@@ -157,10 +157,10 @@
 			used++
 		}
 	}
-	return float64(used-1) >= r.Options.Health.Floor*float64(open)
+	return float64(used-1) >= r.Options.Health.MinOpen*float64(open)
 }
 
-func (r *Router) row(p *Place) []*server {
+func (r *Router) row(p *Slot) []*server {
 	rows := r.view[p.service]
 	if rows == nil {
 		return nil
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -2,7 +2,7 @@
 //
 // # Model
 //
-// A [Router] takes a [Place] for a request: one of the slots of a backend
+// A [Router] takes a [Slot] for a request: one of the slots of a backend
 // server that this entry host may use now. Places are sought in the entry
 // host's own failure domain, then in its region, and in other regions only
 // when the caller of [Router.Take] says that the deadline would be missed
@@ -28,14 +28,14 @@
 
 // Reasons for which Take finds no place, found with errors.Is.
 var (
-	ErrUnknown = errors.New("router: unknown service")
-	ErrFull    = errors.New("router: every slot is in use")
-	ErrNone    = errors.New("router: no backend server is open")
-	ErrLink    = errors.New("router: no budget left on the link between regions")
+	ErrUnknownService = errors.New("router: unknown service")
+	ErrNoSlot         = errors.New("router: every slot is in use")
+	ErrNoBackend      = errors.New("router: no backend server is open")
+	ErrLinkBudget     = errors.New("router: no budget left on the link between regions")
 )
 
-// Slots lends the slots of workers to this entry host. Its methods never wait.
-type Slots interface {
+// SlotSource lends the slots of workers to this entry host. Its methods never wait.
+type SlotSource interface {
 	// Limit returns how many slots of the worker this entry host may use.
 	Limit(b describer.Backend) int
 	// Acquire takes one slot for a request that ends by deadline. Release must
@@ -45,17 +45,17 @@
 
 // Request says what a place is wanted for.
 type Request struct {
-	Service  string
-	Deadline time.Time
-	Bytes    int64           // expected on the link, both ways
-	Afar     bool            // other regions are allowed
-	Avoid    map[string]bool // workers already tried
+	Service     string
+	Deadline    time.Time
+	Bytes       int64           // expected on the link, both ways
+	CrossRegion bool            // other regions are allowed
+	Avoid       map[string]bool // workers already tried
 }
 
-// Place is a slot of one backend server.
-type Place struct {
-	Backend describer.Backend
-	Afar    bool // in another region; its bytes count against the link
+// Slot is a slot of one backend server.
+type Slot struct {
+	Backend     describer.Backend
+	CrossRegion bool // in another region; its bytes count against the link
 
 	router  *Router
 	server  *server
@@ -66,19 +66,19 @@
 
 // Options place the entry host.
 type Options struct {
-	Domain string
-	Region string
-	Policy Policy // LeastLoaded if nil
-	Health Health // zero fields take defaults
-	Link   *Link  // nil forbids other regions
-	Seed   uint64
-	Now    func() time.Time // time.Now if nil
+	Domain     string
+	Region     string
+	Policy     Policy      // LeastLoaded if nil
+	Health     Health      // zero fields take defaults
+	LinkBudget *LinkBudget // nil forbids other regions
+	Seed       uint64
+	Now        func() time.Time // time.Now if nil
 }
 
 // Router chooses among backend servers.
 type Router struct {
 	Options Options
-	Slots   Slots
+	Slots   SlotSource
 
 	lock    sync.Mutex
 	servers map[string]*server
@@ -89,7 +89,7 @@
 }
 
 // New returns a router over the lent slots.
-func New(o Options, s Slots) *Router {
+func New(o Options, s SlotSource) *Router {
 	if o.Policy == nil {
 		o.Policy = LeastLoaded{}
 	}
@@ -106,29 +106,29 @@
 }
 
 // Take returns a place for the request or the reason why there is none.
-func (r *Router) Take(table *describer.RoutingTable, q Request) (*Place, error) {
+func (r *Router) Take(table *describer.RoutingTable, q Request) (*Slot, error) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	rows, ok := r.rows(table, q.Service)
 	if !ok {
-		return nil, ErrUnknown
+		return nil, ErrUnknownService
 	}
-	reason := ErrNone
+	reason := ErrNoBackend
 	for distance, row := range rows {
-		if Distance(distance) == Afar {
-			if !q.Afar {
+		if Distance(distance) == OtherRegion {
+			if !q.CrossRegion {
 				break
 			}
-			if len(row) > 0 && !r.Options.Link.Allow(q.Bytes, r.Options.Now()) {
-				return nil, ErrLink
+			if len(row) > 0 && !r.Options.LinkBudget.Allow(q.Bytes, r.Options.Now()) {
+				return nil, ErrLinkBudget
 			}
 		}
 		place, err := r.takeFrom(row, q)
 		if err == nil {
-			place.Afar = Distance(distance) == Afar
+			place.CrossRegion = Distance(distance) == OtherRegion
 			return place, nil
 		}
-		if !errors.Is(err, ErrNone) {
+		if !errors.Is(err, ErrNoBackend) {
 			reason = err
 		}
 	}
@@ -137,7 +137,7 @@
 
 // takeFrom chooses within one distance. A candidate whose slots turn out to
 // be gone is left out and the policy is asked again.
-func (r *Router) takeFrom(row []*server, q Request) (*Place, error) {
+func (r *Router) takeFrom(row []*server, q Request) (*Slot, error) {
 	now := r.Options.Now()
 	candidates, open := r.candidates(row, q, now)
 	for len(candidates) > 0 {
@@ -146,15 +146,15 @@
 		release, ok := r.Slots.Acquire(s.backend, q.Deadline)
 		if ok {
 			s.flight++
-			return &Place{Backend: s.backend, router: r, server: s, release: release, service: q.Service, since: now}, nil
+			return &Slot{Backend: s.backend, router: r, server: s, release: release, service: q.Service, since: now}, nil
 		}
 		candidates[i] = candidates[len(candidates)-1]
 		candidates = candidates[:len(candidates)-1]
 	}
 	if open {
-		return nil, ErrFull
+		return nil, ErrNoSlot
 	}
-	return nil, ErrNone
+	return nil, ErrNoBackend
 }
 
 // sampled is the number of backend servers that one choice looks at. Up to
@@ -179,7 +179,7 @@
 		if s.flight >= limit {
 			continue
 		}
-		out = append(out, Candidate{server: s, Flight: s.flight, Limit: limit, Interference: s.backend.Interference, Latency: s.recent(now)})
+		out = append(out, Candidate{server: s, InFlight: s.flight, Limit: limit, Interference: s.backend.Interference, Latency: s.recent(now)})
 		if len(out) == sampled {
 			break
 		}
@@ -199,7 +199,7 @@
 	}
 	now := r.Options.Now()
 	sum := 0
-	for _, row := range rows[:Afar] {
+	for _, row := range rows[:OtherRegion] {
 		for _, s := range row {
 			if !s.backend.Closed && !s.isEjected(now) {
 				sum += s.limit(r.Slots.Limit(s.backend), &r.Options.Health, now)
@@ -210,7 +210,7 @@
 }
 
 // Release gives the slot back and learns from the outcome.
-func (p *Place) Release(o Outcome) {
+func (p *Slot) Release(o Outcome) {
 	p.release()
 	p.router.lock.Lock()
 	defer p.router.lock.Unlock()
--- a/internal/traffic/router/rows.go
+++ b/internal/traffic/router/rows.go
@@ -11,19 +11,19 @@
 
 // Distances, nearest first.
 const (
-	Domain Distance = iota // own failure domain
-	Region                 // another failure domain of the own region
-	Afar                   // another region
+	SameDomain  Distance = iota // own failure domain
+	SameRegion                  // another failure domain of the own region
+	OtherRegion                 // another region
 	distances
 )
 
 func (d Distance) String() string {
 	switch d {
-	case Domain:
+	case SameDomain:
 		return "domain"
-	case Region:
+	case SameRegion:
 		return "region"
-	case Afar:
+	case OtherRegion:
 		return "afar"
 	}
 	return fmt.Sprintf("distance(%d)", int(d))
@@ -77,9 +77,9 @@
 func (r *Router) distance(b describer.Backend) Distance {
 	switch {
 	case b.Domain == r.Options.Domain:
-		return Domain
+		return SameDomain
 	case b.Region == r.Options.Region:
-		return Region
+		return SameRegion
 	}
-	return Afar
+	return OtherRegion
 }
