--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -15,7 +15,7 @@
 func shard(name string, free, backlog int64) Shard {
 	return Shard{
 		Name: name, SameDomain: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
-		ReclaimableCPU: 10000, UnusedCPU: free, FillerCPU: 10000, ReservedBacklog: backlog, FillerBacklog: backlog,
+		FiniteCPU: 10000, UnusedCPU: free, FillerCPU: 10000, ReservedBacklog: backlog, FillerBacklog: backlog,
 	}
 }
 
@@ -112,7 +112,7 @@
 		for tick := range 100 { // 100 ms each; twice as much work arrives as can be done
 			backlog = max(0, backlog-rate/10)
 			s := shard("a", 0, backlog)
-			s.ReclaimableCPU = rate
+			s.FiniteCPU = rate
 			job := Work{ReservedWork: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
 			if Decide(job, []Shard{s}, random()).Accepted {
 				accepted++
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -65,7 +65,7 @@
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
 		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LastingCPU, LongRunningLimit: s.Load.LastingLimit,
-		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
+		FiniteCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
 		out.RoundTrip = afarDistance
