--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -46,7 +46,7 @@
 	LongRunningCPU   int64         // millicores that long-running tasks reserve or wait for
 	LongRunningLimit int64         // upper bound of LongRunningCPU, millicores
 	Free             describer.Resources
-	FiniteCPU   int64 // millicores reserved by tasks that end by themselves
+	FiniteCPU        int64 // millicores reserved by tasks that end by themselves
 	UnusedCPU        int64 // millicores that fillers may still take
 	FillerCPU        int64 // millicores that running fillers asked for
 	ReservedBacklog  int64 // waiting work of equal or higher priority that reserves capacity, millicore-seconds
