--- a/internal/control/accountant/accountant_test.go
+++ b/internal/control/accountant/accountant_test.go
@@ -9,7 +9,8 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// TestNeverOverfilled holds, resizes and drops in random order.
+// TestNeverOverfilled allocates, resizes and releases grants in random order and
+// checks that their sums are right and never exceed the capacity.
 func TestNeverOverfilled(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := describer.Resources{CPU: 100, Memory: 100, Accelerators: 2}
@@ -52,7 +53,7 @@
 					t.Fatalf("granted %v, sum of grants %v", w.Granted, sum)
 				}
 				if !sum.Add(reserved).Fits(capacity) {
-					t.Fatalf("overfilled: %v of %v", sum, capacity)
+					t.Fatalf("overcommitted: %v of %v", sum, capacity)
 				}
 			},
 		})
--- a/internal/control/accountant/room_test.go
+++ b/internal/control/accountant/worker_test.go
@@ -18,26 +18,26 @@
 		Expect(w.Allocate(id, grant)).To(Succeed())
 	})
 
-	It("keeps room within the limit of a restore", func() {
+	It("keeps batch grants within the limit of a restore", func() {
 		w.BatchLimited, w.BatchLimit = true, 500
 		Expect(w.FreeForBatch().CPU).To(BeEquivalentTo(200))
 		w.Closed = true
 		Expect(w.FreeForBatch()).To(BeZero())
 	})
 
-	It("relieves a worker whose capacity fell", func() {
+	It("shrinks grants on a worker whose capacity fell", func() {
 		w.Host.Capacity.Memory = 50
 		Expect(w.Resize(id, token, describer.Resources{CPU: 300, Memory: 60})).To(Succeed())
 		Expect(w.Resize(id, token, describer.Resources{CPU: 300, Memory: 61})).NotTo(Succeed())
 	})
 
-	It("ignores a drop under an old token", func() {
+	It("ignores a release with an old token", func() {
 		w.Release(id, describer.Token{})
 		Expect(w.Tasks()).To(Equal([]describer.TaskID{id}))
 		Expect(w.BatchShares()).To(Equal(map[string]float64{"c": 0.3}))
 	})
 
-	It("clones grants", func() {
+	It("clones its grants", func() {
 		c := w.Clone()
 		c.Release(id, token)
 		Expect(w.Grants).To(HaveLen(1))
--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -46,7 +46,7 @@
 	LongRunningCPU   int64         // millicores that long-running tasks reserve or wait for
 	LongRunningLimit int64         // upper bound of LongRunningCPU, millicores
 	Free             describer.Resources
-	FiniteCPU        int64 // millicores reserved by tasks that end by themselves
+	FiniteCPU        int64 // millicores held by finite tasks, which end by themselves
 	UnusedCPU        int64 // millicores that fillers may still take
 	FillerCPU        int64 // millicores that running fillers asked for
 	ReservedBacklog  int64 // waiting work of equal or higher priority that reserves capacity, millicore-seconds
@@ -57,7 +57,7 @@
 
 // Work is what a job needs in total.
 type Work struct {
-	ReservedWork   int64         // millicore-seconds of tasks that reserve capacity and end by themselves
+	ReservedWork   int64         // millicore-seconds of finite tasks that reserve capacity
 	FillerWork     int64         // millicore-seconds of fillers
 	LongRunningCPU int64         // millicores that long-running tasks reserve
 	Chain          time.Duration // estimated run time of the longest chain of dependent steps
