--- a/internal/control/planner/apply.go
+++ b/internal/control/planner/apply.go
@@ -10,15 +10,16 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Apply returns the configuration that confirmation writes: a changed copy
-// with the same revision, which the write raises. Run, and cancel of a job,
-// leave it as it is. Applying an intent twice changes nothing more. Errors
-// are *classifier.Error values with verdict NotRun and the offending field.
+// Apply returns the configuration that the confirmation of an intent writes. It
+// is a changed copy with the same revision; the write increments it. Run, and
+// cancel of a job, don't change the configuration. Applying an intent again has
+// no effect. Errors are *classifier.Error values with verdict NotRun and the
+// name of the invalid field.
 func Apply(cfg describer.Configuration, intent describer.Intent, now time.Time) (describer.Configuration, error) {
 	cfg.Services = slices.Clone(cfg.Services)
 	cfg.Drains = slices.Clone(cfg.Drains)
 	if intent.ID == "" {
-		return cfg, invalid("id", "an intent needs an id")
+		return cfg, invalid("id", "intent has no id")
 	}
 	switch intent.Action {
 	case describer.SetTarget:
@@ -26,7 +27,7 @@
 	case describer.Run:
 		return cfg, checkJob(cfg, intent.Job)
 	case describer.DrainWorkers:
-		return drainOff(cfg, intent, now)
+		return addDrain(cfg, intent, now)
 	case describer.Restore:
 		return restore(cfg, intent)
 	case describer.Cancel:
@@ -35,9 +36,10 @@
 	return cfg, invalid("action", "unknown action "+string(intent.Action))
 }
 
+// setTarget sets the latency target of a service.
 func setTarget(cfg describer.Configuration, intent describer.Intent) (describer.Configuration, error) {
 	if intent.Target <= 0 {
-		return cfg, invalid("target", "a latency target must be positive")
+		return cfg, invalid("target", "latency target must be positive")
 	}
 	for i := range cfg.Services {
 		if cfg.Services[i].Name == intent.Service {
@@ -49,30 +51,32 @@
 	return cfg, unknown("service", "unknown service "+intent.Service)
 }
 
+// checkJob reports an invalid field of a job to be run.
 func checkJob(cfg describer.Configuration, job *describer.Job) error {
 	switch {
 	case job == nil:
-		return invalid("job", "run needs a job")
+		return invalid("job", "intent has no job to run")
 	case job.ID == "":
-		return invalid("job.id", "a job needs an id")
+		return invalid("job.id", "job has no id")
 	case job.Tasks < 1:
-		return invalid("job.tasks", "a job has at least 1 task")
+		return invalid("job.tasks", "job must have at least 1 task")
 	case !job.Declared.IsValid():
-		return invalid("job.declared", "a task must declare what it needs")
+		return invalid("job.declared", "declared resources must not be negative or all zero")
 	}
-	known := func(t describer.Team) bool { return t.Name == job.Team }
-	if !slices.ContainsFunc(cfg.Teams, known) {
+	isTeam := func(t describer.Team) bool { return t.Name == job.Team }
+	if !slices.ContainsFunc(cfg.Teams, isTeam) {
 		return unknown("job.team", "unknown team "+job.Team)
 	}
 	return nil
 }
 
-func drainOff(cfg describer.Configuration, intent describer.Intent, now time.Time) (describer.Configuration, error) {
+// addDrain adds a drain of the intent's workers.
+func addDrain(cfg describer.Configuration, intent describer.Intent, now time.Time) (describer.Configuration, error) {
 	if len(intent.Workers) == 0 {
-		return cfg, invalid("workers", "a drain needs workers")
+		return cfg, invalid("workers", "drain names no workers")
 	}
 	if intent.For < 0 {
-		return cfg, invalid("for", "the time of a drain must not be negative")
+		return cfg, invalid("for", "time of the drain must not be negative")
 	}
 	if findDrain(cfg, intent.ID) != nil {
 		return cfg, nil
@@ -81,7 +85,7 @@
 	for i := range cfg.Drains {
 		for _, worker := range unrestored(&cfg.Drains[i]) {
 			if slices.Contains(workers, worker) {
-				return cfg, conflict("workers", worker+" is in drain "+cfg.Drains[i].ID)
+				return cfg, conflict("workers", worker+" is already in drain "+cfg.Drains[i].ID)
 			}
 		}
 	}
@@ -93,6 +97,7 @@
 	return cfg, nil
 }
 
+// restore begins the restore of a drain.
 func restore(cfg describer.Configuration, intent describer.Intent) (describer.Configuration, error) {
 	d := findDrain(cfg, intent.Drain)
 	if d == nil {
@@ -102,9 +107,9 @@
 	return cfg, nil
 }
 
-// MarkRestored returns the configuration after a worker got its work back. A
-// drain is removed when all of its workers have. It changes nothing if the
-// drain is gone or not being restored.
+// MarkRestored returns the configuration after a worker of a drain has been
+// restored. The drain is removed with its last worker. Nothing changes if the
+// drain does not exist or is not being restored.
 func MarkRestored(cfg describer.Configuration, drain, worker string) describer.Configuration {
 	cfg.Drains = slices.Clone(cfg.Drains)
 	d := findDrain(cfg, drain)
@@ -118,8 +123,8 @@
 	return cfg
 }
 
-// BeginRestore returns the configuration in which a drain whose time is over
-// is being restored.
+// BeginRestore returns the configuration in which the drain is being restored,
+// as when its time has ended. Nothing changes if the drain does not exist.
 func BeginRestore(cfg describer.Configuration, drain string) describer.Configuration {
 	cfg.Drains = slices.Clone(cfg.Drains)
 	if d := findDrain(cfg, drain); d != nil {
@@ -128,10 +133,11 @@
 	return cfg
 }
 
+// cancel removes a drain. For a job it only checks the intent.
 func cancel(cfg describer.Configuration, intent describer.Intent) (describer.Configuration, error) {
 	if intent.Drain == "" {
 		if intent.Job == nil || intent.Job.ID == "" {
-			return cfg, invalid("drain", "cancel needs a drain or a job")
+			return cfg, invalid("drain", "intent names no drain or job to cancel")
 		}
 		return cfg, nil
 	}
@@ -142,6 +148,7 @@
 	return cfg, nil
 }
 
+// findDrain returns a pointer to the drain in cfg, or nil.
 func findDrain(cfg describer.Configuration, id string) *describer.Drain {
 	i := slices.IndexFunc(cfg.Drains, func(d describer.Drain) bool { return d.ID == id })
 	if i < 0 {
@@ -150,7 +157,7 @@
 	return &cfg.Drains[i]
 }
 
-// unrestored returns the drain's workers that do not have their work back.
+// unrestored returns the drain's workers that have not been restored yet.
 func unrestored(d *describer.Drain) []string {
 	return slices.DeleteFunc(slices.Clone(d.Workers), func(worker string) bool {
 		return slices.Contains(d.Restored, worker)
@@ -169,6 +176,7 @@
 	return failure(http.StatusConflict, "conflict", field, message)
 }
 
+// failure returns an error that says that the intent had no effect.
 func failure(status int, code, field, message string) error {
 	return &classifier.Error{
 		Verdict: classifier.NotRun, Status: status, Code: code, Field: field,
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -1,17 +1,17 @@
-// Package planner turns an operator's intent into a plan, and a confirmed
-// plan into a change of the configuration.
+// Package planner turns an operator's intent into a plan, and a confirmed plan
+// into a change of the configuration.
 //
 // # Model
 //
-// The owner of each shard computes [Steps] for its workers, and [Merge] joins
-// the parts into one plan. Nothing is changed by that. On confirmation the
-// steps are computed anew: if [NewSteps] finds one that the operator has not
-// seen, the plan is stale. Otherwise [Apply] gives the configuration to be
-// written by compare-and-swap on the plan's revision, so that of two racing
-// operators one is refused.
+// The owner of each shard computes the [Steps] for its workers, and [Merge]
+// joins the parts into one plan. That changes nothing. On confirmation the steps
+// are computed again. If [NewSteps] finds one that the operator has not seen,
+// the plan is stale. Otherwise [Apply] returns the configuration to be written
+// by compare-and-swap on the plan's revision, so that of two concurrent
+// confirmations one is refused.
 //
-// A plan depends on grants, not on measured load, which would make every plan
-// stale at once.
+// A plan depends on grants but not on measured load, because load changes all
+// the time and every plan would be stale at once.
 package planner
 
 import (
@@ -26,14 +26,15 @@
 
 // Expected durations of steps.
 const (
-	moveTime    = 10 * time.Second // checkpoint, durable records, start elsewhere
-	restoreTime = 4 * time.Minute  // of a worker that nothing holds back
+	moveTime    = 10 * time.Second // checkpoint, durable records and the start on another worker
+	restoreTime = 4 * time.Minute  // of one worker if its services stay within their targets
 )
 
-// Steps returns what the intent does on the given fleets, by shard, and the
-// expected effect there. pending are the shard's tasks that wait to run. For
-// the action run, fleets holds only the job's shard. Errors are
-// *classifier.Error values with verdict NotRun.
+// Steps returns what the intent does on the given fleets, which are keyed by
+// shard, and the expected effect there. pending are the tasks of these shards
+// that wait to run. For the action run, fleets contains only the job's shard.
+// Errors are *classifier.Error values with verdict NotRun. Steps changes
+// nothing.
 func Steps(
 	cfg describer.Configuration, intent describer.Intent, fleets map[string]*accountant.Fleet,
 	pending []placer.Request, now time.Time,
@@ -41,111 +42,115 @@
 	if _, err := Apply(cfg, intent, now); err != nil {
 		return nil, describer.Expectation{}, err
 	}
-	p := newDraft(cfg, intent, fleets, pending, now)
+	d := newDraft(cfg, intent, fleets, pending, now)
 	switch intent.Action {
 	case describer.SetTarget:
-		p.target()
+		d.setTarget()
 	case describer.Run:
-		p.run()
+		d.run()
 	case describer.DrainWorkers:
-		p.drain()
+		d.drain()
 	case describer.Restore:
-		p.restore()
+		d.restore()
 	case describer.Cancel:
-		p.cancel()
+		d.cancel()
 	}
-	return p.steps, p.expected(), nil
+	return d.steps, d.expected(), nil
 }
 
-// draft is a plan in the making. It places on copies of the accounts.
+// draft is a plan that is being computed. It changes copies of the accounts.
 type draft struct {
 	cfg     describer.Configuration
 	intent  describer.Intent
-	fleet   *accountant.Fleet // copy of all fleets together
-	shard   map[string]string // of each worker
+	fleet   *accountant.Fleet // copy of the workers of all fleets
+	shard   map[string]string // shard by worker name
 	pending []placer.Request
 	now     time.Time
 	steps   []describer.Step
 
-	running   int64 // millicores of batch grants before
-	lost      int64 // millicores of batch grants that stop or wait
-	gained    int64 // millicores of batch grants that start
-	evictions int
-	closed    int // workers closed by the plan
-	opened    int
-	serving   int     // workers that answer for a service, before
-	load      float64 // sum of their loads
+	running   int64   // millicores of batch grants before the plan
+	lost      int64   // millicores of batch grants that end or move
+	gained    int64   // millicores of batch grants that start
+	evictions int     // number of tasks that end or move
+	closed    int     // number of workers with a service that the plan closes
+	opened    int     // number of workers with a service that the plan opens
+	serving   int     // number of open workers with a service before the plan
+	load      float64 // sum of the loads of these workers
 }
 
 func newDraft(
 	cfg describer.Configuration, intent describer.Intent, fleets map[string]*accountant.Fleet,
 	pending []placer.Request, now time.Time,
 ) *draft {
-	p := &draft{
+	d := &draft{
 		cfg: cfg, intent: intent, pending: pending, now: now,
 		fleet: &accountant.Fleet{Workers: make(map[string]*accountant.Worker)},
 		shard: make(map[string]string),
 	}
 	for shard, fleet := range fleets {
 		for name, w := range fleet.Workers {
-			p.fleet.Workers[name] = w.Clone()
-			p.shard[name] = shard
-			p.running += w.BatchCPU()
+			d.fleet.Workers[name] = w.Clone()
+			d.shard[name] = shard
+			d.running += w.BatchCPU()
 			if !w.Closed && len(w.Host.Services) > 0 {
-				p.serving++
-				p.load += w.Load()
+				d.serving++
+				d.load += w.Load()
 			}
 		}
 	}
-	return p
+	return d
 }
 
-func (p *draft) add(s describer.Step) { p.steps = append(p.steps, s) }
+// add appends a step to the plan.
+func (d *draft) add(s describer.Step) { d.steps = append(d.steps, s) }
 
-func (p *draft) target() {
-	p.add(describer.Step{
+// setTarget adds the step that changes a service's latency target.
+func (d *draft) setTarget() {
+	d.add(describer.Step{
 		Verb:   describer.Set,
-		Reason: fmt.Sprintf("%s within %s at the 99th percentile", p.intent.Service, p.intent.Target),
+		Reason: fmt.Sprintf("%s within %s at the 99th percentile", d.intent.Service, d.intent.Target),
 	})
 }
 
-// expected returns the expected effect on the three measures. Latency is that
-// of a queue with one server at the load that the remaining open workers have:
-// a first-order estimate from late reports.
-func (p *draft) expected() describer.Expectation {
-	e := describer.Expectation{Evictions: p.evictions}
-	if p.running > 0 {
-		e.Throughput = float64(p.gained-p.lost) / float64(p.running)
-	} else if p.gained > 0 {
+// expected returns the expected effect on the three measures. Latency is
+// estimated as in a queue with one server, from the mean load of the workers
+// that remain open. The reports of load are delayed, so that this is a rough
+// estimate.
+func (d *draft) expected() describer.Expectation {
+	e := describer.Expectation{Evictions: d.evictions}
+	if d.running > 0 {
+		e.Throughput = float64(d.gained-d.lost) / float64(d.running)
+	} else if d.gained > 0 {
 		e.Throughput = 1
 	}
-	left := p.serving - p.closed + p.opened
-	if p.serving == 0 || left <= 0 || p.closed == p.opened {
+	open := d.serving - d.closed + d.opened
+	if d.serving == 0 || open <= 0 || d.closed == d.opened {
 		return e
 	}
-	const full = 0.95 // load above which the estimate would grow without bound
-	before := min(p.load/float64(p.serving), full)
-	after := min(p.load/float64(left), full)
+	const maxLoad = 0.95 // the estimate grows without bound towards a load of 1
+	before := min(d.load/float64(d.serving), maxLoad)
+	after := min(d.load/float64(open), maxLoad)
 	e.Latency = (1-before)/(1-after) - 1
 	return e
 }
 
-// workers returns those of the names that the draft's fleets hold, in order.
-func (p *draft) workers(names []string) []*accountant.Worker {
+// workers returns the named workers that are in the draft's fleets, sorted by
+// name.
+func (d *draft) workers(names []string) []*accountant.Worker {
 	var out []*accountant.Worker
 	for _, name := range slices.Sorted(slices.Values(names)) {
-		if w := p.fleet.Workers[name]; w != nil {
+		if w := d.fleet.Workers[name]; w != nil {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// within returns the fleet of one shard, since tasks stay in their shard.
-func (p *draft) within(shard string) *accountant.Fleet {
+// shardFleet returns the fleet of one shard. A moved task stays in its shard.
+func (d *draft) shardFleet(shard string) *accountant.Fleet {
 	f := &accountant.Fleet{Workers: make(map[string]*accountant.Worker)}
-	for name, w := range p.fleet.Workers {
-		if p.shard[name] == shard {
+	for name, w := range d.fleet.Workers {
+		if d.shard[name] == shard {
 			f.Workers[name] = w
 		}
 	}
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// fleets are 2 shards with 2 workers each; w-1 runs 3 tasks, w-3 is drained.
+// fleets returns 2 shards with 2 workers each. w-1 runs 3 tasks, w-2 runs 1, and
+// w-3 is drained.
 func fleets() map[string]*accountant.Fleet {
 	out := map[string]*accountant.Fleet{}
 	for i := 1; i <= 4; i++ {
@@ -55,8 +56,8 @@
 			Class: "translate", Team: "council", Resources: describer.Resources{CPU: 5000, Memory: 1000},
 		})).To(Succeed())
 	}
-	hold := accountant.Grant{Resources: describer.Resources{CPU: 6000}}
-	Expect(out["s-1"].Workers["w-2"].Allocate(describer.TaskID{Job: "other"}, hold)).To(Succeed())
+	grant := accountant.Grant{Resources: describer.Resources{CPU: 6000}}
+	Expect(out["s-1"].Workers["w-2"].Allocate(describer.TaskID{Job: "other"}, grant)).To(Succeed())
 	return out
 }
 
@@ -107,7 +108,7 @@
 		})
 	}
 
-	It("leaves the accounts as they are", func() {
+	It("doesn't change the accounts", func() {
 		f := fleets()
 		_, _, err := Steps(configuration(), intents()["drain"], f, nil, now)
 		Expect(err).NotTo(HaveOccurred())
@@ -117,7 +118,7 @@
 })
 
 var _ = Describe("Apply", func() {
-	It("writes the drain once, with the end of its time", func() {
+	It("adds a drain once, with the end of its time", func() {
 		cfg, err := Apply(configuration(), intents()["drain"], now)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(cfg.Drains[1]).To(Equal(describer.Drain{
@@ -128,7 +129,7 @@
 		Expect(again).To(Equal(cfg))
 	})
 
-	It("does not change the configuration that it is given", func() {
+	It("doesn't change the given configuration", func() {
 		cfg := configuration()
 		for _, intent := range intents() {
 			_, err := Apply(cfg, intent, now)
@@ -137,7 +138,7 @@
 		Expect(cfg).To(Equal(configuration()))
 	})
 
-	It("keeps a drain until all of its workers are restored", func() {
+	It("removes a drain when all of its workers are restored", func() {
 		cfg := configuration()
 		cfg.Drains[0].Workers = []string{"w-3", "w-4"}
 		Expect(MarkRestored(cfg, "d-old", "w-3").Drains[0].Restored).To(BeEmpty(), "not being restored yet")
@@ -149,7 +150,7 @@
 		Expect(MarkRestored(cfg, "d-old", "w-4").Drains).To(BeEmpty())
 	})
 
-	DescribeTable("refuses with the field", func(intent describer.Intent, field string) {
+	DescribeTable("refuses an invalid intent and names the field", func(intent describer.Intent, field string) {
 		intent.ID = "i"
 		_, err := Apply(configuration(), intent, now)
 		var e *classifier.Error
@@ -157,37 +158,37 @@
 		Expect(e.Verdict).To(Equal(classifier.NotRun))
 		Expect(e.Field).To(Equal(field))
 	},
-		Entry("no such service", describer.Intent{Action: describer.SetTarget, Service: "x", Target: 1}, "service"),
+		Entry("unknown service", describer.Intent{Action: describer.SetTarget, Service: "x", Target: 1}, "service"),
 		Entry("no target", describer.Intent{Action: describer.SetTarget, Service: "desk"}, "target"),
-		Entry("no such drain", describer.Intent{Action: describer.Restore, Drain: "x"}, "drain"),
+		Entry("unknown drain", describer.Intent{Action: describer.Restore, Drain: "x"}, "drain"),
 		Entry("nothing to cancel", describer.Intent{Action: describer.Cancel}, "drain"),
 		Entry("no workers", describer.Intent{Action: describer.DrainWorkers}, "workers"),
-		Entry("drained already", describer.Intent{Action: describer.DrainWorkers, Workers: []string{"w-3"}}, "workers"),
+		Entry("worker in another drain", describer.Intent{Action: describer.DrainWorkers, Workers: []string{"w-3"}}, "workers"),
 		Entry("no job", describer.Intent{Action: describer.Run}, "job"),
-		Entry("no such action", describer.Intent{Action: "x"}, "action"),
+		Entry("unknown action", describer.Intent{Action: "x"}, "action"),
 	)
 })
 
-var _ = Describe("Difference", func() {
-	It("accepts ended tasks and other destinations, and names new steps", func() {
+var _ = Describe("NewSteps", func() {
+	It("ignores ended tasks and other destinations, and returns new steps", func() {
 		old := plan(intents()["drain"]).Steps
-		renewed := append([]describer.Step(nil), old[:len(old)-1]...)
-		renewed[1].To = "elsewhere"
-		Expect(NewSteps(old, renewed)).To(BeEmpty())
-		renewed = append(old, describer.Step{Verb: describer.Move, Task: "new/0", Worker: "w-1"})
-		Expect(NewSteps(old, renewed)).To(Equal([]string{"new: move new/0 w-1"}))
+		recomputed := append([]describer.Step(nil), old[:len(old)-1]...)
+		recomputed[1].To = "elsewhere"
+		Expect(NewSteps(old, recomputed)).To(BeEmpty())
+		recomputed = append(old, describer.Step{Verb: describer.Move, Task: "new/0", Worker: "w-1"})
+		Expect(NewSteps(old, recomputed)).To(Equal([]string{"new: move new/0 w-1"}))
 	})
 })
 
 var _ = Describe("Merge", func() {
-	It("joins the parts of all owners", func() {
+	It("joins the parts of all shard owners", func() {
 		a, b := plan(intents()["target"]), plan(intents()["target"])
 		merged, err := Merge([]describer.Plan{a, b})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(merged.Steps).To(HaveLen(1))
 	})
 
-	It("refuses parts of different revisions and workers that nobody owns", func() {
+	It("refuses parts of different revisions and workers in no part", func() {
 		a, b := plan(intents()["drain"]), plan(intents()["drain"])
 		b.Revision++
 		_, err := Merge([]describer.Plan{a, b})
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -8,16 +8,17 @@
 	"dotterelcart.dev/dotterelcart/internal/control/placer"
 )
 
-// run lists the starts, joined for each worker, and the tasks that wait.
-func (p *draft) run() {
-	job := p.intent.Job
+// run adds one step for the tasks that start on each worker, and one for those
+// that wait.
+func (d *draft) run() {
+	job := d.intent.Job
 	starts := make(map[string]int)
-	waiting, why := 0, ""
+	waiting, why := 0, "" // once a task has to wait, all later ones do
 	for index := range job.Tasks {
 		task := describer.TaskID{Job: job.ID, Index: index}
 		worker, reason := "", why
 		if waiting == 0 {
-			worker, reason = p.place(p.fleet, p.request(task, job))
+			worker, reason = d.place(d.fleet, d.request(task, job))
 		}
 		if worker == "" {
 			waiting, why = waiting+1, reason
@@ -25,25 +26,26 @@
 		}
 		starts[worker]++
 	}
-	for _, name := range p.fleet.Names() {
+	for _, name := range d.fleet.Names() {
 		if n := starts[name]; n > 0 {
-			p.add(describer.Step{
-				Verb: describer.Start, Task: counted(job.ID, n), To: name, For: job.RunTime,
+			d.add(describer.Step{
+				Verb: describer.Start, Task: taskCount(job.ID, n), To: name, For: job.RunTime,
 			})
 		}
 	}
 	if waiting > 0 {
-		p.add(describer.Step{Verb: describer.Wait, Task: counted(job.ID, waiting), Reason: why})
+		d.add(describer.Step{Verb: describer.Wait, Task: taskCount(job.ID, waiting), Reason: why})
 	}
 }
 
-func (p *draft) request(task describer.TaskID, job *describer.Job) placer.Request {
+func (d *draft) request(task describer.TaskID, job *describer.Job) placer.Request {
 	return placer.Request{Task: task, Job: job, Want: job.Declared, Deadline: job.Deadline}
 }
 
-// place holds a grant in the draft.
-func (p *draft) place(fleet *accountant.Fleet, r placer.Request) (worker, why string) {
-	choice := placer.LeastLoaded{}.Place(fleet, r, p.now)
+// place adds a grant for the request to a fleet of the draft. It returns the
+// worker, or why the request has to wait.
+func (d *draft) place(fleet *accountant.Fleet, r placer.Request) (worker, why string) {
+	choice := placer.LeastLoaded{}.Place(fleet, r, d.now)
 	if choice.Worker == "" {
 		return "", choice.Reason
 	}
@@ -53,96 +55,101 @@
 	if err != nil {
 		return "", err.Error()
 	}
-	p.gained += r.Want.CPU
+	d.gained += r.Want.CPU
 	return choice.Worker, ""
 }
 
-// drain closes the workers and moves what runs there.
-func (p *draft) drain() {
-	workers := p.workers(p.intent.Workers)
+// drain closes the workers and moves the tasks that run there.
+func (d *draft) drain() {
+	workers := d.workers(d.intent.Workers)
 	for _, w := range workers {
 		w.Closed = true
 	}
 	for _, w := range workers {
-		p.add(describer.Step{
-			Verb: describer.Close, Worker: w.Host.Name, For: p.intent.For, Reason: "drain " + p.intent.ID,
+		d.add(describer.Step{
+			Verb: describer.Close, Worker: w.Host.Name, For: d.intent.For, Reason: "drain " + d.intent.ID,
 		})
 		if len(w.Host.Services) > 0 {
-			p.closed++
+			d.closed++
 		}
 		for _, task := range w.Tasks() {
-			p.leave(w, task)
+			d.moveOff(w, task)
 		}
 	}
 }
 
-func (p *draft) leave(w *accountant.Worker, task describer.TaskID) {
+// moveOff moves a task to another worker of its shard, or lets it wait if none
+// has room.
+func (d *draft) moveOff(w *accountant.Worker, task describer.TaskID) {
 	g := w.Grants[task]
 	w.Release(task, g.Token)
 	job := &describer.Job{ID: task.Job, Team: g.Team, Class: g.Class, Kind: g.Kind, Priority: g.Priority}
 	request := placer.Request{Task: task, Job: job, Want: g.Resources}
-	to, why := p.place(p.within(p.shard[w.Host.Name]), request)
-	p.evictions++
-	p.lost += g.Resources.CPU
+	to, why := d.place(d.shardFleet(d.shard[w.Host.Name]), request)
+	d.evictions++
+	d.lost += g.Resources.CPU
 	step := describer.Step{Verb: describer.Move, Task: task.String(), Worker: w.Host.Name, To: to, For: moveTime}
 	if to == "" {
-		step.Verb, step.For, step.Reason = describer.Wait, p.intent.For, why
+		step.Verb, step.For, step.Reason = describer.Wait, d.intent.For, why
 	}
-	p.add(step)
+	d.add(step)
 }
 
-// restore opens the drain's workers and starts the tasks that are owed back.
-func (p *draft) restore() {
-	d := findDrain(p.cfg, p.intent.Drain)
-	for _, w := range p.workers(unrestored(d)) {
+// restore opens the drain's workers and starts the tasks that were drained from
+// them and wait.
+func (d *draft) restore() {
+	drain := findDrain(d.cfg, d.intent.Drain)
+	for _, w := range d.workers(unrestored(drain)) {
 		w.Closed = false
-		p.opens(w, "gradual, by batch limit and service latency")
-		for _, r := range p.pending {
+		d.open(w, "gradual, by batch limit and service latency")
+		for _, r := range d.pending {
 			if r.ReturnTo != w.Host.Name || w.Allocate(r.Task, accountant.Grant{Resources: r.Want}) != nil {
 				continue
 			}
-			p.gained += r.Want.CPU
-			p.add(describer.Step{Verb: describer.Start, Task: r.Task.String(), To: w.Host.Name})
+			d.gained += r.Want.CPU
+			d.add(describer.Step{Verb: describer.Start, Task: r.Task.String(), To: w.Host.Name})
 		}
 	}
 }
 
-func (p *draft) opens(w *accountant.Worker, why string) {
+// open adds the step that opens a worker.
+func (d *draft) open(w *accountant.Worker, why string) {
 	if len(w.Host.Services) > 0 {
-		p.opened++
+		d.opened++
 	}
-	p.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Reason: why})
+	d.add(describer.Step{Verb: describer.Open, Worker: w.Host.Name, For: restoreTime, Reason: why})
 }
 
-// cancel ends a drain at once, or a job.
-func (p *draft) cancel() {
-	if p.intent.Drain != "" {
-		for _, w := range p.workers(unrestored(findDrain(p.cfg, p.intent.Drain))) {
-			p.opens(w, "the drain is cancelled; tasks that were moved stay where they are")
+// cancel opens the workers of a drain, or stops the tasks of a job.
+func (d *draft) cancel() {
+	if d.intent.Drain != "" {
+		for _, w := range d.workers(unrestored(findDrain(d.cfg, d.intent.Drain))) {
+			d.open(w, "the drain is cancelled; tasks that were moved stay where they are")
 		}
 		return
 	}
-	for _, name := range p.fleet.Names() {
-		w := p.fleet.Workers[name]
+	for _, name := range d.fleet.Names() {
+		w := d.fleet.Workers[name]
 		for _, task := range w.Tasks() {
-			if task.Job != p.intent.Job.ID {
+			if task.Job != d.intent.Job.ID {
 				continue
 			}
-			p.lost += w.Grants[task].Resources.CPU
-			p.add(describer.Step{Verb: describer.Stop, Task: task.String(), Worker: name})
+			d.lost += w.Grants[task].Resources.CPU
+			d.add(describer.Step{Verb: describer.Stop, Task: task.String(), Worker: name})
 		}
 	}
 	waiting := 0
-	for _, r := range p.pending {
-		if r.Task.Job == p.intent.Job.ID {
+	for _, r := range d.pending {
+		if r.Task.Job == d.intent.Job.ID {
 			waiting++
 		}
 	}
 	if waiting > 0 {
-		p.add(describer.Step{
-			Verb: describer.Stop, Task: counted(p.intent.Job.ID, waiting), Reason: "waits to run, and will not",
+		d.add(describer.Step{
+			Verb: describer.Stop, Task: taskCount(d.intent.Job.ID, waiting), Reason: "waits to run and will not start",
 		})
 	}
 }
 
-func counted(job string, n int) string { return fmt.Sprintf("%s (%d tasks)", job, n) }
+// taskCount describes n tasks of a job.
+func taskCount(job string, n int) string { return fmt.Sprintf("%s (%d tasks)", job, n) }
