--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -15,7 +15,8 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// silentLedger takes effects and never answers, like a store that is away.
+// silentLedger accepts effects and never reports an outcome, like an unreachable
+// store.
 type silentLedger struct{}
 
 func (silentLedger) Do(effect reducer.Effect) bool {
@@ -26,7 +27,7 @@
 	return false
 }
 
-func newTest() *Executor {
+func newTestExecutor() *Executor {
 	return New(Options{
 		State:    reducer.New(reducer.Options{Daemon: "a", Domain: "d"}, reducer.Policies{}),
 		Ledger:   silentLedger{},
@@ -43,7 +44,7 @@
 
 func TestAskReturnsTheReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newTest()
+		e := newTestExecutor()
 		defer e.Close()
 		reply, err := e.Ask(t.Context(), status)
 		if err != nil || reply.Status == nil || reply.Status.Daemon != "a" {
@@ -54,7 +55,7 @@
 
 func TestAskReturnsARefusalWithItsVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newTest()
+		e := newTestExecutor()
 		defer e.Close()
 		_, err := e.Ask(t.Context(), func(id reducer.RequestID) reducer.Event {
 			return reducer.JobStatusRequested{Request: id, Job: "nobody's"}
@@ -68,7 +69,7 @@
 
 func TestAskMayHaveRunWhenNobodyReplies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newTest()
+		e := newTestExecutor()
 		defer e.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -83,10 +84,10 @@
 
 func TestAskIsNotRunOnceClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newTest()
+		e := newTestExecutor()
 		e.Close()
 		for len(e.inbox) < cap(e.inbox) {
-			e.inbox <- reducer.StoreChecked{} // nobody reads any more
+			e.inbox <- reducer.StoreChecked{} // the control goroutine no longer receives
 		}
 		_, err := e.Ask(t.Context(), status)
 		if classifier.VerdictOf(err) != classifier.NotRun {
