--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -12,7 +12,7 @@
 // Priorities, in rising order.
 const (
 	Normal Priority = iota
-	Urgent          // must start within the urgent start bound
+	Urgent          // is started or refused within a fixed time
 )
 
 func (p Priority) String() string {
@@ -25,13 +25,13 @@
 	return fmt.Sprintf("priority(%d)", uint8(p))
 }
 
-// Kind tells batch tasks, which end, from latency-critical ones, which do not.
+// Kind is the kind of a job's tasks.
 type Kind uint8
 
 // Kinds of task.
 const (
-	Batch Kind = iota
-	LatencyCritical
+	Batch           Kind = iota // ends by itself
+	LatencyCritical             // runs until its job is cancelled
 )
 
 func (k Kind) String() string {
@@ -44,23 +44,23 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// Job is a unit of submission. ID is chosen by the caller and makes the
-// submission idempotent.
+// Job is a number of equal tasks that are submitted together. The caller chooses
+// ID, which makes the submission idempotent.
 type Job struct {
 	ID       string          `json:"id"`
 	Team     string          `json:"team"`
-	Class    string          `json:"class"` // interference class of its tasks
+	Class    string          `json:"class"` // interference class of the tasks
 	Kind     Kind            `json:"kind,omitempty"`
 	Priority Priority        `json:"priority,omitempty"`
 	Tasks    int             `json:"tasks"`    // number of tasks, at least 1
-	Declared Resources       `json:"declared"` // for each task
-	RunTime  time.Duration   `json:"runtime"`  // declared, for each task
+	Declared Resources       `json:"declared"` // resources that each task needs, as declared
+	RunTime  time.Duration   `json:"runtime"`  // run time of each task, as declared
 	Deadline time.Time       `json:"deadline,omitzero"`
 	Payload  json.RawMessage `json:"payload,omitempty"`
 	Accepted time.Time       `json:"accepted,omitzero"`
 }
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job.
 type TaskID struct {
 	Job   string `json:"job"`
 	Index int    `json:"index"`
@@ -68,12 +68,12 @@
 
 func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Index) }
 
-// Token fences runs of one task: a worker refuses a token that is lower than
-// one it has seen for the task, and any token of an epoch lower than the
-// highest it has seen for the shard.
+// Token is the fencing token of one run of a task. A worker refuses a token that
+// is lower than the highest that it has seen for the task, and a token whose
+// epoch is lower than the highest that it has seen for the shard.
 type Token struct {
-	Epoch    int64 `json:"epoch"`    // of the shard's ownership
-	Sequence int64 `json:"sequence"` // within the epoch
+	Epoch    int64 `json:"epoch"`    // epoch of the shard's ownership
+	Sequence int64 `json:"sequence"` // number within the epoch
 }
 
 // Less reports whether t was issued before o.
@@ -81,16 +81,16 @@
 	return t.Epoch < o.Epoch || t.Epoch == o.Epoch && t.Sequence < o.Sequence
 }
 
-// TaskState is the state of a task in its ledger.
+// TaskState is the state of a task in its shard's ledger.
 type TaskState uint8
 
 // Task states. Done, Cancelled and Failed are final.
 const (
-	Pending   TaskState = iota // not started, or evicted and waiting to resume
+	Pending   TaskState = iota // not started yet, or evicted and waiting to resume
 	Started                    // may be running on Task.Worker under Task.Token
-	Done                       // completed, result durable
-	Cancelled                  // cancelled; Task.Ran says whether it had run
-	Failed                     // set aside for good, Task.Reason says why
+	Done                       // completed, with a durable result
+	Cancelled                  // cancelled; Task.MayHaveRun tells whether it may have run
+	Failed                     // given up, for the reason in Task.Reason
 )
 
 func (s TaskState) String() string {
@@ -116,14 +116,14 @@
 type Task struct {
 	ID          TaskID          `json:"id"`
 	State       TaskState       `json:"state"`
-	Worker      string          `json:"worker,omitempty"` // while Started
-	Token       Token           `json:"token,omitzero"`   // of the latest run
-	Granted     Resources       `json:"granted,omitzero"` // while Started
-	Checkpoint  string          `json:"checkpoint,omitempty"`
-	Attempts    int             `json:"attempts,omitempty"` // runs that ended in failure
-	Evictions   int             `json:"evictions,omitempty"`
-	DrainedFrom string          `json:"drained,omitempty"` // worker it was drained from and is owed back to
-	MayHaveRun  bool            `json:"ran,omitempty"`     // some run may have begun
+	Worker      string          `json:"worker,omitempty"`     // worker that may run it, while Started
+	Token       Token           `json:"token,omitzero"`       // token of the latest run
+	Granted     Resources       `json:"granted,omitzero"`     // resources held by the run, while Started
+	Checkpoint  string          `json:"checkpoint,omitempty"` // latest checkpoint, from which a new run resumes
+	Attempts    int             `json:"attempts,omitempty"`   // number of runs that failed
+	Evictions   int             `json:"evictions,omitempty"`  // number of evictions
+	DrainedFrom string          `json:"drained,omitempty"`    // drained worker that it ran on and returns to
+	MayHaveRun  bool            `json:"ran,omitempty"`        // whether a run may have begun
 	Result      json.RawMessage `json:"result,omitempty"`
-	Reason      string          `json:"reason,omitempty"`
+	Reason      string          `json:"reason,omitempty"` // why it failed
 }
--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// RecordKind is a durable transition.
+// RecordKind is the kind of a state transition.
 type RecordKind string
 
-// Kinds of ledger record and the fields of Record that each one uses.
+// Kinds of record. The comments list the fields of Record that each kind uses.
 const (
 	JobAccepted       RecordKind = "job"      // Job
 	JobCancelled      RecordKind = "cancel"   // JobID
-	TaskStarted       RecordKind = "start"    // Task, Worker, Token, Granted; written before the worker is asked
+	TaskStarted       RecordKind = "start"    // Task, Worker, Token, Granted; durable before the worker is called
 	TaskResized       RecordKind = "resize"   // Task, Token, Granted
-	TaskReleased      RecordKind = "release"  // Task, Token, Checkpoint, Reason, DrainedOff: known to be over, waits to resume
+	TaskReleased      RecordKind = "release"  // Task, Token, Checkpoint, Reason, DrainedFrom; the run has ended for certain, the task waits to resume
 	TaskFinished      RecordKind = "finish"   // Task, Token, Result
-	TaskFailed        RecordKind = "fail"     // Task, Token, Reason: one attempt failed
-	TaskAbandoned     RecordKind = "aside"    // Task, Reason: final
-	WorkerQuarantined RecordKind = "suspect"  // Worker, Reason
-	WorkerReinstated  RecordKind = "trust"    // Worker
-	DrainRestored     RecordKind = "restored" // Worker, Key (drain id)
-	ShardReleased     RecordKind = "handover" // Token.Epoch, Wait: the last record of an owner that gave the shard up
-	KeyClaimed        RecordKind = "key"      // Key, Owner: a non-idempotent request is about to be sent
+	TaskFailed        RecordKind = "fail"     // Task, Token, Reason; a run failed
+	TaskAbandoned     RecordKind = "aside"    // Task, Reason; the task is given up and fails for good
+	WorkerQuarantined RecordKind = "suspect"  // Worker, Reason; nothing is placed on the worker
+	WorkerReinstated  RecordKind = "trust"    // Worker; ends a quarantine
+	DrainRestored     RecordKind = "restored" // Worker, Key (id of the drain)
+	ShardReleased     RecordKind = "handover" // Token.Epoch, LeaseWait; last record of an owner that releases the shard
+	KeyClaimed        RecordKind = "key"      // Key, Owner; durable before a non-idempotent request is sent
 )
 
-// Record is one durable transition of a shard.
+// Record is one durable state transition in a shard's ledger. Fields that its
+// kind does not use are zero.
 type Record struct {
 	Kind        RecordKind      `json:"kind"`
 	Time        time.Time       `json:"time"`
@@ -41,5 +42,5 @@
 	Reason      string          `json:"reason,omitempty"`
 	Key         string          `json:"key,omitempty"`
 	Owner       string          `json:"owner,omitempty"`
-	LeaseWait   time.Duration   `json:"wait,omitempty"` // until every task lease has lapsed
+	LeaseWait   time.Duration   `json:"wait,omitempty"` // time until every task lease has expired
 }
--- a/internal/control/describer/resources.go
+++ b/internal/control/describer/resources.go
@@ -1,6 +1,6 @@
 package describer
 
-// Resources is an amount of processor, memory and accelerators.
+// Resources is an amount of processors, memory and accelerators.
 type Resources struct {
 	CPU          int64 `json:"cpu"`          // millicores
 	Memory       int64 `json:"memory"`       // MiB
@@ -17,7 +17,7 @@
 	return Resources{r.CPU - o.CPU, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
 
-// Fits reports whether r fits into capacity in every component.
+// Fits reports whether no component of r exceeds that of capacity.
 func (r Resources) Fits(capacity Resources) bool {
 	return r.CPU <= capacity.CPU && r.Memory <= capacity.Memory && r.Accelerators <= capacity.Accelerators
 }
