--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -16,7 +16,7 @@
 	Rack    int                 // workers for each rack
 	Size    describer.Resources // of a worker
 	Target  time.Duration
-	Base    time.Duration // 99th percentile of an idle worker
+	IdleP99    time.Duration // 99th percentile of an idle worker
 	Rate    float64       // requests a second and worker at full load
 	Weights describer.Weights
 	Demand  float64 // batch work as a share of all processors that are not reserved
@@ -28,13 +28,13 @@
 	return []Deployment{{
 		Name: "queensland", Service: "menu-desk", Workers: 48, Rack: 8,
 		Size:   describer.Resources{CPU: 64000, Memory: 250000},
-		Target: 120 * time.Millisecond, Base: 40 * time.Millisecond, Rate: 60,
+		Target: 120 * time.Millisecond, IdleP99: 40 * time.Millisecond, Rate: 60,
 		Weights: describer.Weights{Latency: 1, Throughput: 2, Evictions: 1},
 		Demand:  0.65, Unit: 4,
 	}, {
 		Name: "minara", Service: "keepdesk", Workers: 65, Rack: 8,
 		Size:   describer.Resources{CPU: 16000, Memory: 60000},
-		Target: 150 * time.Millisecond, Base: 50 * time.Millisecond, Rate: 40,
+		Target: 150 * time.Millisecond, IdleP99: 50 * time.Millisecond, Rate: 40,
 		Weights: describer.Weights{Latency: 3, Throughput: 1, Evictions: 1},
 		Demand:  0.55, Unit: 1,
 	}}
@@ -125,5 +125,5 @@
 // latency returns the 99th percentile on a worker in seconds.
 func (t *truth) latency(d Deployment, shares []float64, load float64) float64 {
 	queue := 1 + 0.25*load/(1-min(load, 0.92))
-	return d.Base.Seconds() * queue * t.slowdown(shares, load)
+	return d.IdleP99.Seconds() * queue * t.slowdown(shares, load)
 }
