--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -20,7 +20,7 @@
 	Rate    float64       // requests a second and worker at full load
 	Weights describer.Weights
 	Demand  float64 // batch work as a share of all processors that are not reserved
-	Unit    float64 // cores of a typical batch task
+	TaskCores    float64 // cores of a typical batch task
 }
 
 // Deployments returns both deployments at today's size.
@@ -30,13 +30,13 @@
 		Size:   describer.Resources{CPU: 64000, Memory: 250000},
 		Target: 120 * time.Millisecond, IdleP99: 40 * time.Millisecond, Rate: 60,
 		Weights: describer.Weights{Latency: 1, Throughput: 2, Evictions: 1},
-		Demand:  0.65, Unit: 4,
+		Demand:  0.65, TaskCores: 4,
 	}, {
 		Name: "minara", Service: "keepdesk", Workers: 65, Rack: 8,
 		Size:   describer.Resources{CPU: 16000, Memory: 60000},
 		Target: 150 * time.Millisecond, IdleP99: 50 * time.Millisecond, Rate: 40,
 		Weights: describer.Weights{Latency: 3, Throughput: 1, Evictions: 1},
-		Demand:  0.55, Unit: 1,
+		Demand:  0.55, TaskCores: 1,
 	}}
 }
 
@@ -77,7 +77,7 @@
 	for i := range classes {
 		c := batchClass{
 			name:    string(rune('a' + i)),
-			cores:   d.Unit * math.Exp(0.5*r.NormFloat64()),
+			cores:   d.TaskCores * math.Exp(0.5*r.NormFloat64()),
 			run:     300 * math.Exp(0.5*r.NormFloat64()),
 			sizeOff: factor(r),
 			timeOff: factor(r),
