--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -218,7 +218,7 @@
 // drain closes the second rack for a while and restores it.
 func (k *control) drain() {
 	at := k.now.Sub(begin)
-	for _, h := range k.hosts[k.deployment.Rack : 2*k.deployment.Rack] {
+	for _, h := range k.hosts[k.deployment.RackSize : 2*k.deployment.RackSize] {
 		name := h.account.Host.Name
 		switch at {
 		case drainAt:
--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -13,7 +13,7 @@
 	Name    string
 	Service string
 	Workers int
-	Rack    int                 // workers for each rack
+	RackSize    int                 // workers for each rack
 	Size    describer.Resources // of a worker
 	Target  time.Duration
 	IdleP99    time.Duration // 99th percentile of an idle worker
@@ -26,13 +26,13 @@
 // Deployments returns both deployments at today's size.
 func Deployments() []Deployment {
 	return []Deployment{{
-		Name: "queensland", Service: "menu-desk", Workers: 48, Rack: 8,
+		Name: "queensland", Service: "menu-desk", Workers: 48, RackSize: 8,
 		Size:   describer.Resources{CPU: 64000, Memory: 250000},
 		Target: 120 * time.Millisecond, IdleP99: 40 * time.Millisecond, Rate: 60,
 		Weights: describer.Weights{Latency: 1, Throughput: 2, Evictions: 1},
 		Demand:  0.65, TaskCores: 4,
 	}, {
-		Name: "minara", Service: "keepdesk", Workers: 65, Rack: 8,
+		Name: "minara", Service: "keepdesk", Workers: 65, RackSize: 8,
 		Size:   describer.Resources{CPU: 16000, Memory: 60000},
 		Target: 150 * time.Millisecond, IdleP99: 50 * time.Millisecond, Rate: 40,
 		Weights: describer.Weights{Latency: 3, Throughput: 1, Evictions: 1},
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -10,7 +10,7 @@
 // small is a deployment that is quick to play.
 func small() Deployment {
 	d := Deployments()[1]
-	d.Workers, d.Rack, d.Demand = 8, 4, 0.3
+	d.Workers, d.RackSize, d.Demand = 8, 4, 0.3
 	return d
 }
 
--- a/internal/control/evaluator/world.go
+++ b/internal/control/evaluator/world.go
@@ -79,7 +79,7 @@
 	account := &accountant.Worker{
 		Host: describer.Host{
 			Name: name, Role: describer.Worker, Capacity: d.Size, Slots: 8, Connections: 64,
-			Rack: string([]byte{'r', byte('0' + i/d.Rack)}),
+			Rack: string([]byte{'r', byte('0' + i/d.RackSize)}),
 		},
 		Reports:       make(map[string]runner.LatencyReport),
 		LastInventory: begin,
