--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -325,7 +325,7 @@
 func (k *control) request(r *run) placer.Request {
 	want := r.job.Declared
 	if !k.contender.Declared {
-		want = placer.SizeGrant(&k.usage, r.job, k.deployment.Size.Sub(describer.Resources{CPU: k.deployment.Size.CPU / 4}))
+		want = placer.SizeGrant(&k.usage, r.job, k.deployment.WorkerSize.Sub(describer.Resources{CPU: k.deployment.WorkerSize.CPU / 4}))
 	}
 	return placer.Request{
 		Task: r.id, Job: r.job, Want: want, ReturnTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -14,7 +14,7 @@
 	Service string
 	Workers int
 	RackSize    int                 // workers for each rack
-	Size    describer.Resources // of a worker
+	WorkerSize    describer.Resources // of a worker
 	Target  time.Duration
 	IdleP99    time.Duration // 99th percentile of an idle worker
 	Rate    float64       // requests a second and worker at full load
@@ -27,13 +27,13 @@
 func Deployments() []Deployment {
 	return []Deployment{{
 		Name: "queensland", Service: "menu-desk", Workers: 48, RackSize: 8,
-		Size:   describer.Resources{CPU: 64000, Memory: 250000},
+		WorkerSize:   describer.Resources{CPU: 64000, Memory: 250000},
 		Target: 120 * time.Millisecond, IdleP99: 40 * time.Millisecond, Rate: 60,
 		Weights: describer.Weights{Latency: 1, Throughput: 2, Evictions: 1},
 		Demand:  0.65, TaskCores: 4,
 	}, {
 		Name: "minara", Service: "keepdesk", Workers: 65, RackSize: 8,
-		Size:   describer.Resources{CPU: 16000, Memory: 60000},
+		WorkerSize:   describer.Resources{CPU: 16000, Memory: 60000},
 		Target: 150 * time.Millisecond, IdleP99: 50 * time.Millisecond, Rate: 40,
 		Weights: describer.Weights{Latency: 3, Throughput: 1, Evictions: 1},
 		Demand:  0.55, TaskCores: 1,
--- a/internal/control/evaluator/workload.go
+++ b/internal/control/evaluator/workload.go
@@ -41,7 +41,7 @@
 // newWorkload draws the jobs of a morning, in order of arrival: a stream, the
 // precinct waves, and urgent jobs.
 func newWorkload(d Deployment, t *truth, r *rand.Rand) []*run {
-	free := float64(d.Workers) * float64(d.Size.CPU) / 1000 * (1 - reservedShare*(batchOnly-1)/batchOnly)
+	free := float64(d.Workers) * float64(d.WorkerSize.CPU) / 1000 * (1 - reservedShare*(batchOnly-1)/batchOnly)
 	whole := free * morning.Seconds() * d.Demand // core seconds
 	var out []*run
 	jobs := 0
@@ -78,8 +78,8 @@
 	job := &describer.Job{
 		ID: fmt.Sprintf("j%04d", n), Team: "council", Class: c.name, Tasks: tasks, Priority: p,
 		Declared: describer.Resources{
-			CPU:    min(size(1000*c.cores), d.Size.CPU/2),
-			Memory: min(size(c.memory), d.Size.Memory/2),
+			CPU:    min(size(1000*c.cores), d.WorkerSize.CPU/2),
+			Memory: min(size(c.memory), d.WorkerSize.Memory/2),
 		},
 		RunTime:  time.Duration(c.run * c.timeOff * float64(time.Second)),
 		Deadline: begin.Add(min(deadline, morning)),
--- a/internal/control/evaluator/world.go
+++ b/internal/control/evaluator/world.go
@@ -78,7 +78,7 @@
 	name := string([]byte{'w', byte('0' + i/10), byte('0' + i%10)})
 	account := &accountant.Worker{
 		Host: describer.Host{
-			Name: name, Role: describer.Worker, Capacity: d.Size, Slots: 8, Connections: 64,
+			Name: name, Role: describer.Worker, Capacity: d.WorkerSize, Slots: 8, Connections: 64,
 			Rack: string([]byte{'r', byte('0' + i/d.RackSize)}),
 		},
 		Reports:       make(map[string]runner.LatencyReport),
@@ -86,7 +86,7 @@
 	}
 	if i%batchOnly != 0 {
 		account.Host.Services = []string{d.Service}
-		account.Reserved.CPU = int64(reservedShare * float64(d.Size.CPU))
+		account.Reserved.CPU = int64(reservedShare * float64(d.WorkerSize.CPU))
 	}
 	return &host{
 		account: account,
@@ -188,7 +188,7 @@
 	for _, task := range h.account.Tasks() {
 		if r := h.runs[task]; r != nil {
 			used := min(float64(h.account.Grants[task].Resources.CPU)/1000, w.truth.classes[r.class].cores)
-			out[r.class] += used * 1000 / float64(w.deployment.Size.CPU)
+			out[r.class] += used * 1000 / float64(w.deployment.WorkerSize.CPU)
 		}
 	}
 	return out
