--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -23,7 +23,7 @@
 	Name     string
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
 	Declared bool // grants as declared, not as measured
-	Evict    bool // evicts the newest batch task for each report above the target
+	EvictOnMiss    bool // evicts the newest batch task for each report above the target
 	Adaptive bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
 
@@ -34,10 +34,10 @@
 	}
 	return []Variant{
 		{Name: NoColocationName, Policy: plain(placer.NoColocation{})},
-		{Name: "first-fit", Policy: plain(placer.FirstFit{}), Evict: true},
-		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), Evict: true},
-		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), Evict: true, Declared: true},
-		{Name: "static-threshold", Policy: plain(placer.StaticThreshold{Share: 0.5, Load: 0.7}), Evict: true},
+		{Name: "first-fit", Policy: plain(placer.FirstFit{}), EvictOnMiss: true},
+		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), EvictOnMiss: true},
+		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), EvictOnMiss: true, Declared: true},
+		{Name: "static-threshold", Policy: plain(placer.StaticThreshold{Share: 0.5, Load: 0.7}), EvictOnMiss: true},
 		{Name: DefaultName, Policy: defaultPolicy, Adaptive: true},
 	}
 }
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -143,7 +143,7 @@
 			if ok && k.contender.Adaptive {
 				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
-			if k.contender.Evict && l.P99 > k.deployment.Target {
+			if k.contender.EvictOnMiss && l.P99 > k.deployment.Target {
 				if task, ok := evictNewest(h.account); ok {
 					k.evict(h.runs[task], true)
 					k.evictions++
