--- a/internal/control/evaluator/contender.go
+++ b/internal/control/evaluator/contender.go
@@ -22,7 +22,7 @@
 type Variant struct {
 	Name     string
 	Policy   func(d Deployment, l *learner.Learner) placer.Policy
-	Declared bool // grants as declared, not as measured
+	DeclaredSizes bool // grants as declared, not as measured
 	EvictOnMiss    bool // evicts the newest batch task for each report above the target
 	Adaptive bool // learns, escalates, restores gradually and makes room for urgent tasks
 }
@@ -36,7 +36,7 @@
 		{Name: NoColocationName, Policy: plain(placer.NoColocation{})},
 		{Name: "first-fit", Policy: plain(placer.FirstFit{}), EvictOnMiss: true},
 		{Name: "least-loaded", Policy: plain(placer.LeastLoaded{}), EvictOnMiss: true},
-		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), EvictOnMiss: true, Declared: true},
+		{Name: "least-loaded-declared", Policy: plain(placer.LeastLoaded{}), EvictOnMiss: true, DeclaredSizes: true},
 		{Name: "static-threshold", Policy: plain(placer.StaticThreshold{Share: 0.5, Load: 0.7}), EvictOnMiss: true},
 		{Name: DefaultName, Policy: defaultPolicy, Adaptive: true},
 	}
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -155,7 +155,7 @@
 
 // resize adapts grants to measured use, twice a minute.
 func (k *control) resize() {
-	if k.contender.Declared || k.now.Sub(begin)%(30*time.Second) != 0 {
+	if k.contender.DeclaredSizes || k.now.Sub(begin)%(30*time.Second) != 0 {
 		return
 	}
 	for _, h := range k.hosts {
@@ -324,7 +324,7 @@
 
 func (k *control) request(r *run) placer.Request {
 	want := r.job.Declared
-	if !k.contender.Declared {
+	if !k.contender.DeclaredSizes {
 		want = placer.SizeGrant(&k.usage, r.job, k.deployment.WorkerSize.Sub(describer.Resources{CPU: k.deployment.WorkerSize.CPU / 4}))
 	}
 	return placer.Request{
