--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -58,7 +58,7 @@
 	P99          time.Duration // of all requests of a morning
 	P99Worst     time.Duration // of the worst seed
 	WithinTarget float64       // share of worker intervals whose 99th percentile is within the target
-	Work         float64       // share of batch work, by true core seconds, done by its deadline
+	WorkInTime         float64       // share of batch work, by true core seconds, done by its deadline
 	Evictions    float64       // for the sake of services or urgent tasks, each morning
 	Drained      float64       // evictions by the drain, each morning
 	Restore      time.Duration // from the end of the drain until all workers are restored
@@ -113,7 +113,7 @@
 		r.P99 += o.P99 / time.Duration(n)
 		r.P99Worst = max(r.P99Worst, o.P99)
 		r.WithinTarget += o.WithinTarget / n
-		r.Work += o.Work / n
+		r.WorkInTime += o.Work / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
 		r.Restore += o.Restore / time.Duration(n)
@@ -131,7 +131,7 @@
 	fmt.Fprintln(t, "deployment\tpolicy\tp99\tworst\twithin target\twork by deadline\tevictions\tby drain\trestore\turgent in bound\trefused\t")
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
-			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.Work,
+			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.WorkInTime,
 			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.Urgent, 100*s.Refused)
 	}
 	if t.Flush() != nil {
@@ -157,7 +157,7 @@
 		out = append(out, fmt.Sprintf(
 			"%s: p99 %+.1f %% against no colocation (goal +5 %%), work %.1f %% of %s (goal 90 %%), evictions %.1f %% of it (goal 10 %%)",
 			s.Deployment, 100*(float64(s.P99)/float64(alone.P99)-1),
-			100*s.Work/best.Work, best.Variant, 100*s.Evictions/max(best.Evictions, 1e-9)))
+			100*s.WorkInTime/best.WorkInTime, best.Variant, 100*s.Evictions/max(best.Evictions, 1e-9)))
 	}
 	return out
 }
@@ -169,7 +169,7 @@
 		case s.Deployment != deployment || s.Variant == DefaultName:
 		case s.Variant == NoColocationName:
 			alone = s
-		case s.Work > best.Work && slices.Contains(packing, s.Variant):
+		case s.WorkInTime > best.WorkInTime && slices.Contains(packing, s.Variant):
 			best = s
 		}
 	}
