--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -17,7 +17,7 @@
 type Outcome struct {
 	P99          time.Duration
 	WithinTarget float64
-	Work         float64
+	WorkInTime         float64
 	Evictions    int
 	Drained      int
 	Restore      time.Duration
@@ -399,7 +399,7 @@
 			o.Refused++
 		}
 	}
-	o.Work = done / whole
+	o.WorkInTime = done / whole
 	o.Urgent /= max(urgent, 1)
 	o.Refused /= max(urgent, 1)
 	return o
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -113,7 +113,7 @@
 		r.P99 += o.P99 / time.Duration(n)
 		r.P99Worst = max(r.P99Worst, o.P99)
 		r.WithinTarget += o.WithinTarget / n
-		r.WorkInTime += o.Work / n
+		r.WorkInTime += o.WorkInTime / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
 		r.Restore += o.Restore / time.Duration(n)
