--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -21,7 +21,7 @@
 	Evictions    int
 	Drained      int
 	Restore      time.Duration
-	Urgent       float64
+	UrgentInTime       float64
 	Refused      float64
 }
 
@@ -394,13 +394,13 @@
 		urgent++
 		switch {
 		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentStartLimit:
-			o.Urgent++
+			o.UrgentInTime++
 		case r.refused != "":
 			o.Refused++
 		}
 	}
 	o.WorkInTime = done / whole
-	o.Urgent /= max(urgent, 1)
+	o.UrgentInTime /= max(urgent, 1)
 	o.Refused /= max(urgent, 1)
 	return o
 }
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -117,7 +117,7 @@
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
 		r.Restore += o.Restore / time.Duration(n)
-		r.UrgentInTime += o.Urgent / n
+		r.UrgentInTime += o.UrgentInTime / n
 		r.Refused += o.Refused / n
 	}
 	return r
