--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -63,7 +63,7 @@
 	Drained      float64       // evictions by the drain, each morning
 	Restore      time.Duration // from the end of the drain until all workers are restored
 	UrgentInTime       float64       // share of urgent tasks that started in bound
-	Refused      float64       // share of urgent tasks that did not, with a reason
+	UrgentRefused      float64       // share of urgent tasks that did not, with a reason
 	Seeds        []Outcome     // by seed, in order
 }
 
@@ -118,7 +118,7 @@
 		r.Drained += float64(o.Drained) / n
 		r.Restore += o.Restore / time.Duration(n)
 		r.UrgentInTime += o.UrgentInTime / n
-		r.Refused += o.Refused / n
+		r.UrgentRefused += o.Refused / n
 	}
 	return r
 }
@@ -132,7 +132,7 @@
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
 			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.WorkInTime,
-			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.UrgentInTime, 100*s.Refused)
+			s.Evictions, s.Drained, s.Restore.Round(time.Second), 100*s.UrgentInTime, 100*s.UrgentRefused)
 	}
 	if t.Flush() != nil {
 		return "" // a strings.Builder does not fail
