--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -22,7 +22,7 @@
 	Drained      int
 	Restore      time.Duration
 	UrgentInTime       float64
-	Refused      float64
+	UrgentRefused      float64
 }
 
 // control is the decision loop around one contender's policies.
@@ -396,11 +396,11 @@
 		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentStartLimit:
 			o.UrgentInTime++
 		case r.refused != "":
-			o.Refused++
+			o.UrgentRefused++
 		}
 	}
 	o.WorkInTime = done / whole
 	o.UrgentInTime /= max(urgent, 1)
-	o.Refused /= max(urgent, 1)
+	o.UrgentRefused /= max(urgent, 1)
 	return o
 }
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -118,7 +118,7 @@
 		r.Drained += float64(o.Drained) / n
 		r.Restore += o.Restore / time.Duration(n)
 		r.UrgentInTime += o.UrgentInTime / n
-		r.UrgentRefused += o.Refused / n
+		r.UrgentRefused += o.UrgentRefused / n
 	}
 	return r
 }
