--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -20,7 +20,7 @@
 	WorkInTime         float64
 	Evictions    int
 	Drained      int
-	Restore      time.Duration
+	RestoreTime      time.Duration
 	UrgentInTime       float64
 	UrgentRefused      float64
 }
@@ -376,10 +376,10 @@
 	o := Outcome{
 		P99:          time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
 		WithinTarget: float64(k.within) / float64(max(k.intervals, 1)),
-		Evictions:    k.evictions, Drained: k.drained, Restore: k.restored,
+		Evictions:    k.evictions, Drained: k.drained, RestoreTime: k.restored,
 	}
 	if len(k.restores) > 0 {
-		o.Restore = morning // never
+		o.RestoreTime = morning // never
 	}
 	done, whole, urgent := 0.0, 0.0, 0.0
 	for _, r := range all {
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -116,7 +116,7 @@
 		r.WorkInTime += o.WorkInTime / n
 		r.Evictions += float64(o.Evictions) / n
 		r.Drained += float64(o.Drained) / n
-		r.RestoreTime += o.Restore / time.Duration(n)
+		r.RestoreTime += o.RestoreTime / time.Duration(n)
 		r.UrgentInTime += o.UrgentInTime / n
 		r.UrgentRefused += o.UrgentRefused / n
 	}
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -32,7 +32,7 @@
 
 	ginkgo.It("ends every restore, and starts urgent tasks in bound or says why not", func() {
 		o := play(small(), contender(DefaultName), 3)
-		Expect(o.Restore).To(BeNumerically("<=", 21*time.Minute))
+		Expect(o.RestoreTime).To(BeNumerically("<=", 21*time.Minute))
 		Expect(o.UrgentInTime + o.UrgentRefused).To(BeNumerically("~", 1, 1e-9))
 	})
 
