--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -60,7 +60,7 @@
 	WithinTarget float64       // share of worker intervals whose 99th percentile is within the target
 	WorkInTime         float64       // share of batch work, by true core seconds, done by its deadline
 	Evictions    float64       // for the sake of services or urgent tasks, each morning
-	Drained      float64       // evictions by the drain, each morning
+	DrainEvictions      float64       // evictions by the drain, each morning
 	RestoreTime      time.Duration // from the end of the drain until all workers are restored
 	UrgentInTime       float64       // share of urgent tasks that started in bound
 	UrgentRefused      float64       // share of urgent tasks that did not, with a reason
@@ -115,7 +115,7 @@
 		r.WithinTarget += o.WithinTarget / n
 		r.WorkInTime += o.WorkInTime / n
 		r.Evictions += float64(o.Evictions) / n
-		r.Drained += float64(o.Drained) / n
+		r.DrainEvictions += float64(o.Drained) / n
 		r.RestoreTime += o.RestoreTime / time.Duration(n)
 		r.UrgentInTime += o.UrgentInTime / n
 		r.UrgentRefused += o.UrgentRefused / n
@@ -132,7 +132,7 @@
 	for _, s := range r.Results {
 		fmt.Fprintf(t, "%s\t%s\t%.1f ms\t%.1f ms\t%.2f %%\t%.1f %%\t%.1f\t%.1f\t%s\t%.1f %%\t%.1f %%\t\n",
 			s.Deployment, s.Variant, ms(s.P99), ms(s.P99Worst), 100*s.WithinTarget, 100*s.WorkInTime,
-			s.Evictions, s.Drained, s.RestoreTime.Round(time.Second), 100*s.UrgentInTime, 100*s.UrgentRefused)
+			s.Evictions, s.DrainEvictions, s.RestoreTime.Round(time.Second), 100*s.UrgentInTime, 100*s.UrgentRefused)
 	}
 	if t.Flush() != nil {
 		return "" // a strings.Builder does not fail
