--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -19,7 +19,7 @@
 	WithinTarget float64
 	WorkInTime         float64
 	Evictions    int
-	Drained      int
+	DrainEvictions      int
 	RestoreTime      time.Duration
 	UrgentInTime       float64
 	UrgentRefused      float64
@@ -376,7 +376,7 @@
 	o := Outcome{
 		P99:          time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
 		WithinTarget: float64(k.within) / float64(max(k.intervals, 1)),
-		Evictions:    k.evictions, Drained: k.drained, RestoreTime: k.restored,
+		Evictions:    k.evictions, DrainEvictions: k.drained, RestoreTime: k.restored,
 	}
 	if len(k.restores) > 0 {
 		o.RestoreTime = morning // never
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -115,7 +115,7 @@
 		r.WithinTarget += o.WithinTarget / n
 		r.WorkInTime += o.WorkInTime / n
 		r.Evictions += float64(o.Evictions) / n
-		r.DrainEvictions += float64(o.Drained) / n
+		r.DrainEvictions += float64(o.DrainEvictions) / n
 		r.RestoreTime += o.RestoreTime / time.Duration(n)
 		r.UrgentInTime += o.UrgentInTime / n
 		r.UrgentRefused += o.UrgentRefused / n
