--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -13,193 +13,198 @@
 	"dotterelcart.dev/dotterelcart/internal/control/restorer"
 )
 
-// Outcome is one morning.
+// Outcome is the result of one simulated morning. The fields are those of Result.
 type Outcome struct {
-	P99          time.Duration
-	WithinTarget float64
-	WorkInTime         float64
-	Evictions    int
-	DrainEvictions      int
-	RestoreTime      time.Duration
-	UrgentInTime       float64
-	UrgentRefused      float64
+	P99            time.Duration
+	WithinTarget   float64
+	WorkInTime     float64
+	Evictions      int
+	DrainEvictions int
+	RestoreTime    time.Duration
+	UrgentInTime   float64
+	UrgentRefused  float64
 }
 
-// control is the decision loop around one contender's policies.
-type control struct {
-	*world
-	contender Variant
-	fleet     *accountant.Fleet
-	byName    map[string]*host
-	policy    placer.Policy
-	learner   *learner.Learner
-	timeline  learner.Timeline
-	usage     placer.Usage
-	budget    *escalator.Budget
-	states    map[string]*escalator.State
-	restores  map[string]*restorer.State
-	pending   []*run
-	avoid     map[string]bool
-	failures  map[string]int
-	aside     map[string]time.Time
-	sequence  int64
-	evictions int
-	drained   int
-	restored  time.Duration
+// controller is the decision loop of one variant. It makes the decisions that a
+// shard's owner makes.
+type controller struct {
+	*environment
+	variant        Variant
+	fleet          *accountant.Fleet
+	byName         map[string]*host // by worker name, like the maps below
+	policy         placer.Policy
+	learner        *learner.Learner
+	timeline       learner.Timeline
+	usage          placer.Usage
+	budget         *escalator.Budget
+	states         map[string]*escalator.State
+	restores       map[string]*restorer.State // restores in progress
+	pending        []*run                     // tasks that wait to run
+	avoid          map[string]bool            // workers that get no tasks now
+	failures       map[string]int             // failed runs in a row
+	quarantined    map[string]time.Time       // ends of quarantines
+	sequence       int64                      // of the latest token
+	evictions      int
+	drainEvictions int
+	restoreTime    time.Duration
 }
 
-// play runs one morning.
-func play(d Deployment, c Variant, seed uint64) Outcome {
-	w, all := newWorld(d, seed)
-	k := newControl(w, c)
-	for next := 0; w.now.Sub(begin) < morning; {
-		finished, failed := w.advance()
-		k.ended(finished, failed)
-		for next < len(all) && !all[next].arrives.After(w.now) {
-			k.pending = append(k.pending, all[next])
+// simulate runs one morning.
+func simulate(d Deployment, v Variant, seed uint64) Outcome {
+	e, all := newEnvironment(d, seed)
+	c := newController(e, v)
+	for next := 0; e.now.Sub(startTime) < morning; {
+		finished, failed := e.advance()
+		c.handleEnds(finished, failed)
+		for next < len(all) && !all[next].arrives.After(e.now) {
+			c.pending = append(c.pending, all[next])
 			next++
 		}
-		k.hear()
-		k.resize()
-		k.protect()
-		k.drain()
-		k.place()
+		c.receiveReports()
+		c.resizeGrants()
+		c.escalate()
+		c.drain()
+		c.place()
 	}
-	return k.outcome(all)
+	return c.outcome(all)
 }
 
-func newControl(w *world, c Variant) *control {
-	k := &control{
-		world: w, contender: c, learner: learner.New(learner.Options{}),
-		fleet:    &accountant.Fleet{Workers: make(map[string]*accountant.Worker)},
-		byName:   make(map[string]*host),
-		budget:   escalator.NewBudget(4, 12, begin),
-		states:   make(map[string]*escalator.State),
-		restores: make(map[string]*restorer.State),
-		failures: make(map[string]int),
-		aside:    make(map[string]time.Time),
+func newController(e *environment, v Variant) *controller {
+	c := &controller{
+		environment: e, variant: v, learner: learner.New(learner.Options{}),
+		fleet:       &accountant.Fleet{Workers: make(map[string]*accountant.Worker)},
+		byName:      make(map[string]*host),
+		budget:      escalator.NewBudget(4, 12, startTime),
+		states:      make(map[string]*escalator.State),
+		restores:    make(map[string]*restorer.State),
+		failures:    make(map[string]int),
+		quarantined: make(map[string]time.Time),
 	}
-	for _, h := range w.hosts {
-		k.fleet.Workers[h.account.Host.Name] = h.account
-		k.byName[h.account.Host.Name] = h
-		k.states[h.account.Host.Name] = &escalator.State{}
-		k.timeline.Record(h.account.Host.Name, begin, nil)
+	for _, h := range e.hosts {
+		c.fleet.Workers[h.account.Host.Name] = h.account
+		c.byName[h.account.Host.Name] = h
+		c.states[h.account.Host.Name] = &escalator.State{}
+		c.timeline.Record(h.account.Host.Name, startTime, nil)
 	}
-	k.policy = c.Policy(w.deployment, k.learner)
-	return k
+	c.policy = v.Policy(e.deployment, c.learner)
+	return c
 }
 
-func (k *control) release(r *run) {
+// release removes a run from its worker.
+func (c *controller) release(r *run) {
 	h := r.worker
 	h.account.Release(r.id, h.account.Grants[r.id].Token)
 	delete(h.runs, r.id)
 	r.worker = nil
-	k.changed(h)
+	c.recordShares(h)
 }
 
-func (k *control) changed(h *host) {
-	k.timeline.Record(h.account.Host.Name, k.now, h.account.BatchShares())
+// recordShares notes in the timeline that a worker's grants have changed.
+func (c *controller) recordShares(h *host) {
+	c.timeline.Record(h.account.Host.Name, c.now, h.account.BatchShares())
 }
 
-// ended takes in runs that ended by themselves. A worker that fails 5 runs in
-// a row is set aside for 10 minutes, whatever the contender.
-func (k *control) ended(finished, failed []*run) {
+// handleEnds handles runs that ended by themselves. In all variants a worker that
+// fails 5 runs in a row is quarantined for 10 minutes.
+func (c *controller) handleEnds(finished, failed []*run) {
 	for _, r := range finished {
-		k.failures[r.worker.account.Host.Name] = 0
-		r.finished = k.now
-		k.release(r)
+		c.failures[r.worker.account.Host.Name] = 0
+		r.finished = c.now
+		c.release(r)
 	}
 	for _, r := range failed {
 		name := r.worker.account.Host.Name
-		if k.failures[name]++; k.failures[name] >= 5 {
-			k.aside[name] = k.now.Add(10 * time.Minute)
-			k.failures[name] = 0
+		if c.failures[name]++; c.failures[name] >= 5 {
+			c.quarantined[name] = c.now.Add(10 * time.Minute)
+			c.failures[name] = 0
 		}
-		r.work = r.saved
-		k.release(r)
-		k.pending = append(k.pending, r)
+		r.remaining = r.checkpointed
+		c.release(r)
+		c.pending = append(c.pending, r)
 	}
 }
 
-// evict ends a run with or without a checkpoint.
-func (k *control) evict(r *run, checkpoint bool) {
+// evict ends a run, with or without a checkpoint, and lets its task wait.
+func (c *controller) evict(r *run, checkpoint bool) {
 	if checkpoint {
-		r.saved = r.work
+		r.checkpointed = r.remaining
 	}
-	r.work = r.saved
-	k.release(r)
-	k.pending = append(k.pending, r)
+	r.remaining = r.checkpointed
+	c.release(r)
+	c.pending = append(c.pending, r)
 }
 
-// hear takes in inventories and reports.
-func (k *control) hear() {
-	for _, h := range k.hosts {
+// receiveReports processes inventories and latency reports.
+func (c *controller) receiveReports() {
+	for _, h := range c.hosts {
 		if !h.dead {
-			h.account.LastInventory = k.now
+			h.account.LastInventory = c.now
 		}
-		for _, l := range k.arrived(h) {
+		for _, l := range c.takeReports(h) {
 			h.account.Reports[l.Service] = l
-			shares, ok := k.timeline.Average(h.account.Host.Name, l.From, l.To)
-			if ok && k.contender.Adaptive {
-				k.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
+			shares, ok := c.timeline.Average(h.account.Host.Name, l.From, l.To)
+			if ok && c.variant.Adaptive {
+				c.learner.Observe(learner.Sample{Worker: h.account.Host.Name, Latency: l, Shares: shares})
 			}
-			if k.contender.EvictOnMiss && l.P99 > k.deployment.Target {
-				if task, ok := evictNewest(h.account); ok {
-					k.evict(h.runs[task], true)
-					k.evictions++
+			if c.variant.EvictOnMiss && l.P99 > c.deployment.Target {
+				if task, ok := newestTask(h.account); ok {
+					c.evict(h.runs[task], true)
+					c.evictions++
 				}
 			}
 		}
 	}
 }
 
-// resize adapts grants to measured use, twice a minute.
-func (k *control) resize() {
-	if k.contender.DeclaredSizes || k.now.Sub(begin)%(30*time.Second) != 0 {
+// resizeGrants adapts grants to the measured use twice a minute.
+func (c *controller) resizeGrants() {
+	if c.variant.DeclaredSizes || c.now.Sub(startTime)%(30*time.Second) != 0 {
 		return
 	}
-	for _, h := range k.hosts {
+	for _, h := range c.hosts {
 		for _, task := range h.account.Tasks() {
 			g := h.account.Grants[task]
-			k.usage.Observe(g)
+			c.usage.Observe(g)
 			to := placer.ResizeGrant(g, h.account.FreeForBatch())
-			if p, ok := k.policy.(placer.InterferenceAware); ok && !p.MayGrow(h.account, g, to, k.now) {
+			if p, ok := c.policy.(placer.InterferenceAware); ok && !p.MayGrow(h.account, g, to, c.now) {
 				to.CPU = g.Resources.CPU
 			}
 			if to != g.Resources && h.account.Resize(task, g.Token, to) == nil {
-				k.changed(h)
+				c.recordShares(h)
 			}
 		}
 	}
 }
 
-// protect escalates where services miss their targets.
-func (k *control) protect() {
-	if !k.contender.Adaptive {
+// escalate takes the escalator's actions on workers whose services miss their
+// targets.
+func (c *controller) escalate() {
+	if !c.variant.Adaptive {
 		return
 	}
-	for _, h := range k.hosts {
+	for _, h := range c.hosts {
 		var bounds map[string]time.Duration
-		if p, ok := k.policy.(placer.InterferenceAware); ok {
+		if p, ok := c.policy.(placer.InterferenceAware); ok {
 			bounds = p.LatencyBounds(h.account)
 		}
 		actions := escalator.Decide(escalator.Input{
-			Now: k.now, Worker: h.account, Services: services(k.deployment), Learner: k.learner,
-			LatencyBounds: bounds, State: k.states[h.account.Host.Name], Budget: k.budget,
+			Now: c.now, Worker: h.account, Services: services(c.deployment), Learner: c.learner,
+			LatencyBounds: bounds, State: c.states[h.account.Host.Name], Budget: c.budget,
 		})
 		for _, a := range actions {
-			k.carryOut(h, a)
+			c.carryOut(h, a)
 		}
 	}
 }
 
-func (k *control) carryOut(h *host, a escalator.Action) {
+// carryOut takes one action of the escalator on a worker.
+func (c *controller) carryOut(h *host, a escalator.Action) {
 	switch a.Kind {
 	case escalator.BlockBatch:
 		h.account.BatchBlockedUntil = a.Until
 	case escalator.Move, escalator.Stop:
-		k.evict(h.runs[a.Task], a.Kind == escalator.Move)
-		k.evictions++
+		c.evict(h.runs[a.Task], a.Kind == escalator.Move)
+		c.evictions++
 	case escalator.Throttle, escalator.Unthrottle:
 		g := h.account.Grants[a.Task]
 		g.ThrottledTo = 0
@@ -210,196 +215,202 @@
 		to := g.Resources
 		to.CPU = a.CPU
 		if h.account.Resize(a.Task, g.Token, to) == nil {
-			k.changed(h)
+			c.recordShares(h)
 		}
 	}
 }
 
-// drain closes the second rack for a while and restores it.
-func (k *control) drain() {
-	at := k.now.Sub(begin)
-	for _, h := range k.hosts[k.deployment.RackSize : 2*k.deployment.RackSize] {
+// drain closes the second rack at a fixed time and restores it later.
+func (c *controller) drain() {
+	at := c.now.Sub(startTime)
+	for _, h := range c.hosts[c.deployment.RackSize : 2*c.deployment.RackSize] {
 		name := h.account.Host.Name
 		switch at {
-		case drainAt:
+		case drainStart:
 			h.account.Closed = true
 			for _, task := range h.account.Tasks() {
 				r := h.runs[task]
-				r.homeTo = name
-				k.evict(r, true)
-				k.drained++
+				r.returnTo = name
+				c.evict(r, true)
+				c.drainEvictions++
 			}
-		case drainAt + drainFor:
+		case drainStart + drainTime:
 			h.account.Closed = false
-			h.account.OpenedAt = k.now
-			k.restores[name] = &restorer.State{}
+			h.account.OpenedAt = c.now
+			c.restores[name] = &restorer.State{}
 		}
-		if state := k.restores[name]; state != nil {
-			k.restore(h, state)
+		if state := c.restores[name]; state != nil {
+			c.restore(h, state)
 		}
 	}
 }
 
-func (k *control) restore(h *host, state *restorer.State) {
+// restore lets a worker take the batch tasks that the restorer allows now.
+func (c *controller) restore(h *host, state *restorer.State) {
 	name := h.account.Host.Name
 	d := restorer.Decision{Done: true}
-	if k.contender.Adaptive {
+	if c.variant.Adaptive {
 		d = restorer.Decide(restorer.Input{
-			Now: k.now, Worker: h.account, Services: services(k.deployment), State: state, Returning: k.owed(name),
+			Now: c.now, Worker: h.account, Services: services(c.deployment), State: state, Returning: c.returning(name),
 		})
 	}
 	h.account.BatchLimited, h.account.BatchLimit = !d.Done, d.Limit
 	if d.Done {
-		delete(k.restores, name)
-		k.restored = max(k.restored, k.now.Sub(begin)-drainAt-drainFor)
+		delete(c.restores, name)
+		c.restoreTime = max(c.restoreTime, c.now.Sub(startTime)-drainStart-drainTime)
 	}
 }
 
-func (k *control) owed(name string) int {
+// returning returns the number of waiting tasks that were drained from a worker.
+func (c *controller) returning(name string) int {
 	n := 0
-	for _, r := range k.pending {
-		if r.homeTo == name {
+	for _, r := range c.pending {
+		if r.returnTo == name {
 			n++
 		}
 	}
 	return n
 }
 
-// alike stands for tasks that no policy tells apart, if the rack and the job
-// are left out: what one of them is refused, the others are.
-type alike struct {
+// placementKey identifies tasks that the policies treat alike, apart from the
+// distribution of a job over racks. If one of them can't be placed, the others
+// need not be tried in the same tick.
+type placementKey struct {
 	class    int
-	home     string
+	returnTo string
 	priority describer.Priority
-	left     time.Duration // until the deadline, in half hours
+	timeLeft time.Duration // time until the deadline in units of 30 minutes
 }
 
-// place starts pending tasks: urgent ones first, then by deadline.
-func (k *control) place() {
-	slices.SortStableFunc(k.pending, func(a, b *run) int {
-		if c := cmp.Compare(b.job.Priority, a.job.Priority); c != 0 {
-			return c
+// place starts pending tasks where possible, urgent ones first, then in order of
+// their deadlines.
+func (c *controller) place() {
+	slices.SortStableFunc(c.pending, func(a, b *run) int {
+		if order := cmp.Compare(b.job.Priority, a.job.Priority); order != 0 {
+			return order
 		}
 		return a.job.Deadline.Compare(b.job.Deadline)
 	})
-	k.avoid = k.avoided()
-	missed := make(map[alike]bool)
-	k.pending = slices.DeleteFunc(k.pending, func(r *run) bool {
-		key := alike{r.class, r.homeTo, r.job.Priority, r.job.Deadline.Sub(k.now) / (30 * time.Minute)}
-		if missed[key] {
+	c.avoid = c.workersToAvoid()
+	refused := make(map[placementKey]bool)
+	c.pending = slices.DeleteFunc(c.pending, func(r *run) bool {
+		key := placementKey{r.class, r.returnTo, r.job.Priority, r.job.Deadline.Sub(c.now) / (30 * time.Minute)}
+		if refused[key] {
 			return false
 		}
-		started := k.start(r)
-		missed[key] = !started
+		started := c.start(r)
+		refused[key] = !started
 		return started
 	})
 }
 
-func (k *control) start(r *run) bool {
-	request := k.request(r)
-	choice := k.policy.Place(k.fleet, request, k.now)
-	if choice.Worker == "" && r.job.Priority == describer.Urgent && k.contender.Adaptive {
-		choice = k.makeRoom(r, request)
+// start places a task and reports whether it could.
+func (c *controller) start(r *run) bool {
+	request := c.request(r)
+	choice := c.policy.Place(c.fleet, request, c.now)
+	if choice.Worker == "" && r.job.Priority == describer.Urgent && c.variant.Adaptive {
+		choice = c.preempt(r, request)
 	}
 	if choice.Worker == "" {
 		return false
 	}
-	h := k.byName[choice.Worker]
-	k.sequence++
-	if r.began.IsZero() {
-		r.began = k.now
+	h := c.byName[choice.Worker]
+	c.sequence++
+	if r.started.IsZero() {
+		r.started = c.now
 	}
 	err := h.account.Allocate(r.id, accountant.Grant{
-		Token: describer.Token{Epoch: 1, Sequence: k.sequence}, Class: r.job.Class, Team: r.job.Team,
-		Kind: r.job.Kind, Priority: r.job.Priority, Resources: request.Want, Since: k.now,
+		Token: describer.Token{Epoch: 1, Sequence: c.sequence}, Class: r.job.Class, Team: r.job.Team,
+		Kind: r.job.Kind, Priority: r.job.Priority, Resources: request.Want, Since: c.now,
 	})
 	if err != nil {
 		return false
 	}
 	r.worker = h
 	h.runs[r.id] = r
-	k.changed(h)
+	c.recordShares(h)
 	return true
 }
 
-func (k *control) request(r *run) placer.Request {
+// request returns the placement request of a task.
+func (c *controller) request(r *run) placer.Request {
 	want := r.job.Declared
-	if !k.contender.DeclaredSizes {
-		want = placer.SizeGrant(&k.usage, r.job, k.deployment.WorkerSize.Sub(describer.Resources{CPU: k.deployment.WorkerSize.CPU / 4}))
+	if !c.variant.DeclaredSizes {
+		want = placer.SizeGrant(&c.usage, r.job, c.deployment.WorkerSize.Sub(describer.Resources{CPU: c.deployment.WorkerSize.CPU / 4}))
 	}
 	return placer.Request{
-		Task: r.id, Job: r.job, Want: want, ReturnTo: r.homeTo, Avoid: k.avoid, Deadline: r.job.Deadline,
+		Task: r.id, Job: r.job, Want: want, ReturnTo: r.returnTo, Avoid: c.avoid, Deadline: r.job.Deadline,
 	}
 }
 
-// avoided returns the workers that fail everything or are silent.
-func (k *control) avoided() map[string]bool {
+// workersToAvoid returns the workers that are quarantined or do not respond.
+func (c *controller) workersToAvoid() map[string]bool {
 	avoid := make(map[string]bool)
-	for name, until := range k.aside {
-		if k.now.Before(until) {
+	for name, until := range c.quarantined {
+		if c.now.Before(until) {
 			avoid[name] = true
 		}
 	}
-	for _, h := range k.hosts {
-		if h.dead && k.now.Sub(h.account.LastInventory) > 15*time.Second {
+	for _, h := range c.hosts {
+		if h.dead && c.now.Sub(h.account.LastInventory) > 15*time.Second {
 			avoid[h.account.Host.Name] = true
 		}
 	}
 	return avoid
 }
 
-// makeRoom throttles or evicts for an urgent task.
-func (k *control) makeRoom(r *run, request placer.Request) placer.Choice {
-	room := placer.Preempt(k.fleet, request, placer.Costs{}, k.budget.Available(k.now), k.now.Sub(r.arrives))
-	if room.Worker == "" {
-		r.refused = room.Reason
-		return placer.Choice{Reason: room.Reason}
+// preempt throttles or evicts tasks for an urgent one.
+func (c *controller) preempt(r *run, request placer.Request) placer.Choice {
+	preemption := placer.Preempt(c.fleet, request, placer.Costs{}, c.budget.Available(c.now), c.now.Sub(r.arrives))
+	if preemption.Worker == "" {
+		r.refused = preemption.Reason
+		return placer.Choice{Reason: preemption.Reason}
 	}
-	h := k.byName[room.Worker]
-	for _, s := range room.Throttle {
+	h := c.byName[preemption.Worker]
+	for _, s := range preemption.Throttle {
 		g := h.account.Grants[s.Task]
 		g.Resources.CPU = s.To
 		if h.account.Resize(s.Task, g.Token, g.Resources) != nil {
 			return placer.Choice{Reason: "throttling failed"}
 		}
 	}
-	for _, task := range room.Evict {
-		k.budget.Take(k.now)
-		k.evict(h.runs[task], true)
-		k.evictions++
+	for _, task := range preemption.Evict {
+		c.budget.Take(c.now)
+		c.evict(h.runs[task], true)
+		c.evictions++
 	}
-	return placer.Choice{Worker: room.Worker}
+	return placer.Choice{Worker: preemption.Worker}
 }
 
-// outcome sums up the morning.
-func (k *control) outcome(all []*run) Outcome {
+// outcome returns the measures of the morning. all are its tasks.
+func (c *controller) outcome(all []*run) Outcome {
 	o := Outcome{
-		P99:          time.Duration(k.latencies.ValueAtQuantile(99)) * time.Microsecond,
-		WithinTarget: float64(k.within) / float64(max(k.intervals, 1)),
-		Evictions:    k.evictions, DrainEvictions: k.drained, RestoreTime: k.restored,
+		P99:          time.Duration(c.latencies.ValueAtQuantile(99)) * time.Microsecond,
+		WithinTarget: float64(c.withinTarget) / float64(max(c.intervals, 1)),
+		Evictions:    c.evictions, DrainEvictions: c.drainEvictions, RestoreTime: c.restoreTime,
 	}
-	if len(k.restores) > 0 {
-		o.RestoreTime = morning // never
+	if len(c.restores) > 0 {
+		o.RestoreTime = morning // a restore has not ended
 	}
-	done, whole, urgent := 0.0, 0.0, 0.0
+	inTime, total, urgent := 0.0, 0.0, 0.0
 	for _, r := range all {
-		work := r.whole * k.truth.classes[r.class].cores
-		whole += work
+		work := r.total * c.truth.classes[r.class].cores
+		total += work
 		if !r.finished.IsZero() && !r.finished.After(r.job.Deadline) {
-			done += work
+			inTime += work
 		}
 		if r.job.Priority != describer.Urgent {
 			continue
 		}
 		urgent++
 		switch {
-		case !r.began.IsZero() && r.began.Sub(r.arrives) <= placer.UrgentStartLimit:
+		case !r.started.IsZero() && r.started.Sub(r.arrives) <= placer.UrgentStartLimit:
 			o.UrgentInTime++
 		case r.refused != "":
 			o.UrgentRefused++
 		}
 	}
-	o.WorkInTime = done / whole
+	o.WorkInTime = inTime / total
 	o.UrgentInTime /= max(urgent, 1)
 	o.UrgentRefused /= max(urgent, 1)
 	return o
--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -1,30 +1,33 @@
-// Package evaluator measures colocation policies in virtual time.
+// Package evaluator compares placement policies by simulation.
 //
 // # Model
 //
-// A [Deployment] is a set of workers, a service and batch classes with a true
-// interference that policies can't see. [Run] plays one morning of each
-// deployment for each seed and contender: load and jobs are the same for all
-// contenders of a seed, so figures differ by policy alone. The fake has no
-// network, no store and no processes; it feeds the policies directly.
+// A [Deployment] is a set of workers with a service and classes of batch tasks,
+// whose true interference the policies can't see. [Run] simulates one morning
+// for each deployment, [Variant] and seed. All variants of a seed get the same
+// load and jobs, so that only the policy makes a difference. There is no
+// network, no store and no other process; the simulation calls the policies
+// directly.
 //
 //	report := evaluator.Run(evaluator.Options{Seeds: 10})
 //	fmt.Print(report.Table())
 //
-// # Assumptions of the fake
+// # Assumptions
 //
-// Three quarters of the workers answer for the service, and a quarter of
-// their processors are reserved for it. Interference comes from two hidden
-// resources (think of memory bandwidth and cache) that saturate: it is
-// nothing below a knee and quadratic above, plus a linear term by processor
-// use; classes add up before the knee, so they interact. Latency grows with
-// load as in a queue. None of this has the learner's log-linear shape.
-// Each class's pressure drifts hourly by a log-normal factor of deviation 0.2.
-// Reports cover 10 s, come 20 to 40 s late, are noisy (log-normal, deviation
-// 0.2), and 1 in 20 is lost. Declared sizes and run times are off by a
-// log-normal factor for each class, cut at 10. In each morning 1 worker fails
-// all that it starts for an hour, 2 die for 20 minutes, and a rack is drained
-// for 45 minutes.
+// Three quarters of the workers serve the service, and a quarter of their
+// processors are reserved for it. Interference comes from two shared resources,
+// such as memory bandwidth and cache, that saturate: there is none below a knee,
+// and it grows with the square of the pressure above, plus a linear term by
+// processor use. The pressures of the classes add up before the knee, so the
+// classes interact. Latency grows with load as in a queue. None of this has the
+// log-linear form that the learner assumes. Each class's pressure drifts hourly
+// by a log-normal factor of deviation 0.2.
+//
+// Reports cover 10 s, arrive 20 to 40 s late, are noisy (log-normal, deviation
+// 0.2), and 1 in 20 is lost. Declared sizes and run times are wrong by a
+// log-normal factor for each class, limited to 10. In each morning 1 worker fails
+// everything that it starts for an hour, 2 are dead for 20 minutes, and a rack
+// is drained for 45 minutes.
 package evaluator
 
 import (
@@ -36,38 +39,39 @@
 	"time"
 )
 
-// Options choose what is run. Zero fields take defaults.
+// Options choose what is simulated. Zero fields take defaults.
 type Options struct {
-	Seeds       int // number of mornings, from seed First on; default 10
-	First       uint64
-	Parallel    int          // simulations at once; default 2
-	Deployments []Deployment // default both
-	Variants    []Variant    // default all
+	Seeds       int          // number of seeds; default 10
+	First       uint64       // first seed
+	Parallel    int          // maximum number of concurrent simulations; default 2
+	Deployments []Deployment // default: all of Deployments
+	Variants    []Variant    // default: all of Variants
 }
 
-// Report holds one result for each deployment and contender.
+// Report holds one result for each deployment and variant.
 type Report struct {
 	Seeds   int
 	Results []Result
 }
 
-// Result is a contender's mean over all seeds in one deployment.
+// Result is the mean over all seeds of one variant in one deployment. Counts are
+// per morning.
 type Result struct {
-	Deployment   string
-	Variant      string
-	P99          time.Duration // of all requests of a morning
-	P99Worst     time.Duration // of the worst seed
-	WithinTarget float64       // share of worker intervals whose 99th percentile is within the target
-	WorkInTime         float64       // share of batch work, by true core seconds, done by its deadline
-	Evictions    float64       // for the sake of services or urgent tasks, each morning
-	DrainEvictions      float64       // evictions by the drain, each morning
-	RestoreTime      time.Duration // from the end of the drain until all workers are restored
-	UrgentInTime       float64       // share of urgent tasks that started in bound
-	UrgentRefused      float64       // share of urgent tasks that did not, with a reason
-	Seeds        []Outcome     // by seed, in order
+	Deployment     string
+	Variant        string
+	P99            time.Duration // 99th percentile of latency of all requests
+	P99Worst       time.Duration // highest P99 of a seed
+	WithinTarget   float64       // share of the workers' report intervals whose 99th percentile is within the target
+	WorkInTime     float64       // share of batch work, in true core seconds, of tasks that finish by their deadlines
+	Evictions      float64       // evictions for services or urgent tasks
+	DrainEvictions float64       // evictions by the drain
+	RestoreTime    time.Duration // time from the end of the drain until all workers are restored
+	UrgentInTime   float64       // share of urgent tasks that start within placer.UrgentStartLimit
+	UrgentRefused  float64       // share of urgent tasks that do not, and were refused with a reason
+	Seeds          []Outcome     // outcome of each seed, in order
 }
 
-// Run plays all mornings.
+// Run simulates all mornings.
 func Run(o Options) Report {
 	if o.Seeds == 0 {
 		o.Seeds = 10
@@ -83,22 +87,23 @@
 	}
 	report := Report{Seeds: o.Seeds}
 	for _, d := range o.Deployments {
-		for _, c := range o.Variants {
-			report.Results = append(report.Results, result(d, c, mornings(o, d, c)))
+		for _, v := range o.Variants {
+			report.Results = append(report.Results, mean(d, v, simulateSeeds(o, d, v)))
 		}
 	}
 	return report
 }
 
-// mornings plays one contender's mornings, a few at once.
-func mornings(o Options, d Deployment, c Variant) []Outcome {
+// simulateSeeds simulates one variant for all seeds, up to Options.Parallel of
+// them at a time.
+func simulateSeeds(o Options, d Deployment, v Variant) []Outcome {
 	outcomes := make([]Outcome, o.Seeds)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, o.Parallel)
 	for i := range outcomes {
 		wg.Go(func() {
 			slots <- struct{}{}
-			outcomes[i] = play(d, c, o.First+uint64(i))
+			outcomes[i] = simulate(d, v, o.First+uint64(i))
 			<-slots
 		})
 	}
@@ -106,8 +111,9 @@
 	return outcomes
 }
 
-func result(d Deployment, c Variant, outcomes []Outcome) Result {
-	r := Result{Deployment: d.Name, Variant: c.Name, Seeds: outcomes}
+// mean returns the means of the outcomes.
+func mean(d Deployment, v Variant, outcomes []Outcome) Result {
+	r := Result{Deployment: d.Name, Variant: v.Name, Seeds: outcomes}
 	n := float64(len(outcomes))
 	for _, o := range outcomes {
 		r.P99 += o.P99 / time.Duration(n)
@@ -123,7 +129,7 @@
 	return r
 }
 
-// Table returns the report as text.
+// Table returns the report as a table for people, followed by the goals.
 func (r Report) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d mornings each, means\n", r.Seeds)
@@ -135,7 +141,7 @@
 			s.Evictions, s.DrainEvictions, s.RestoreTime.Round(time.Second), 100*s.UrgentInTime, 100*s.UrgentRefused)
 	}
 	if t.Flush() != nil {
-		return "" // a strings.Builder does not fail
+		return "" // unreachable, since a strings.Builder never fails
 	}
 	for _, line := range r.goals() {
 		fmt.Fprintln(&b, line)
@@ -143,37 +149,40 @@
 	return b.String()
 }
 
-// goals compares the default policy with the baselines.
+// goals returns one line for each deployment that compares the default policy
+// with the baselines.
 func (r Report) goals() []string {
 	var out []string
 	for _, s := range r.Results {
 		if s.Variant != DefaultName {
 			continue
 		}
-		alone, best := r.baselines(s.Deployment)
-		if alone.Variant == "" || best.Variant == "" {
+		separate, best := r.baselines(s.Deployment)
+		if separate.Variant == "" || best.Variant == "" {
 			continue
 		}
 		out = append(out, fmt.Sprintf(
 			"%s: p99 %+.1f %% against no colocation (goal +5 %%), work %.1f %% of %s (goal 90 %%), evictions %.1f %% of it (goal 10 %%)",
-			s.Deployment, 100*(float64(s.P99)/float64(alone.P99)-1),
+			s.Deployment, 100*(float64(s.P99)/float64(separate.P99)-1),
 			100*s.WorkInTime/best.WorkInTime, best.Variant, 100*s.Evictions/max(best.Evictions, 1e-9)))
 	}
 	return out
 }
 
-// baselines returns the one without colocation and the one that does the most work.
-func (r Report) baselines(deployment string) (alone, best Result) {
+// baselines returns the result without colocation, and the colocating baseline
+// that does the most work in time.
+func (r Report) baselines(deployment string) (separate, best Result) {
 	for _, s := range r.Results {
 		switch {
 		case s.Deployment != deployment || s.Variant == DefaultName:
 		case s.Variant == NoColocationName:
-			alone = s
-		case s.WorkInTime > best.WorkInTime && slices.Contains(packing, s.Variant):
+			separate = s
+		case s.WorkInTime > best.WorkInTime && slices.Contains(colocating, s.Variant):
 			best = s
 		}
 	}
-	return alone, best
+	return separate, best
 }
 
+// ms returns a duration in milliseconds.
 func ms(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/control/evaluator/evaluator_test.go
+++ b/internal/control/evaluator/evaluator_test.go
@@ -7,73 +7,73 @@
 	. "github.com/onsi/gomega"
 )
 
-// small is a deployment that is quick to play.
+// small returns a deployment that is quick to simulate.
 func small() Deployment {
 	d := Deployments()[1]
 	d.Workers, d.RackSize, d.Demand = 8, 4, 0.3
 	return d
 }
 
-func contender(name string) Variant {
-	for _, c := range Variants() {
-		if c.Name == name {
-			return c
+func variant(name string) Variant {
+	for _, v := range Variants() {
+		if v.Name == name {
+			return v
 		}
 	}
-	panic("no contender " + name)
+	panic("unknown variant " + name)
 }
 
 var _ = ginkgo.Describe("Run", func() {
-	ginkgo.It("gives the same figures for the same seed", func() {
-		first := play(small(), contender(DefaultName), 7)
-		Expect(play(small(), contender(DefaultName), 7)).To(Equal(first))
-		Expect(play(small(), contender(DefaultName), 8)).NotTo(Equal(first))
+	ginkgo.It("returns the same outcome for the same seed", func() {
+		first := simulate(small(), variant(DefaultName), 7)
+		Expect(simulate(small(), variant(DefaultName), 7)).To(Equal(first))
+		Expect(simulate(small(), variant(DefaultName), 8)).NotTo(Equal(first))
 	})
 
-	ginkgo.It("ends every restore, and starts urgent tasks in bound or says why not", func() {
-		o := play(small(), contender(DefaultName), 3)
+	ginkgo.It("ends every restore, and starts urgent tasks in time or refuses them with a reason", func() {
+		o := simulate(small(), variant(DefaultName), 3)
 		Expect(o.RestoreTime).To(BeNumerically("<=", 21*time.Minute))
 		Expect(o.UrgentInTime + o.UrgentRefused).To(BeNumerically("~", 1, 1e-9))
 	})
 
-	ginkgo.It("tabulates the goals", func() {
+	ginkgo.It("prints the goals below the table", func() {
 		r := Run(Options{
 			Seeds: 1, Deployments: []Deployment{small()},
-			Variants: []Variant{contender(NoColocationName), contender("first-fit"), contender(DefaultName)},
+			Variants: []Variant{variant(NoColocationName), variant("first-fit"), variant(DefaultName)},
 		})
 		Expect(r.Table()).To(ContainSubstring("against no colocation (goal +5 %)"))
 	})
 })
 
-var _ = ginkgo.Describe("fake", func() {
-	ginkgo.It("has the same load for all contenders", func() {
+var _ = ginkgo.Describe("environment", func() {
+	ginkgo.It("has the same load for all variants", func() {
 		loads := func(name string) []float64 {
-			w, all := newWorld(small(), 5)
-			k := newControl(w, contender(name))
+			e, all := newEnvironment(small(), 5)
+			c := newController(e, variant(name))
 			var out []float64
 			for range 200 {
-				w.advance()
-				k.pending = append(k.pending, all[len(out)])
-				k.hear()
-				k.place()
-				out = append(out, w.hosts[1].load)
+				e.advance()
+				c.pending = append(c.pending, all[len(out)])
+				c.receiveReports()
+				c.place()
+				out = append(out, e.hosts[1].load)
 			}
 			return out
 		}
 		Expect(loads("first-fit")).To(Equal(loads(NoColocationName)))
 	})
 
-	ginkgo.It("never grants more than a worker has", func() {
-		w, all := newWorld(small(), 5)
-		k := newControl(w, contender(DefaultName))
-		k.pending = all
+	ginkgo.It("never grants more than a worker's capacity", func() {
+		e, all := newEnvironment(small(), 5)
+		c := newController(e, variant(DefaultName))
+		c.pending = all
 		for range 500 {
-			k.ended(w.advance())
-			k.hear()
-			k.resize()
-			k.protect()
-			k.place()
-			for _, h := range w.hosts {
+			c.handleEnds(e.advance())
+			c.receiveReports()
+			c.resizeGrants()
+			c.escalate()
+			c.place()
+			for _, h := range e.hosts {
 				Expect(h.account.Granted.Fits(h.account.Host.Capacity.Sub(h.account.Reserved))).To(BeTrue())
 			}
 		}
