--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -8,7 +8,8 @@
 // when the job would end there. It accepts the job on the shard with the
 // earliest predicted end if that end meets the job's objective with a fixed
 // tolerance. Otherwise it refuses the job at once and says after which time to
-// retry, which is when enough of the backlog will be done.
+// retry, which is when enough of the backlog will be done. No job is refused
+// while some shard has room for it.
 //
 // Long-running tasks hold their processors until their job is cancelled. If
 // they took everything, short tasks would find no capacity, so each shard
--- a/internal/control/evaluator/environment.go
+++ b/internal/control/evaluator/environment.go
@@ -24,8 +24,8 @@
 	runs       map[describer.TaskID]*run
 	loadOffset float64         // relative difference from the mean load, which changes slowly
 	load       float64         // share of request slots in use
-	noise      *rand.Rand      // for load and reports; each interval draws the same number of values for every policy
-	luck       *rand.Rand      // for tasks
+	loadRandom *rand.Rand      // for load and reports; each interval draws the same number of values for every policy
+	taskRandom *rand.Rand      // for tasks
 	dead       bool            // does not respond and fails its tasks
 	failing    bool            // fails its tasks
 	delayed    []delayedReport // reports that have not arrived yet
@@ -37,8 +37,8 @@
 	latency runner.LatencyReport
 }
 
-// environment is the simulated reality, of which the policies see only the
-// reports.
+// environment is the simulated reality, of which the policies see only what the
+// workers report.
 type environment struct {
 	deployment Deployment
 	truth      groundTruth
@@ -93,10 +93,10 @@
 		account.Reserved.CPU = int64(reservedShare * float64(d.WorkerSize.CPU))
 	}
 	return &host{
-		account: account,
-		runs:    make(map[describer.TaskID]*run),
-		noise:   rand.New(rand.NewPCG(seed, 1000+uint64(i))),
-		luck:    rand.New(rand.NewPCG(seed, 2000+uint64(i))),
+		account:    account,
+		runs:       make(map[describer.TaskID]*run),
+		loadRandom: rand.New(rand.NewPCG(seed, 1000+uint64(i))),
+		taskRandom: rand.New(rand.NewPCG(seed, 2000+uint64(i))),
 	}
 }
 
@@ -146,8 +146,8 @@
 	}
 	mean := demand(at) * float64(serving) / float64(max(open, 1))
 	for _, h := range e.hosts {
-		h.loadOffset = 0.995*h.loadOffset + 0.006*h.noise.NormFloat64()
-		burst := 0.03 * h.noise.NormFloat64()
+		h.loadOffset = 0.995*h.loadOffset + 0.006*h.loadRandom.NormFloat64()
+		burst := 0.03 * h.loadRandom.NormFloat64()
 		h.load = 0
 		if len(h.account.Host.Services) > 0 && !h.account.Closed && !h.dead {
 			h.load = min(max(mean*(1+h.loadOffset)+burst, 0.02), 0.95)
@@ -159,7 +159,7 @@
 func (e *environment) runTasks(h *host) (finished, failed []*run) {
 	for _, task := range h.account.Tasks() {
 		r := h.runs[task]
-		chance := h.luck.Float64()
+		chance := h.taskRandom.Float64()
 		switch {
 		case r == nil:
 			continue
@@ -175,8 +175,8 @@
 			r.checkpointed = r.remaining
 		}
 		g.Used = describer.Resources{
-			CPU:    min(g.Resources.CPU, int64(1000*c.cores*(0.9+0.2*h.luck.Float64()))),
-			Memory: min(g.Resources.Memory, int64(c.memory*(0.9+0.1*h.luck.Float64()))),
+			CPU:    min(g.Resources.CPU, int64(1000*c.cores*(0.9+0.2*h.taskRandom.Float64()))),
+			Memory: min(g.Resources.Memory, int64(c.memory*(0.9+0.1*h.taskRandom.Float64()))),
 		}
 		g.Progress = 1 - max(r.remaining, 0)/r.total
 		h.account.Grants[task] = g
@@ -209,7 +209,7 @@
 // report records the true latencies of one interval, and queues the noisy report
 // of it, which arrives later or is lost.
 func (e *environment) report(h *host) {
-	noise, delay, lost := h.noise.NormFloat64(), h.noise.Float64(), h.noise.Float64()
+	noise, delay, lost := h.loadRandom.NormFloat64(), h.loadRandom.Float64(), h.loadRandom.Float64()
 	if h.load == 0 {
 		return
 	}
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -57,8 +57,8 @@
 }
 
 // Place implements Policy.
-func (d InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
-	limits := d.Limits.orDefault(d.Weights)
+func (p InterferenceAware) Place(fleet *accountant.Fleet, r Request, now time.Time) Choice {
+	limits := p.Limits.orDefault(p.Weights)
 	if !r.Deadline.IsZero() && r.Deadline.Sub(now) < limits.DeadlineWindow {
 		limits.MaxSlowdown *= 2
 	}
@@ -66,7 +66,7 @@
 		limits.MaxSlowdown *= 4
 	}
 	racks := jobShareByRack(fleet, r.Job.ID)
-	dedicatedCost := d.dedicatedCost(fleet)
+	dedicatedCost := p.dedicatedCost(fleet)
 	best, refused := Choice{Reason: noRoom}, refusal{}
 	score := 0.0
 	for _, name := range fleet.Names() {
@@ -74,7 +74,7 @@
 		if !accepts(w, r) || !r.Want.Fits(w.FreeForBatch()) {
 			continue
 		}
-		cost, why := d.effect(w, r, limits, now)
+		cost, why := p.effect(w, r, limits, now)
 		if why.kind != none {
 			refused = why
 			continue
@@ -82,7 +82,7 @@
 		if len(w.Host.Services) == 0 {
 			cost = dedicatedCost * w.Share(r.Want)
 		}
-		s := d.score(w, r, cost, racks)
+		s := p.score(w, r, cost, racks)
 		if best.Worker == "" || s > score {
 			best, score = Choice{Worker: name}, s
 		}
@@ -125,7 +125,7 @@
 // effect returns the cost of the task for the worker's services, in units of
 // relative slowdown: what the task is expected to add, and a part of the total.
 // It returns a refusal instead if the task must not run there.
-func (d InterferenceAware) effect(
+func (p InterferenceAware) effect(
 	w *accountant.Worker, r Request, limits Limits, now time.Time,
 ) (cost float64, why refusal) {
 	if r.Job.Kind == describer.LatencyCritical || len(w.Host.Services) == 0 {
@@ -139,12 +139,12 @@
 	shares[r.Job.Class] += w.Share(r.Want)
 	for _, service := range w.Host.Services {
 		load := w.Reports[service].Load
-		mean, upper := d.slowdown(service, shares, load)
+		mean, upper := p.slowdown(service, shares, load)
 		isTrial := len(before) == 0 && w.Share(r.Want) <= limits.TrialShare
-		if why := d.refuse(service, load, upper, isTrial, limits); why.kind != none {
+		if why := p.refuse(service, load, upper, isTrial, limits); why.kind != none {
 			return 0, why
 		}
-		current, _ := d.slowdown(service, before, load)
+		current, _ := p.slowdown(service, before, load)
 		cost += mean - current + totalWeight*mean*w.Share(r.Want)
 	}
 	return cost, refusal{}
@@ -152,7 +152,7 @@
 
 // MayGrow reports whether the processors of a running task's grant may be raised
 // to those of to, by the same rules as a placement.
-func (d InterferenceAware) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
+func (p InterferenceAware) MayGrow(w *accountant.Worker, g accountant.Grant, to describer.Resources, now time.Time) bool {
 	if to.CPU <= g.Resources.CPU {
 		return true
 	}
@@ -160,7 +160,7 @@
 		Job:  &describer.Job{Class: g.Class, Kind: g.Kind, Priority: g.Priority},
 		Want: to.Sub(g.Resources),
 	}
-	_, why := d.effect(w, r, d.Limits.orDefault(d.Weights), now)
+	_, why := p.effect(w, r, p.Limits.orDefault(p.Weights), now)
 	return why.kind == none
 }
 
@@ -168,8 +168,8 @@
 // batch tasks may cause, and with its target. Without reports there is no
 // latency to compare: then it accepts one small task at a time, as otherwise
 // there would never be reports of interference.
-func (d InterferenceAware) refuse(service string, load, upper float64, isTrial bool, limits Limits) refusal {
-	base, known := d.baseline(service, load)
+func (p InterferenceAware) refuse(service string, load, upper float64, isTrial bool, limits Limits) refusal {
+	base, known := p.baseline(service, load)
 	if !known {
 		if upper > limits.MaxSlowdown && !isTrial {
 			return refusal{tooSlow, service, upper}
@@ -177,10 +177,10 @@
 		return refusal{}
 	}
 	latency := base.Seconds() * (1 + upper)
-	if latency > d.latencyBound(service, base, limits).Seconds() {
+	if latency > p.latencyBound(service, base, limits).Seconds() {
 		return refusal{tooSlow, service, upper}
 	}
-	target := d.Services[service].Target
+	target := p.Services[service].Target
 	if target > 0 && latency > limits.TargetShare*target.Seconds() && upper > 0.01 {
 		return refusal{nearTarget, service, upper}
 	}
@@ -190,37 +190,41 @@
 // latencyBound returns the latency that batch tasks may cause for a service: the
 // highest of what MaxSlowdown allows, its latency at busy times, and
 // ComfortShare of its target.
-func (d InterferenceAware) latencyBound(service string, base time.Duration, limits Limits) time.Duration {
-	busy, _ := d.Learner.BusyLatency(service)
-	comfort := limits.ComfortShare * float64(d.Services[service].Target)
+func (p InterferenceAware) latencyBound(service string, base time.Duration, limits Limits) time.Duration {
+	busy, _ := p.Learner.BusyLatency(service)
+	comfort := limits.ComfortShare * float64(p.Services[service].Target)
 	return max(time.Duration(float64(base)*(1+limits.MaxSlowdown)), busy, time.Duration(comfort))
 }
 
 // LatencyBounds returns for each service of a worker the latency that batch
 // tasks may cause at its current load. Services without reports are left out.
-func (d InterferenceAware) LatencyBounds(w *accountant.Worker) map[string]time.Duration {
-	limits := d.Limits.orDefault(d.Weights)
+func (p InterferenceAware) LatencyBounds(w *accountant.Worker) map[string]time.Duration {
+	limits := p.Limits.orDefault(p.Weights)
 	bounds := make(map[string]time.Duration)
 	for _, service := range w.Host.Services {
-		if base, ok := d.baseline(service, w.Reports[service].Load); ok {
-			bounds[service] = d.latencyBound(service, base, limits)
+		if base, ok := p.baseline(service, w.Reports[service].Load); ok {
+			bounds[service] = p.latencyBound(service, base, limits)
 		}
 	}
 	return bounds
 }
 
-func (d InterferenceAware) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
-	if d.Learner == nil {
+// slowdown returns the expected relative slowdown of a service and its upper
+// bound, or 0 without a learner.
+func (p InterferenceAware) slowdown(service string, shares map[string]float64, load float64) (mean, upper float64) {
+	if p.Learner == nil {
 		return 0, 0
 	}
-	return d.Learner.Slowdown(service, shares, load)
+	return p.Learner.Slowdown(service, shares, load)
 }
 
-func (d InterferenceAware) baseline(service string, load float64) (time.Duration, bool) {
-	if d.Learner == nil {
+// baseline returns the expected latency of a service without batch tasks, and
+// false if it is unknown.
+func (p InterferenceAware) baseline(service string, load float64) (time.Duration, bool) {
+	if p.Learner == nil {
 		return 0, false
 	}
-	return d.Learner.Baseline(service, load)
+	return p.Learner.Baseline(service, load)
 }
 
 // Weights of the score, in units of relative slowdown.
@@ -232,7 +236,7 @@
 )
 
 // score rates a worker that accepts the task; higher is better.
-func (d InterferenceAware) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
+func (p InterferenceAware) score(w *accountant.Worker, r Request, cost float64, racks map[string]float64) float64 {
 	score := -cost
 	if r.ReturnTo == w.Host.Name {
 		score += returnBonus
@@ -247,7 +251,7 @@
 // class costs on a worker with a service. So classes that interfere little run
 // beside services and leave the dedicated workers to classes that interfere
 // more.
-func (d InterferenceAware) dedicatedCost(fleet *accountant.Fleet) float64 {
+func (p InterferenceAware) dedicatedCost(fleet *accountant.Fleet) float64 {
 	var granted, capacity int64
 	for _, name := range fleet.Names() {
 		w := fleet.Workers[name]
@@ -257,11 +261,11 @@
 		granted += w.Granted.CPU
 		capacity += w.Host.Capacity.CPU
 	}
-	if capacity == 0 || d.Learner == nil {
+	if capacity == 0 || p.Learner == nil {
 		return 0
 	}
 	use := float64(granted) / float64(capacity)
-	return use * use * d.Learner.Options.Prior
+	return use * use * p.Learner.Options.Prior
 }
 
 // jobShareByRack returns the share of the job's running tasks in each rack.
--- a/internal/control/placer/preempt.go
+++ b/internal/control/placer/preempt.go
@@ -123,8 +123,8 @@
 	}
 	p.Throttle = reductions(w, candidates, missing.CPU, p.Evict, costs.ThrottleShare)
 	p.Freed = want.Sub(w.Free()).Sub(missing)
-	for _, s := range p.Throttle {
-		p.Freed.CPU += s.From - s.To
+	for _, r := range p.Throttle {
+		p.Freed.CPU += r.From - r.To
 	}
 	if len(p.Throttle) > 0 {
 		p.Wait = costs.Start + costs.Throttle
@@ -152,18 +152,19 @@
 // are not evicted have been throttled.
 func missingAfterThrottling(
 	w *accountant.Worker, candidates []describer.TaskID, missing describer.Resources,
-	evicted []describer.TaskID, floor float64,
+	evicted []describer.TaskID, keptShare float64,
 ) describer.Resources {
-	for _, s := range reductions(w, candidates, missing.CPU, evicted, floor) {
-		missing.CPU -= s.From - s.To
+	for _, r := range reductions(w, candidates, missing.CPU, evicted, keptShare) {
+		missing.CPU -= r.From - r.To
 	}
 	return missing
 }
 
 // reductions returns the grant reductions that free the given millicores, or as
-// much of them as possible. floor is the share of its grant that a task keeps.
+// much of them as possible. keptShare is the
+// share of its grant that each task keeps.
 func reductions(
-	w *accountant.Worker, candidates []describer.TaskID, cpu int64, evicted []describer.TaskID, floor float64,
+	w *accountant.Worker, candidates []describer.TaskID, cpu int64, evicted []describer.TaskID, keptShare float64,
 ) []GrantReduction {
 	var out []GrantReduction
 	for _, task := range candidates {
@@ -174,12 +175,12 @@
 			continue
 		}
 		from := w.Grants[task].Resources.CPU
-		give := min(cpu, int64(float64(from)*(1-floor)))
-		if give <= 0 {
+		freed := min(cpu, int64(float64(from)*(1-keptShare)))
+		if freed <= 0 {
 			continue
 		}
-		cpu -= give
-		out = append(out, GrantReduction{task, from, from - give})
+		cpu -= freed
+		out = append(out, GrantReduction{task, from, from - freed})
 	}
 	return out
 }
