--- a/internal/control/accountant/accountant.go
+++ b/internal/control/accountant/accountant.go
@@ -28,7 +28,7 @@
 
 // Worker is the account of one worker.
 type Worker struct {
-	Host              describer.Host                  // as in the host list
+	Host              describer.Host                  // the worker's entry in the host list
 	Grants            map[describer.TaskID]Grant      // changed only by Allocate, Adopt, Resize and Release, except for reported values
 	Granted           describer.Resources             // sum of Grants
 	Reserved          describer.Resources             // resources of the backend server, never granted
--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -32,7 +32,7 @@
 	objectiveTolerance = 1.3                    // accepted ratio of the predicted end to the objective
 	otherDomainPenalty = 150 * time.Millisecond // added to the prediction for a shard of another failure domain
 	minRetryAfter      = 500 * time.Millisecond
-	maxRetryAfter      = 8 * time.Second // before jitter
+	maxRetryAfter      = 8 * time.Second // limit before jitter is added
 	minRate            = 50              // millicores; lowest processing rate assumed for a backlog, also in a full shard
 	longRunningWait    = 3 * time.Second // predicted wait when none of the processors for long-running tasks is free
 )
@@ -40,9 +40,9 @@
 // Shard is the load of one shard as its latest summary shows it.
 type Shard struct {
 	Name             string
-	SameDomain       bool          // in the failure domain of the deciding host
-	RoundTrip        time.Duration // of a call to the shard
-	Age              time.Duration // of the summary
+	SameDomain       bool          // whether it is in the failure domain of the deciding host
+	RoundTrip        time.Duration // duration of a call to the shard
+	Age              time.Duration // age of the summary
 	Workers          int           // usable workers
 	LongRunningCPU   int64         // millicores that long-running tasks reserve or wait for
 	LongRunningLimit int64         // upper bound of LongRunningCPU, millicores
@@ -52,8 +52,8 @@
 	FillerCPU        int64 // millicores that running fillers asked for
 	ReservedBacklog  int64 // waiting work of equal or higher priority that reserves capacity, millicore-seconds
 	FillerBacklog    int64 // waiting work of fillers of equal or higher priority, millicore-seconds
-	HasRack          bool  // contains the rack that holds the job's data
-	HasLabel         bool  // has workers with every label that the job requires
+	HasRack          bool  // whether it contains the rack of the job's data
+	HasLabel         bool  // whether it has workers with every label that the job requires
 }
 
 // Work is what a job needs in total.
@@ -62,18 +62,18 @@
 	FillerWork     int64         // millicore-seconds of fillers
 	LongRunningCPU int64         // millicores that long-running tasks reserve
 	Chain          time.Duration // estimated run time of the longest chain of dependent steps
-	Objective      time.Duration // from acceptance to the end
-	NeedsRack      bool          // prefers the rack that holds its data
+	Objective      time.Duration // wanted time from acceptance to the end
+	NeedsRack      bool          // whether the job prefers the rack that holds its data
 }
 
 // Decision is the outcome for one job.
 type Decision struct {
 	Accepted   bool
 	Shard      string        // the chosen or last considered shard; empty if none has suitable workers
-	Age        time.Duration // of that shard's summary
-	Predicted  time.Duration // from acceptance to the end on that shard
-	RetryAfter time.Duration // set if the job is refused
-	Reason     string        // for callers and logs
+	Age        time.Duration // age of that shard's summary
+	Predicted  time.Duration // predicted time from acceptance to the end on that shard
+	RetryAfter time.Duration // time after which to retry; only set if the job is refused
+	Reason     string        // explanation for callers and logs
 }
 
 // Decide chooses a shard for the job and decides whether to accept it. random
--- a/internal/control/describer/host.go
+++ b/internal/control/describer/host.go
@@ -17,7 +17,7 @@
 // Host states.
 const (
 	Live    HostState = "live"
-	Leaving HostState = "leaving" // is to be removed
+	Leaving HostState = "leaving" // about to be removed
 )
 
 // Host is one entry of the platform's host list.
@@ -47,14 +47,14 @@
 	Slots        int     // maximum number of concurrent requests
 	Connections  int     // maximum number of open connections
 	Interference float64 // expected relative slowdown by batch tasks on the worker; 0 means none
-	Closed       bool    // takes no new requests, as the worker is leaving, draining or drained
+	Closed       bool    // whether it takes no new requests, because the worker is leaving, draining or drained
 }
 
 // RoutingTable is what the traffic side needs for routing. It is never changed
 // after publication.
 type RoutingTable struct {
 	Revision int64                // revision of the configuration that it was made from
-	Services map[string][]Backend // by service name, sorted by worker name
+	Services map[string][]Backend // backends by service name, sorted by worker name
 	Owners   map[string]string    // control address of the owner by shard, as far as known
 	Owned    map[string]int64     // epoch by shard, for the shards that this daemon owns
 	Ready    bool                 // whether this daemon may be sent requests
--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -12,7 +12,7 @@
 // Priorities, in rising order.
 const (
 	Normal Priority = iota
-	Urgent          // is started or refused within a fixed time
+	Urgent          // must be started or refused within a fixed time
 )
 
 func (p Priority) String() string {
@@ -30,8 +30,8 @@
 
 // Kinds of task.
 const (
-	Batch           Kind = iota // ends by itself
-	LatencyCritical             // runs until its job is cancelled
+	Batch           Kind = iota // finite: each task ends by itself
+	LatencyCritical             // long-running: each task runs until the job is cancelled
 )
 
 func (k Kind) String() string {
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -60,10 +60,10 @@
 type Action struct {
 	Kind   Kind
 	Task   describer.TaskID // unused by BlockBatch
-	Token  describer.Token  // of the task's run; unused by BlockBatch
+	Token  describer.Token  // token of the task's run; unused by BlockBatch
 	CPU    int64            // new grant in millicores; used by Unthrottle and Throttle
 	Until  time.Time        // end of the block; used by BlockBatch
-	Reason string           // for operators
+	Reason string           // explanation for operators
 }
 
 // Input is what a decision is made from. Decide changes State and Budget, and
@@ -71,11 +71,11 @@
 type Input struct {
 	Now           time.Time
 	Worker        *accountant.Worker
-	Services      map[string]describer.Service // by name
+	Services      map[string]describer.Service // all services by name
 	Learner       *learner.Learner             // optional, estimates the slowdown by batch tasks
 	LatencyBounds map[string]time.Duration     // optional, by service; an expected latency above its bound leads to throttling
-	State         *State                       // of this worker, kept between calls
-	Budget        *Budget                      // shared by the shard's workers; nil means unlimited
+	State         *State                       // memory of this worker, kept between calls
+	Budget        *Budget                      // eviction budget that the shard's workers share; nil means unlimited
 	Options       Options
 }
 
@@ -113,7 +113,7 @@
 // State is the memory of the decisions on one worker. Its zero value is ready to
 // use.
 type State struct {
-	Services        map[string]*Smoothed       // by name
+	Services        map[string]*Smoothed       // smoothed latencies by service name
 	Throttled       map[describer.TaskID]int64 // millicores granted before throttling
 	LastStep        time.Time                  // time of the last step or undoing
 	MissedSince     time.Time                  // start of the uninterrupted time in which a target is missed; zero if all are met
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -31,7 +31,7 @@
 	*environment
 	variant        Variant
 	fleet          *accountant.Fleet
-	byName         map[string]*host // by worker name, like the maps below
+	byName         map[string]*host // hosts by worker name; the maps below have the same keys
 	policy         placer.Policy
 	learner        *learner.Learner
 	timeline       learner.Timeline
@@ -42,8 +42,8 @@
 	pending        []*run                     // tasks that wait to run
 	avoid          map[string]bool            // workers that get no tasks now
 	failures       map[string]int             // failed runs in a row
-	quarantined    map[string]time.Time       // ends of quarantines
-	sequence       int64                      // of the latest token
+	quarantined    map[string]time.Time       // time at which the quarantine ends
+	sequence       int64                      // sequence number of the latest token
 	evictions      int
 	drainEvictions int
 	restoreTime    time.Duration
--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -50,12 +50,12 @@
 // batchClass holds the true properties of a class of batch tasks.
 type batchClass struct {
 	name      string
-	cores     float64                  // used by one task at full speed
+	cores     float64                  // cores that one task uses at full speed
 	memory    float64                  // MiB
 	run       float64                  // seconds at full speed
 	sizeError float64                  // ratio of the declared size to the true one
 	timeError float64                  // ratio of the declared run time to the true one
-	pressure  [sharedResources]float64 // on each shared resource if it held all processors of a worker
+	pressure  [sharedResources]float64 // pressure on each shared resource if the class held all processors of a worker
 }
 
 // groundTruth holds the true interference, which the policies can't see.
--- a/internal/control/evaluator/environment.go
+++ b/internal/control/evaluator/environment.go
@@ -24,10 +24,10 @@
 	runs       map[describer.TaskID]*run
 	loadOffset float64         // relative difference from the mean load, which changes slowly
 	load       float64         // share of request slots in use
-	loadRandom *rand.Rand      // for load and reports; each interval draws the same number of values for every policy
-	taskRandom *rand.Rand      // for tasks
-	dead       bool            // does not respond and fails its tasks
-	failing    bool            // fails its tasks
+	loadRandom *rand.Rand      // source for load and reports; each interval draws the same number of values for every policy
+	taskRandom *rand.Rand      // source for the tasks
+	dead       bool            // whether it is unresponsive and fails its tasks
+	failing    bool            // whether it fails its tasks
 	delayed    []delayedReport // reports that have not arrived yet
 }
 
@@ -44,7 +44,7 @@
 	truth      groundTruth
 	hosts      []*host
 	faults     faults
-	drift      *rand.Rand // for changes of the ground truth
+	drift      *rand.Rand // source for changes of the ground truth
 	now        time.Time
 
 	latencies    *hdrhistogram.Histogram // microseconds
@@ -54,8 +54,8 @@
 
 // faults are the hosts that fail, by index, and the times when they do.
 type faults struct {
-	failing   int    // fails all tasks for an hour
-	dying     [2]int // are dead for 20 minutes each
+	failing   int    // host that fails all its tasks for an hour
+	dying     [2]int // hosts that are dead for 20 minutes each
 	failingAt time.Duration
 	dyingAt   [2]time.Duration
 }
--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -60,7 +60,7 @@
 	options Options
 	inbox   chan reducer.Event
 	calls   chan struct{}      // semaphore of MaxCalls
-	stop    context.CancelFunc // ends the control goroutine and all calls
+	stop    context.CancelFunc // cancels the control goroutine and all calls
 
 	mu      sync.Mutex // guards the fields below
 	lastID  reducer.RequestID
--- a/internal/control/executor/executor_test.go
+++ b/internal/control/executor/executor_test.go
@@ -74,7 +74,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := e.Ask(ctx, func(reducer.RequestID) reducer.Event {
-			return reducer.StoreChecked{Reachable: true} // has no reply
+			return reducer.StoreChecked{Reachable: true} // this event has no reply
 		})
 		if err == nil || classifier.VerdictOf(err) != classifier.MayHaveRun {
 			t.Fatalf("error %v", err)
--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	loadBins     = 50             // of equal width, over loads from 0 to 1
+	loadBins     = 50             // number of bins of equal width for loads from 0 to 1
 	busyQuantile = 0.7            // share of the requests that met at most the load of busy times
 	loadHalfLife = 12 * time.Hour // time in which a report loses half of its weight
 )
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -55,7 +55,7 @@
 type Learner struct {
 	Options        Options
 	Models         map[ModelKey]*Model
-	LoadHistograms map[string]*LoadHistogram // by service
+	LoadHistograms map[string]*LoadHistogram // distribution of the load that each service met
 }
 
 // ModelKey identifies one regression.
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -12,11 +12,11 @@
 // by load within the band. The others belong to classes in order of appearance;
 // the last one is shared by all classes beyond Options.MaxClasses.
 type Model struct {
-	Classes    []string       // in order of appearance
-	Index      map[string]int // coefficient of each class
+	Classes    []string       // classes in order of appearance
+	Index      map[string]int // index of the coefficient of each class
 	Seen       map[string]int // number of reports while each class ran
-	Mean       []float64      // of each coefficient
-	Covariance [][]float64    // of the coefficients
+	Mean       []float64      // expected value of each coefficient
+	Covariance [][]float64    // covariance matrix of the coefficients
 	Updated    time.Time      // end of the latest report
 }
 
--- a/internal/control/learner/timeline.go
+++ b/internal/control/learner/timeline.go
@@ -7,7 +7,7 @@
 // Its zero value is ready to use.
 type Timeline struct {
 	Retention time.Duration            // how long changes are kept; zero means 5 minutes
-	Workers   map[string][]ShareChange // by worker name, in order of time
+	Workers   map[string][]ShareChange // changes by worker name, in order of time
 }
 
 // ShareChange holds the shares of processors by class from a time on.
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -16,8 +16,8 @@
 // that are already full. A drained task goes back to its former worker if that
 // accepts it.
 type InterferenceAware struct {
-	Learner  *learner.Learner             // of the interference; nil means that none is expected
-	Services map[string]describer.Service // by name
+	Learner  *learner.Learner             // estimates of interference; nil means that none is expected
+	Services map[string]describer.Service // all services by name
 	Weights  describer.Weights
 	Limits   Limits
 }
--- a/internal/control/placer/preempt.go
+++ b/internal/control/placer/preempt.go
@@ -161,8 +161,8 @@
 }
 
 // reductions returns the grant reductions that free the given millicores, or as
-// much of them as possible. keptShare is the
-// share of its grant that each task keeps.
+// much of them as possible. keptShare is the share of its grant that each task
+// keeps.
 func reductions(
 	w *accountant.Worker, candidates []describer.TaskID, cpu int64, evicted []describer.TaskID, keptShare float64,
 ) []GrantReduction {
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -27,7 +27,7 @@
 // Expected durations of steps.
 const (
 	moveTime    = 10 * time.Second // checkpoint, durable records and the start on another worker
-	restoreTime = 4 * time.Minute  // of one worker if its services stay within their targets
+	restoreTime = 4 * time.Minute  // time to restore one worker whose services stay within their targets
 )
 
 // Steps returns what the intent does on the given fleets, which are keyed by
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -20,9 +20,9 @@
 
 // Degrees of lateness, in the order in which work is served.
 const (
-	OnTime  Lateness = iota // can meet its objective
-	Late                    // ends after its objective but within its grace period
-	Overdue                 // ends after its grace period, when its result is of no use
+	OnTime  Lateness = iota // expected to meet its objective
+	Late                    // expected after its objective but within its grace period
+	Overdue                 // expected after its grace period, when its result is of no use
 )
 
 func (l Lateness) String() string {
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -29,10 +29,10 @@
 type Input struct {
 	Now       time.Time
 	Worker    *accountant.Worker
-	Services  map[string]describer.Service // by name
+	Services  map[string]describer.Service // all services by name
 	Returning int                          // number of tasks drained from this worker that wait to run on it again
 	Removed   bool                         // whether the worker has left the host list for good
-	State     *State                       // of this worker and drain
+	State     *State                       // memory of this worker and drain
 	Options   Options
 }
 
@@ -82,8 +82,8 @@
 // durable: a new owner of the shard begins again at the first step, which is
 // safe.
 type State struct {
-	Step       int
-	StepSince  time.Time // of the step
+	Step       int       // index of the current step in Options.Steps
+	StepSince  time.Time // beginning of the current step
 	Paused     bool
 	Smoothed   map[string]float64 // logarithm of the latency as a share of the target, by service
 	LastReport map[string]time.Time
