--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -12,6 +12,8 @@
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
+// shard returns a shard with the given free millicores and backlogs in
+// millicore-seconds.
 func shard(name string, free, backlog int64) Shard {
 	return Shard{
 		Name: name, SameDomain: true, Workers: 10, HasLabel: true, Free: describer.Resources{CPU: free},
--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -15,6 +15,7 @@
 	Urgent          // must be started or refused within a fixed time
 )
 
+// String returns the name of the priority.
 func (p Priority) String() string {
 	switch p {
 	case Normal:
@@ -34,6 +35,7 @@
 	LatencyCritical             // long-running: each task runs until the job is cancelled
 )
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Batch:
@@ -66,6 +68,7 @@
 	Index int    `json:"index"`
 }
 
+// String returns the job's ID and the index, as in "wave-7/3".
 func (t TaskID) String() string { return fmt.Sprintf("%s/%d", t.Job, t.Index) }
 
 // Token is the fencing token of one run of a task. A worker refuses a token that
@@ -93,6 +96,7 @@
 	Failed                     // given up, for the reason in Task.Reason
 )
 
+// String returns the name of the state.
 func (s TaskState) String() string {
 	switch s {
 	case Pending:
--- a/internal/control/escalator/budget.go
+++ b/internal/control/escalator/budget.go
@@ -35,8 +35,8 @@
 // refill adds the evictions gained since the last refill. Times in the past are
 // ignored.
 func (b *Budget) refill(now time.Time) {
-	if passed := now.Sub(b.At); passed > 0 {
-		b.Tokens = min(b.Burst, b.Tokens+b.Hourly*passed.Hours())
+	if elapsed := now.Sub(b.At); elapsed > 0 {
+		b.Tokens = min(b.Burst, b.Tokens+b.Hourly*elapsed.Hours())
 		b.At = now
 	}
 }
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -39,6 +39,7 @@
 	Stop                   // end a task without waiting for a checkpoint
 )
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Unthrottle:
@@ -90,6 +91,7 @@
 	MinSlowdown   float64       // estimated relative slowdown by batch tasks below which they are left alone
 }
 
+// orDefault fills in the defaults.
 func (o Options) orDefault() Options {
 	set := func(v *float64, fallback float64) {
 		if *v == 0 {
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -33,6 +33,8 @@
 	bounds  map[string]time.Duration
 }
 
+// newFixture returns a worker with the given number of batch tasks and a full
+// budget that is never refilled.
 func newFixture(tasks int, burst float64) *fixture {
 	f := &fixture{now: start, budget: NewBudget(burst, 0, start), taken: make(map[Kind]int)}
 	f.worker = &accountant.Worker{Host: describer.Host{
--- a/internal/control/evaluator/control.go
+++ b/internal/control/evaluator/control.go
@@ -69,6 +69,7 @@
 	return c.outcome(all)
 }
 
+// newController returns the controller of one simulation, without pending tasks.
 func newController(e *environment, v Variant) *controller {
 	c := &controller{
 		environment: e, variant: v, learner: learner.New(learner.Options{}),
--- a/internal/control/evaluator/environment.go
+++ b/internal/control/evaluator/environment.go
@@ -78,6 +78,7 @@
 	return e, newWorkload(d, &e.truth, r)
 }
 
+// newHost returns worker number i of a deployment.
 func newHost(d Deployment, i int, seed uint64) *host {
 	name := string([]byte{'w', byte('0' + i/10), byte('0' + i%10)})
 	account := &accountant.Worker{
--- a/internal/control/evaluator/variant.go
+++ b/internal/control/evaluator/variant.go
@@ -42,10 +42,12 @@
 	}
 }
 
+// defaultPolicy returns the default policy for a deployment.
 func defaultPolicy(d Deployment, l *learner.Learner) placer.Policy {
 	return placer.InterferenceAware{Learner: l, Services: services(d), Weights: d.Weights}
 }
 
+// services returns the deployment's service by name.
 func services(d Deployment) map[string]describer.Service {
 	return map[string]describer.Service{d.Service: {Name: d.Service, Target: d.Target}}
 }
--- a/internal/control/fitter/fitter.go
+++ b/internal/control/fitter/fitter.go
@@ -78,6 +78,7 @@
 	return score
 }
 
+// share returns part as a share of whole, or 0 if there is none of it.
 func share(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/internal/control/fitter/fitter_test.go
+++ b/internal/control/fitter/fitter_test.go
@@ -9,6 +9,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
+// candidate returns a worker with the given free and unused millicores.
 func candidate(cpu int64) Candidate {
 	return Candidate{
 		Free:     describer.Resources{CPU: cpu, Memory: 1000},
--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -20,8 +20,8 @@
 
 // add counts the requests of one report in the bin of their load.
 func (h *LoadHistogram) add(load float64, count int64, now time.Time) {
-	if passed := now.Sub(h.Updated); !h.Updated.IsZero() && passed > 0 {
-		keep := math.Exp2(-passed.Seconds() / loadHalfLife.Seconds())
+	if elapsed := now.Sub(h.Updated); !h.Updated.IsZero() && elapsed > 0 {
+		keep := math.Exp2(-elapsed.Seconds() / loadHalfLife.Seconds())
 		for i := range h.Weights {
 			h.Weights[i] *= keep
 		}
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -170,6 +170,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
+// orDefault returns v, or fallback if v is zero.
 func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
--- a/internal/control/learner/learner_test.go
+++ b/internal/control/learner/learner_test.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// trained returns a learner that has observed the given number of reports.
 func trained(reports int) *Learner {
 	l := New(Options{})
 	r := rand.New(rand.NewPCG(7, 7))
--- a/internal/control/learner/model.go
+++ b/internal/control/learner/model.go
@@ -31,6 +31,7 @@
 	maxResidual       = 2.5  // standard deviations; larger residuals are clipped
 )
 
+// newModel returns a model without classes whose baseline is the given latency.
 func newModel(seconds float64) *Model {
 	m := &Model{Index: make(map[string]int), Seen: make(map[string]int)}
 	m.addCoefficient(math.Log(seconds), baselineDeviation*baselineDeviation)
@@ -66,15 +67,15 @@
 // the prior and their variances grow towards the prior's. The baseline keeps
 // its mean and only becomes less certain.
 func (m *Model) age(o Options, now time.Time) {
-	passed := now.Sub(m.Updated)
+	elapsed := now.Sub(m.Updated)
 	if m.Updated.IsZero() {
-		passed = 0
+		elapsed = 0
 	}
-	if passed < 0 {
+	if elapsed < 0 {
 		return // reports can arrive out of order
 	}
 	m.Updated = now
-	keep := math.Exp2(-passed.Seconds() / o.HalfLife.Seconds())
+	keep := math.Exp2(-elapsed.Seconds() / o.HalfLife.Seconds())
 	scale := math.Sqrt(keep)
 	decay := func(i int) float64 {
 		if i < baseCoefficients {
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -101,6 +101,7 @@
 	upper   float64 // upper bound of the service's relative slowdown
 }
 
+// refusalKind is the kind of a refusal.
 type refusalKind uint8
 
 const (
@@ -110,6 +111,7 @@
 	nearTarget             // a service's latency would come too close to its target
 )
 
+// String returns the reason for operators.
 func (r refusal) String() string {
 	switch r.kind {
 	case blocked:
--- a/internal/control/placer/placer_test.go
+++ b/internal/control/placer/placer_test.go
@@ -38,6 +38,7 @@
 	return placer.Request{Task: describer.TaskID{Job: "j", Index: index}, Job: job, Want: job.Declared}
 }
 
+// allocate gives a batch task a grant on the worker.
 func allocate(w *accountant.Worker, index int, cpu int64) {
 	r := request(100+index, cpu)
 	Expect(w.Allocate(r.Task, accountant.Grant{Class: "translate", Resources: r.Want})).To(Succeed())
--- a/internal/control/placer/preempt.go
+++ b/internal/control/placer/preempt.go
@@ -22,6 +22,7 @@
 	ThrottleShare float64       // share of its grant that a throttled task keeps
 }
 
+// orDefault fills in the defaults.
 func (c Costs) orDefault() Costs {
 	if c.Throttle == 0 {
 		c.Throttle = 500 * time.Millisecond
--- a/internal/control/planner/apply.go
+++ b/internal/control/planner/apply.go
@@ -164,14 +164,17 @@
 	})
 }
 
+// invalid returns an error about a field whose value is not allowed.
 func invalid(field, message string) error {
 	return failure(http.StatusBadRequest, "invalid", field, message)
 }
 
+// unknown returns an error about a field that names something that does not exist.
 func unknown(field, message string) error {
 	return failure(http.StatusNotFound, "unknown", field, message)
 }
 
+// conflict returns an error about a contradiction to the current state.
 func conflict(field, message string) error {
 	return failure(http.StatusConflict, "conflict", field, message)
 }
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -71,13 +71,14 @@
 	running   int64   // millicores of batch grants before the plan
 	lost      int64   // millicores of batch grants that end or move
 	gained    int64   // millicores of batch grants that start
-	evictions int     // number of tasks that end or move
+	evictions int     // number of tasks that are moved off
 	closed    int     // number of workers with a service that the plan closes
 	opened    int     // number of workers with a service that the plan opens
 	serving   int     // number of open workers with a service before the plan
 	load      float64 // sum of the loads of these workers
 }
 
+// newDraft returns a draft without steps on copies of the fleets' workers.
 func newDraft(
 	cfg describer.Configuration, intent describer.Intent, fleets map[string]*accountant.Fleet,
 	pending []placer.Request, now time.Time,
--- a/internal/control/planner/planner_test.go
+++ b/internal/control/planner/planner_test.go
@@ -61,6 +61,7 @@
 	return out
 }
 
+// pending returns a task that was drained from w-3 and waits.
 func pending() []placer.Request {
 	job := &describer.Job{ID: "maps", Team: "council", Class: "render"}
 	return []placer.Request{{
@@ -89,6 +90,7 @@
 	return describer.Plan{Intent: intent, Revision: 7, Steps: steps, Expected: expected}
 }
 
+// text returns the steps and the expected effect as a golden file has them.
 func text(p describer.Plan) []byte {
 	var b strings.Builder
 	for _, s := range p.Steps {
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -38,6 +38,8 @@
 	}
 }
 
+// request returns the placement request of a task of a new job, with the declared
+// resources.
 func (d *draft) request(task describer.TaskID, job *describer.Job) placer.Request {
 	return placer.Request{Task: task, Job: job, Want: job.Declared, Deadline: job.Deadline}
 }
--- a/internal/control/ranker/ranker.go
+++ b/internal/control/ranker/ranker.go
@@ -25,6 +25,7 @@
 	Overdue                 // expected after its grace period, when its result is of no use
 )
 
+// String returns the name of the lateness.
 func (l Lateness) String() string {
 	return [...]string{"on-time", "late", "overdue"}[l]
 }
--- a/internal/control/ranker/ranker_test.go
+++ b/internal/control/ranker/ranker_test.go
@@ -10,10 +10,13 @@
 
 var now = time.Date(2030, 1, 1, 6, 0, 0, 0, time.UTC)
 
+// work returns work whose objective and grace period end at the given times from
+// now.
 func work(id string, priority int, objective, grace, remaining time.Duration) Work {
 	return Work{ID: id, Priority: priority, Objective: now.Add(objective), GraceEnd: now.Add(grace), Remaining: remaining}
 }
 
+// order returns the IDs of the list in ranked order.
 func order(list ...Work) []string {
 	slices.SortFunc(list, func(a, b Work) int { return Compare(now, &a, &b) })
 	var ids []string
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -55,6 +55,7 @@
 	Smoothing      float64       // weight of the newest report in the exponentially smoothed latency
 }
 
+// orDefault fills in the defaults.
 func (o Options) orDefault() Options {
 	if len(o.Steps) == 0 {
 		o.Steps = []float64{0.125, 0.25, 0.5, 1}
@@ -82,11 +83,11 @@
 // durable: a new owner of the shard begins again at the first step, which is
 // safe.
 type State struct {
-	Step       int       // index of the current step in Options.Steps
-	StepSince  time.Time // beginning of the current step
-	Paused     bool
-	Smoothed   map[string]float64 // logarithm of the latency as a share of the target, by service
-	LastReport map[string]time.Time
+	Step       int                  // index of the current step in Options.Steps
+	StepSince  time.Time            // beginning of the current step
+	Paused     bool                 // whether the step pauses because of a service\'s latency
+	Smoothed   map[string]float64   // logarithm of the latency as a share of the target, by service
+	LastReport map[string]time.Time // end of the latest report by service
 }
 
 // Decide returns what may run on the worker now.
