--- a/internal/control/learner/busy.go
+++ b/internal/control/learner/busy.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	loadBins     = 50             // of equal width, over loads from 0 to 1
+	loadBins     = 50             // number of bins of equal width for loads from 0 to 1
 	busyQuantile = 0.7            // share of the requests that met at most the load of busy times
 	loadHalfLife = 12 * time.Hour // time in which a report loses half of its weight
 )
@@ -20,8 +20,8 @@
 
 // add counts the requests of one report in the bin of their load.
 func (h *LoadHistogram) add(load float64, count int64, now time.Time) {
-	if passed := now.Sub(h.Updated); !h.Updated.IsZero() && passed > 0 {
-		keep := math.Exp2(-passed.Seconds() / loadHalfLife.Seconds())
+	if elapsed := now.Sub(h.Updated); !h.Updated.IsZero() && elapsed > 0 {
+		keep := math.Exp2(-elapsed.Seconds() / loadHalfLife.Seconds())
 		for i := range h.Weights {
 			h.Weights[i] *= keep
 		}
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -67,7 +67,7 @@
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
 		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
-		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
+		FiniteCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
 		out.RoundTrip = remoteRoundTrip
