--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -55,7 +55,7 @@
 type Learner struct {
 	Options        Options
 	Models         map[ModelKey]*Model
-	LoadHistograms map[string]*LoadHistogram // by service
+	LoadHistograms map[string]*LoadHistogram // distribution of the load that each service met
 }
 
 // ModelKey identifies one regression.
@@ -170,6 +170,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
+// orDefault returns v, or fallback if v is zero.
 func orDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
--- a/internal/control/reducer/timer.go
+++ b/internal/control/reducer/timer.go
@@ -7,7 +7,7 @@
 
 const (
 	timerSync        timerKind = iota // sync with the worker
-	timerLapse                        // check whether all leases on the worker have expired
+	timerLeaseExpiry                  // check whether all leases on the worker have expired
 	timerProbe                        // allow one task on a quarantined worker
 	timerReopen                       // place tasks again on a worker that refused a start
 	timerRetry                        // queue a failed task again
@@ -15,8 +15,9 @@
 	timerRepeatStop                   // repeat an unanswered stop
 )
 
-// timer is an action of a shard at a later time. It is ignored if the shard is lost or
-// owned under another epoch by then.
+// timer is an action of a shard at a later time. It is plain data rather than a callback,
+// so that it can be discarded: it is ignored if the shard is lost or owned under another
+// epoch by then.
 type timer struct {
 	at       time.Time
 	sequence uint64 // order of creation, to break ties
@@ -117,8 +118,8 @@
 			t.worker.nextSyncAt = time.Time{}
 			sh.sendSync(t.worker)
 		}
-	case timerLapse:
-		sh.releaseLapsed(t.worker)
+	case timerLeaseExpiry:
+		sh.releaseExpired(t.worker)
 	case timerProbe:
 		sh.allowProbe(t.worker)
 	case timerReopen:
