--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -41,7 +41,7 @@
 
 // Run sends the load and waits for all responses. When ctx ends, it stops sending
 // and returns the report so far. An error means that the settings are invalid; it
-// is of type parser.FaultErrors.
+// is of type parser.Errors.
 func Run(ctx context.Context, o Options) (Report, error) {
 	var faults parser.Errors
 	o.Settings.validate(func(path, format string, args ...any) {
