--- a/internal/operator/commander/commander.go
+++ b/internal/operator/commander/commander.go
@@ -44,7 +44,7 @@
 	}
 	var exit *exitError
 	if !errors.As(err, &exit) {
-		exit = &exitError{code: ExitUsage, err: err} // cobra returns plain errors only for wrong usage
+		exit = &exitError{code: ExitUsage, err: err} // cobra's own errors are about wrong usage
 	}
 	if exit.err != nil {
 		fmt.Fprintln(stderr, "dotterelcart:", exit.err)
--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -62,8 +62,8 @@
 	return settings, invalidFile(name, err)
 }
 
-// invalidFile formats the parser.Errors of a file with each on a line of
-// its own. It returns other errors, and nil, as they are.
+// invalidFile formats parser.Errors with a line for each error and with the name of
+// the file. It returns other errors, and nil, as they are.
 func invalidFile(name string, err error) error {
 	var list parser.Errors
 	if !errors.As(err, &list) {
--- a/internal/operator/server/build.go
+++ b/internal/operator/server/build.go
@@ -40,8 +40,8 @@
 	s.metrics = reporter.New(name, s.Settings.Domain)
 	store := storer.New(s.Settings.Platform.Store, platformClient())
 
-	// Components post events to the executor, which is built after them. An event
-	// that comes earlier waits.
+	// Components post events to the executor, which is built after them. Events
+	// posted before it exists wait.
 	built := make(chan struct{})
 	defer close(built)
 	post := func(event reducer.Event) {
--- a/internal/operator/server/stop.go
+++ b/internal/operator/server/stop.go
@@ -49,6 +49,8 @@
 	<-s.Done
 }
 
+// close stops all components in the order of their dependencies and waits for the
+// goroutines.
 func (s *Server) close(ctx context.Context) {
 	s.metrics.Ready.Store(false)
 	s.cancel()
