--- a/internal/operator/demonstrator/batch.go
+++ b/internal/operator/demonstrator/batch.go
@@ -17,7 +17,7 @@
 
 const (
 	jobRate        = 2    // jobs per second over all domains, after the initial ones
-	maxTasks       = 4    // tasks per job
+	maxTasks       = 4    // maximum number of tasks in a job
 	jobsStart      = 0.15 // fraction of the load's duration after which jobs are submitted
 	jobsEnd        = 0.75 // fraction of the load's duration after which no more are
 	initialJobs    = 10   // jobs that are submitted at once at the start
@@ -50,7 +50,7 @@
 	}
 }
 
-// run submits jobs until loadCtx ends, and waits until they are done or runCtx ends.
+// run submits jobs between jobsStart and jobsEnd of the load, and waits until they are done or runCtx ends.
 func (b *batchLoad) run(loadCtx, runCtx context.Context) {
 	length := time.Duration(b.options.Seconds) * time.Second
 	if !deployer.Pause(loadCtx, time.Duration(float64(length)*jobsStart)) {
