--- a/internal/operator/demonstrator/demonstrator_test.go
+++ b/internal/operator/demonstrator/demonstrator_test.go
@@ -16,7 +16,7 @@
 		return demonstrator.Run(context.Background(), o, io.Discard, io.Discard)
 	}
 
-	It("refuses unknown faults and too short runs", func() {
+	It("rejects unknown faults and too short runs", func() {
 		_, err := run(demonstrator.Options{Seconds: 10, Fault: "flood"})
 		Expect(err).To(MatchError(ContainSubstring("flood")))
 		_, err = run(demonstrator.Options{Seconds: 1})
@@ -25,11 +25,11 @@
 })
 
 var _ = Describe("Report", func() {
-	It("is not OK with any violation", func() {
+	It("isn't OK if any invariant is violated", func() {
 		Expect(demonstrator.Report{Restored: true}.OK()).To(BeTrue())
 		Expect(demonstrator.Report{}.OK()).To(BeFalse())
 		for _, r := range []demonstrator.Report{
-			{Wrong: 1}, {Cut: 1}, {Duplicated: 1}, {Untrue: 1}, {Lost: 1}, {Overfilled: 1}, {Late: 1},
+			{WrongResponses: 1}, {CutRequests: 1}, {Duplicated: 1}, {FalseNotRun: 1}, {LostJobs: 1}, {Overcommitted: 1}, {LateRequests: 1},
 		} {
 			r.Restored = true
 			Expect(r.OK()).To(BeFalse())
@@ -37,17 +37,18 @@
 	})
 })
 
-// TestKilledHosts violates nothing when an entry host and a worker are killed.
+// TestKilledHosts checks that killing an entry host and a worker violates no
+// invariant.
 func TestKilledHosts(t *testing.T) {
 	if testing.Short() {
-		t.Skip("a run takes some 15 seconds")
+		t.Skip("a run takes about 15 seconds")
 	}
 	o := demonstrator.Options{Seed: 1, Seconds: 6, Fault: demonstrator.FaultKill}
 	report, err := demonstrator.Run(context.Background(), o, io.Discard, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(report.Violations) > 0 || !report.OK() || report.Done == 0 {
-		t.Fatalf("%d jobs done, restored %t, violations %q", report.Done, report.Restored, report.Violations)
+	if len(report.Violations) > 0 || !report.OK() || report.DoneJobs == 0 {
+		t.Fatalf("%d jobs done, restored %t, violations %q", report.DoneJobs, report.Restored, report.Violations)
 	}
 }
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -38,15 +38,15 @@
 	}
 	s.Platform.Timeout = parser.Duration(time.Second)
 	s.Lease = parser.Lease{
-		Shard:  parser.Duration(2 * time.Second),
-		Task:   parser.Duration(4 * time.Second),
-		Margin: parser.Duration(500 * time.Millisecond),
-		Sync:   parser.Duration(500 * time.Millisecond),
+		Shard:        parser.Duration(2 * time.Second),
+		Task:         parser.Duration(4 * time.Second),
+		ClockMargin:  parser.Duration(500 * time.Millisecond),
+		SyncInterval: parser.Duration(500 * time.Millisecond),
 	}
-	s.Restore = parser.Restore{Settle: parser.Duration(1200 * time.Millisecond), Patience: parser.Duration(2 * time.Second)}
-	s.Traffic.Deadline = parser.Duration(2 * time.Second)
-	s.Traffic.Silence = parser.Duration(time.Second)
-	s.Traffic.DrainLimit = parser.Duration(10 * time.Second)
+	s.Restore = parser.Restore{MinStep: parser.Duration(1200 * time.Millisecond), MaxStep: parser.Duration(2 * time.Second)}
+	s.Traffic.DefaultDeadline = parser.Duration(2 * time.Second)
+	s.Traffic.StallTimeout = parser.Duration(time.Second)
+	s.Traffic.DrainTimeout = parser.Duration(10 * time.Second)
 	return &Entry{Settings: s, launch: launch}, nil
 }
 
@@ -95,7 +95,7 @@
 
 // Stop ends the daemon as planned, in the time that its settings allow.
 func (e *Entry) Stop(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainLimit))
+	limited, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainTimeout))
 	defer cancel()
 	if daemon := e.take(true); daemon != nil {
 		daemon.Stop(limited)
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -177,7 +177,7 @@
 	disturb(all)
 	options := forwarder.Options{
 		Domain: "d", Region: "r", Policy: v.policy, HedgeRatio: v.hedge, Slots: &router.FixedShare{Hosts: 1},
-		Traffic: parser.Traffic{Silence: parser.Duration(300 * time.Millisecond)},
+		Traffic: parser.Traffic{StallTimeout: parser.Duration(300 * time.Millisecond)},
 	}
 	if v.noEjection {
 		options.Health = router.Health{MaxFailures: 1 << 30, SlowFactor: 1 << 30}
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -106,7 +106,7 @@
 	log zerolog.Logger,
 ) *Forwarder {
 	o = withDefaults(o)
-	linkBudget := router.NewLinkBudget(o.Traffic.Link)
+	linkBudget := router.NewLinkBudget(o.Traffic.LinkBandwidth)
 	f := &Forwarder{
 		Options:     o,
 		incarnation: time.Now().UnixNano(),
@@ -117,7 +117,7 @@
 		claimer:     claimer,
 		log:         log.With().Str("part", "forwarder").Logger(),
 		metrics:     newMetrics(scope),
-		retries:     retrier.NewBudget(o.Traffic.Budget, retryReserve),
+		retries:     retrier.NewBudget(o.Traffic.RetryRatio, retryReserve),
 		hedges:      retrier.NewBudget(o.HedgeRatio, hedgeReserve),
 	}
 	f.Router = router.New(router.Options{
@@ -129,10 +129,10 @@
 		Seed:       o.Seed,
 	}, o.Slots)
 	f.Dialer = dialer.New(dialer.Options{
-		StallTimeout: time.Duration(o.Traffic.Silence),
+		StallTimeout: time.Duration(o.Traffic.StallTimeout),
 		Connections:  o.Connections,
 	})
-	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.Queue})
+	f.Limiter = limiter.New[*router.Slot](limiter.Options{MaxQueue: o.Traffic.MaxQueue})
 	if s, ok := o.Slots.(dynamicSlots); ok {
 		s.Attach(f.Dialer.OpenConnections, f.Limiter.Dispatch)
 	}
@@ -171,17 +171,17 @@
 
 func withDefaults(o Options) Options {
 	t := &o.Traffic
-	if t.Queue <= 0 {
-		t.Queue = defaultQueue
+	if t.MaxQueue <= 0 {
+		t.MaxQueue = defaultQueue
 	}
-	if t.Body <= 0 {
-		t.Body = defaultBody
+	if t.MaxBody <= 0 {
+		t.MaxBody = defaultBody
 	}
-	if t.Deadline <= 0 {
-		t.Deadline = parser.Duration(defaultDeadline)
+	if t.DefaultDeadline <= 0 {
+		t.DefaultDeadline = parser.Duration(defaultDeadline)
 	}
-	if t.Budget <= 0 {
-		t.Budget = defaultBudget
+	if t.RetryRatio <= 0 {
+		t.RetryRatio = defaultBudget
 	}
 	if o.HedgeRatio == 0 {
 		o.HedgeRatio = defaultHedge
@@ -226,7 +226,7 @@
 
 // handle answers a request whose headers are valid.
 func (f *Forwarder) handle(ctx context.Context, w http.ResponseWriter, r *http.Request, c *call) {
-	body, err := newRequestBody(w, r, f.Options.Traffic.Body, c.deadline)
+	body, err := newRequestBody(w, r, f.Options.Traffic.MaxBody, c.deadline)
 	if err != nil {
 		f.metrics.countRefusal(c)
 		classifier.WriteError(w, err)
--- a/internal/traffic/forwarder/forwarder_suite_test.go
+++ b/internal/traffic/forwarder/forwarder_suite_test.go
@@ -102,4 +102,6 @@
 }
 
 // stallTimeout returns settings with this limit for connections without progress.
-func stallTimeout(d time.Duration) parser.Traffic { return parser.Traffic{Silence: parser.Duration(d)} }
+func stallTimeout(d time.Duration) parser.Traffic {
+	return parser.Traffic{StallTimeout: parser.Duration(d)}
+}
--- a/internal/traffic/forwarder/forwarder_test.go
+++ b/internal/traffic/forwarder/forwarder_test.go
@@ -88,7 +88,7 @@
 
 	It("refuses a body that is too large before it is sent", func() {
 		h := new(testHost)
-		h.options.Traffic.Body = 10
+		h.options.Traffic.MaxBody = 10
 		h.add(func(http.ResponseWriter, *http.Request) { Fail("must not be reached") })
 		h.start()
 		status, f := h.failure("POST", "/svc/desk/", "more than ten bytes")
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -80,9 +80,9 @@
 		return invalidField(http.StatusNotFound, "service", "path", "unknown service")
 	}
 	if c.timeout == 0 {
-		c.timeout = time.Duration(f.Options.Traffic.Deadline)
+		c.timeout = time.Duration(f.Options.Traffic.DefaultDeadline)
 	}
-	if c.request.ContentLength > f.Options.Traffic.Body {
+	if c.request.ContentLength > f.Options.Traffic.MaxBody {
 		return invalidField(http.StatusRequestEntityTooLarge, "body", "Content-Length", "the body is too large")
 	}
 	c.class = f.metrics.boundedClass(c.tenant, c.class)
--- a/internal/traffic/forwarder/hedge_test.go
+++ b/internal/traffic/forwarder/hedge_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("Forwarder under load", func() {
 	It("gives each caller its own response when responses are late and out of order", func() {
 		h := new(testHost)
-		h.options.Traffic.Queue = 200
+		h.options.Traffic.MaxQueue = 200
 		for range 4 {
 			h.add(func(w http.ResponseWriter, r *http.Request) {
 				var n int
@@ -65,7 +65,7 @@
 
 	It("uses another region only when its own has no open backend server, within the byte budget", func() {
 		h := new(testHost)
-		h.options.Traffic.Link = 40 << 10
+		h.options.Traffic.LinkBandwidth = 40 << 10
 		name := func(s string) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) { w.Write(append([]byte(s), make([]byte, 30<<10)...)) }
 		}
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -37,13 +37,13 @@
 )
 
 // Parse reads settings and fills in defaults. The error is of type
-// parser.FaultErrors, which lists every invalid field with its place in the file.
+// parser.Errors, which lists every invalid field with its place in the file.
 func Parse(data []byte) (Settings, error) {
 	var s Settings
 	d := parser.Decode(data, &s)
-	s.validate(d.Fault)
-	if len(d.Faults) > 0 {
-		return s, d.Faults
+	s.validate(d.AddError)
+	if len(d.Errors) > 0 {
+		return s, d.Errors
 	}
 	return s, nil
 }
