--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -8,6 +8,9 @@
 // [Shard] and executes the [Effect] values that it returns. Nothing here does
 // I/O, reads a clock or starts a goroutine.
 //
+// A job has steps and a step has tasks; a run is one execution of a task on a
+// worker. Package specifier defines them.
+//
 //	s := dispatcher.New(options, now)
 //	for event := range events {
 //		execute(s.Reduce(time.Now(), event))
--- a/internal/job/dispatcher/event.go
+++ b/internal/job/dispatcher/event.go
@@ -102,8 +102,8 @@
 type Committed struct{ Batch int64 }
 
 // OwnershipChecked reports whether the store has confirmed that this daemon
-// owns the shard. If it is in doubt, no orders are given until the next
-// confirmation.
+// owns the shard. If it hasn't, no runs are started and no leases are renewed
+// until the next confirmation.
 type OwnershipChecked struct{ Confirmed bool }
 
 func (Tick) event()             {}
@@ -186,7 +186,7 @@
 	Worker  string
 	Reason  string
 	Run     int64
-	Age     time.Duration // age of the information that the decision was based on
+	Age     time.Duration // how old the decision's input is, or how long the decision holds
 }
 
 // Resign gives up the ownership: the worker has seen a higher fencing token, so
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -9,8 +9,8 @@
 
 const workerCPU = 4000 // millicores
 
-// fakeWorker follows the worker protocol but starts every run that is ordered,
-// also beyond its capacity.
+// fakeWorker follows the worker protocol, but also starts runs beyond its
+// capacity. checkStart fails the test if one is ordered.
 type fakeWorker struct {
 	sim         *simulation
 	id          string
@@ -74,7 +74,8 @@
 	return false
 }
 
-// extendLease prolongs the lease of all runs; it never shortens it.
+// extendLease prolongs the lease of all runs to leaseEnd by the worker's clock,
+// but to at most 10 s from now. It never shortens the lease.
 func (m *fakeWorker) extendLease(leaseEnd time.Duration) {
 	expiry := m.sim.now.Add(time.Duration(float64(min(leaseEnd-m.clock(), 10*time.Second)) / 0.98))
 	if leaseEnd == 0 || !expiry.After(m.leaseEnd) {
@@ -225,6 +226,7 @@
 	if !step.LongRunning && s.invariants.ackedFailures[e.Task] >= simAttempts {
 		s.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, s.invariants.ackedFailures[e.Task])
 	}
+	// A late call is executed less than 12 s after its owner gave the order.
 	if cancelledAt := s.store[e.Task.Job].cancelHeardAt; !cancelledAt.IsZero() && s.now.Sub(cancelledAt) > 13*time.Second {
 		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, m.id, s.now.Sub(cancelledAt))
 	}
--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -141,11 +141,11 @@
 			Lateness: work.Lateness(s.now.Add(-r.estimatedTimeDone())),
 		})
 	}
-	over := time.Duration(0)
+	overTargetFor := time.Duration(0)
 	if !w.overTargetSince.IsZero() {
-		over = s.now.Sub(w.overTargetSince)
+		overTargetFor = s.now.Sub(w.overTargetSince)
 	}
-	pacer.Decide(w.latencyRatio, over, fillers)
+	pacer.Decide(w.latencyRatio, overTargetFor, fillers)
 	for i, r := range runs {
 		if fillers[i].Pace != r.pace {
 			s.setPace(r, fillers[i].Pace)
--- a/internal/job/dispatcher/inventory.go
+++ b/internal/job/dispatcher/inventory.go
@@ -9,7 +9,7 @@
 // Delays after refused orders and failed runs.
 const (
 	orderRetryDelay   = 250 * time.Millisecond // before an order without effect is repeated
-	refusalBackoff    = 500 * time.Millisecond // a worker that refused a start gets no other for this time
+	refusalBackoff    = 500 * time.Millisecond // no runs are started on a worker for this time after it refused one
 	failureThreshold  = 3                      // a worker is avoided after this many failures in a row
 	failureBackoff    = 2 * time.Second        // time to avoid it, doubled with each further failure
 	maxFailureBackoff = 4 * time.Second
@@ -111,8 +111,8 @@
 	return false
 }
 
-// completeWithGang completes a task and the other tasks of its gang, and stops
-// duplicate runs on other workers.
+// completeWithGang completes a task and the other tasks of its gang. A run of a
+// task without a gang that is still on another worker is stopped.
 func (s *Shard) completeWithGang(w *worker, t *task) {
 	members := []*task{t}
 	if t.step.spec.Gang {
@@ -228,7 +228,8 @@
 }
 
 // handleMissingRun handles a run that is missing from an inventory requested at
-// sent. An inventory from before the answer to the last order says nothing.
+// sent. An inventory requested before the last order was answered proves nothing,
+// since the worker may have made it before it executed the order.
 func (s *Shard) handleMissingRun(r *run, sent time.Time) {
 	if r.answeredAt.IsZero() || !sent.After(r.answeredAt) {
 		return
@@ -262,7 +263,7 @@
 }
 
 // orderedRun returns the run that an answer refers to, or nil if the run isn't
-// in the expected phase any more.
+// in the expected phase any more. It resigns if the worker fenced off the order.
 func (s *Shard) orderedRun(e StartAnswered, phase runPhase) *run {
 	w := s.workers[e.Worker]
 	if w == nil {
@@ -279,8 +280,8 @@
 	return r
 }
 
-// startAnswered handles the outcome of a start. After a refusal the task waits
-// for another start and the worker gets none for a while.
+// startAnswered handles the outcome of a start. After a refusal the task waits to
+// be started again, and for a while no runs are started on the worker.
 func (s *Shard) startAnswered(e StartAnswered) {
 	r := s.orderedRun(e, starting)
 	if r == nil {
--- a/internal/job/dispatcher/job.go
+++ b/internal/job/dispatcher/job.go
@@ -22,7 +22,7 @@
 
 	final   specifier.State // final state, empty until the job ends
 	version int64           // increases with each change of the durable state
-	sent    int64           // version in the last commit
+	sent    int64           // version in the last commit that contains the job
 	durable int64           // highest version known to be durable
 	dirty   bool            // listed in Shard.dirtyJobs
 }
@@ -99,7 +99,8 @@
 	return j
 }
 
-// graceFactor times the target completion time is the end of the grace period.
+// graceFactor is the end of the grace period as a multiple of the target
+// completion time, both counted from the job's acceptance.
 const graceFactor = 3
 
 // addJob adds a newly accepted job, unless it is known or has ended.
@@ -291,8 +292,8 @@
 func (s *Shard) cancelJob(id string) {
 	j := s.jobs[id]
 	if j == nil {
-		// The cancellation may come before the job: a list contains it first,
-		// and two watches aren't ordered.
+		// The cancellation may come before the job: a list contains cancellations
+		// before jobs, and separate watches have no common order.
 		s.earlyCancels[id] = s.now
 		return
 	}
--- a/internal/job/dispatcher/load.go
+++ b/internal/job/dispatcher/load.go
@@ -50,8 +50,8 @@
 		}
 		b := backlog[j.queue.Priority]
 		for _, st := range j.steps {
-			finite, filler := st.waitingWork()
-			b.ReservedWork += finite
+			reserved, filler := st.waitingWork()
+			b.ReservedWork += reserved
 			b.FillerWork += filler
 			if st.spec.LongRunning {
 				l.LongRunningCPU += int64(st.waiting) * st.needs.reserved.CPU
@@ -69,9 +69,9 @@
 	slices.SortFunc(l.Backlog, func(a, b recorder.Backlog) int { return cmp.Compare(a.Priority, b.Priority) })
 }
 
-// waitingWork returns the estimated work of the step's waiting tasks, in
-// millicore-seconds. Long-running tasks count as none.
-func (st *step) waitingWork() (finite, filler int64) {
+// waitingWork returns the estimated work of the step's waiting tasks on reserved
+// CPU and on CPU for fillers, in millicore-seconds. It is 0 for long-running tasks.
+func (st *step) waitingWork() (reserved, filler int64) {
 	if st.spec.LongRunning {
 		return 0, 0
 	}
--- a/internal/job/dispatcher/move.go
+++ b/internal/job/dispatcher/move.go
@@ -87,8 +87,8 @@
 	return cpu
 }
 
-// pinnedCPUOf returns that of the step's job if the service has several
-// shards, between which jobs move, otherwise 0.
+// pinnedCPUOf returns the pinnedCPU of the job of a long-running step. It is 0 for
+// other steps, and if the service has only one shard, so that no job moves.
 func (p *placement) pinnedCPUOf(st *step) int64 {
 	if p.shard.options.Domain == "" || !st.spec.LongRunning {
 		return 0
--- a/internal/job/dispatcher/place.go
+++ b/internal/job/dispatcher/place.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// rankSteps sorts the waiting steps.
+// rankSteps sorts the waiting steps by rank. It also decides for this round which
+// of them may exceed the limit of long-running tasks.
 func (p *placement) rankSteps() {
 	s := p.shard
 	type ranked struct {
--- a/internal/job/dispatcher/stall.go
+++ b/internal/job/dispatcher/stall.go
@@ -8,7 +8,7 @@
 	stallPercentFactor   = 4                       // multiple of the average time for one percent so far
 	stallEstimateFactor  = 0.1                     // fraction of the estimated run time, before the first percent
 	stalledRunsThreshold = 2                       // with this many stalled runs a worker is avoided
-	stallAvoidTime       = 4 * time.Second         // how long it is avoided
+	stallAvoidTime       = 4 * time.Second         // how long such a worker is avoided
 )
 
 // isStalled reports whether a run makes no progress although it isn't throttled.
--- a/internal/job/dispatcher/worker.go
+++ b/internal/job/dispatcher/worker.go
@@ -29,7 +29,7 @@
 	polledClock time.Duration // the worker's monotonic clock in the last inventory
 	leaseExpiry time.Time     // when every lease granted here has expired for certain
 
-	lastEnd     int64        // highest processed number of an end
+	lastEnd     int64        // highest number of a processed end
 	pendingEnds []pendingEnd // processed ends that aren't acknowledged, by number
 	ackedEnd    int64        // changes by ends up to this number are durable
 
