--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -166,11 +166,11 @@
 // the current one.
 func (m *Manager) SetCatalog(c *specifier.Catalog) {
 	for {
-		present := m.catalog.Load()
-		if c.Version <= present.Version {
+		current := m.catalog.Load()
+		if c.Version <= current.Version {
 			return
 		}
-		if m.catalog.CompareAndSwap(present, c) {
+		if m.catalog.CompareAndSwap(current, c) {
 			break
 		}
 	}
@@ -264,7 +264,8 @@
 }
 
 // Shutdown releases the owned shards so that other daemons can claim them at
-// once, and ends the manager.
+// once, and ends the manager. A shard that can't be released is free when the
+// lease in the store expires.
 func (m *Manager) Shutdown(ctx context.Context) {
 	m.shuttingDown.Store(true)
 	m.mu.Lock()
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -37,8 +37,8 @@
 	state *dispatcher.Shard
 }
 
-// newOwnedShard returns a claimed shard that isn't started yet. revision is that
-// of the store when its jobs were read.
+// newOwnedShard returns a claimed shard that isn't started yet. Its jobs were
+// read at the given revision of the store.
 func newOwnedShard(m *Manager, spec shardSpec, fence *fencer.Fence, revision int64) *ownedShard {
 	o := &ownedShard{
 		manager: m, spec: spec, fence: fence, revision: revision,
@@ -174,8 +174,9 @@
 	})
 }
 
-// isOtherClaim reports whether an item is a claim by another owner. Jobs that
-// were accepted after that claim belong to that owner.
+// isOtherClaim reports whether an item is a claim by another owner, to whom all
+// jobs that are accepted after it belong. A claim that can't be decoded counts as
+// one.
 func (o *ownedShard) isOtherClaim(item storer.Item) bool {
 	if item.Key != recorder.ClaimKey(o.spec.name) {
 		return false
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -73,8 +73,8 @@
 	waiter.Sleep(ctx, retryDelay) // the view will contain the layout if another daemon has written it
 }
 
-// claimable returns the shards that this daemon should claim now, and layouts
-// for the services that have none.
+// claimable returns the shards that this daemon should claim now, which it marks
+// as being claimed, and layouts for the services that have none.
 func (m *Manager) claimable(now time.Time) ([]shardSpec, map[string]recorder.Layout) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +116,7 @@
 		return false
 	}
 	if owner != "" {
-		return true // left behind by an earlier process of this daemon
+		return true // an earlier process of this daemon left the owner record behind
 	}
 	since, ok := m.ownerlessSince[spec.name]
 	if !ok {
@@ -137,8 +137,8 @@
 	return delay + m.jitter(spec.name)
 }
 
-// latencyFactor is the part of the claim delay per store latency. It lets
-// daemons that are close to the store claim first.
+// latencyFactor times the store latency is a part of the claim delay, so that
+// daemons close to the store claim first.
 const latencyFactor = 10
 
 // jitter returns a delay up to maxClaimJitter that differs between daemons.
@@ -193,7 +193,8 @@
 	}, err
 }
 
-// loadShard reads the jobs and progress of a claimed shard.
+// loadShard reads the jobs and progress of a claimed shard. It returns
+// fencer.ErrFenced if another owner has claimed the shard in the meantime.
 func (m *Manager) loadShard(ctx context.Context, spec shardSpec, fence *fencer.Fence) (*ownedShard, error) {
 	items, revision, err := m.store.List(ctx, recorder.ShardPrefix(spec.name))
 	if err != nil {
@@ -246,7 +247,7 @@
 	return 1
 }
 
-// startShard starts an owned shard.
+// startShard adds a loaded shard to the owned ones and starts it.
 func (m *Manager) startShard(ctx context.Context, o *ownedShard) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -320,7 +321,8 @@
 	m.logRelease(fence, fence.Write(limited, fence.Workers, nil, []string{recorder.OwnerKey(fence.Shard)}))
 }
 
-// logRelease logs the outcome of a release.
+// logRelease logs the outcome of a release. After a failure the owner record
+// disappears when its lease expires.
 func (m *Manager) logRelease(fence *fencer.Fence, err error) {
 	if err != nil {
 		m.log.Warn().Err(err).Str("shard", fence.Shard).Msg("shard release failed")
--- a/internal/job/manager/suspension.go
+++ b/internal/job/manager/suspension.go
@@ -29,9 +29,9 @@
 
 // bootOffset returns the boot time clock minus the monotonic clock.
 func bootOffset() (time.Duration, bool) {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0, false
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), true
+	return time.Duration(boot.Nano() - monotonic.Nano()), true
 }
--- a/internal/job/manager/view.go
+++ b/internal/job/manager/view.go
@@ -104,8 +104,8 @@
 	revision int64         // changes up to this revision have been read
 }
 
-// run passes what was read to handle until ctx ends: with complete, everything
-// below the prefix, otherwise the changes.
+// run reads until ctx ends and passes each result to handle. If complete is set,
+// items holds everything below the prefix, otherwise only what has changed.
 func (w *prefixWatcher) run(ctx context.Context, handle func(items []storer.Item, complete bool)) {
 	failing := false
 	delays := backoff.NewExponentialBackOff()
