--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -77,7 +77,7 @@
 		out.HasRack = out.HasRack || step.PreferredRack != "" && slices.Contains(s.Load.Labels, step.PreferredRack)
 	}
 	for _, b := range s.Load.Backlog {
-		if b.Priority <= queue.Priority {
+		if b.Priority <= queue.Priority { // as urgent as the job, or more
 			out.ReservedBacklog += b.ReservedWork
 			out.FillerBacklog += b.FillerWork
 		}
--- a/internal/job/receiver/receiver.go
+++ b/internal/job/receiver/receiver.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// Submit accepts a job. It returns nil also if the job was accepted before,
-// otherwise a *classifier.Error that tells whether the job may have been
-// accepted.
+// Submit accepts a job. It returns nil if the job is accepted or was accepted
+// before. Any other result is a *classifier.Error that tells whether the job may
+// have been accepted.
 func (r *Receiver) Submit(ctx context.Context, queue specifier.Queue, job specifier.Job) error {
 	if err := job.Validate(); err != nil {
 		return invalidJob(err)
@@ -234,7 +234,8 @@
 	}
 }
 
-// State returns the state of a job. Final states are durable.
+// State returns the state of a job. Final states are durable. If the job is
+// unknown or the store doesn't answer, the error is a *classifier.Error.
 func (r *Receiver) State(ctx context.Context, id string) (specifier.State, error) {
 	entry, _, err := r.indexEntry(ctx, id)
 	if err != nil {
@@ -269,6 +270,8 @@
 }
 
 // Cancel accepts the cancellation of a job. A job that has ended isn't changed.
+// If the job is unknown or the store doesn't answer, the error is a
+// *classifier.Error.
 func (r *Receiver) Cancel(ctx context.Context, id string) error {
 	delays := newDelays()
 	for range maxCancelAttempts {
--- a/internal/job/receiver/receiver_test.go
+++ b/internal/job/receiver/receiver_test.go
@@ -157,8 +157,8 @@
 
 func TestStoreAwayIsRefusedWithoutATry(t *testing.T) {
 	inBubble(t, func(g Gomega, r *Receiver, s *fakeShards, store *faker.Client) {
-		long := time.Now().Add(-time.Minute)
-		s.lastContact = func() time.Time { return long }
+		aMinuteAgo := time.Now().Add(-time.Minute)
+		s.lastContact = func() time.Time { return aMinuteAgo }
 		e := asError(g, r.Submit(context.Background(), queue, testJob()))
 		g.Expect(e.Status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(e.Verdict).To(Equal(classifier.NotRun))
