--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -83,7 +83,7 @@
 
 // Kinds of keys below ViewPrefix.
 const (
-	OtherView ViewKind = iota
+	OtherView ViewKind = iota // any other key
 	OwnerView
 	LoadView
 	LayoutView
@@ -193,7 +193,7 @@
 	MaxCapacity      describer.Resources `json:"largest"`          // maximum capacity of a worker, for each resource
 	FiniteCPU        int64               `json:"turning"`          // CPU reserved by running finite tasks, millicores
 	LongRunningCPU   int64               `json:"lasting"`          // CPU that long-running tasks reserve or wait for, millicores
-	LongRunningLimit int64               `json:"limit"`            // limit on the CPU that long-running tasks reserve, millicores
+	LongRunningLimit int64               `json:"limit"`            // CPU that long-running tasks may reserve, millicores
 	UnusedCPU        int64               `json:"unused"`           // idle CPU that fillers may use, millicores
 	FillerCPU        int64               `json:"fillers"`          // CPU requested by running fillers, millicores
 	Queues           []QueueLoad         `json:"queues,omitempty"`
--- a/internal/job/specifier/job.go
+++ b/internal/job/specifier/job.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// validate returns a *FieldError for the first invalid field of the step, which
-// has this index in its job.
+// validate returns a *FieldError for the first invalid field of the step. number
+// is its index in the job.
 func (s *Step) validate(number int) error {
 	fault := func(field, reason string) error {
 		return &FieldError{Field: fmt.Sprintf("steps[%d].%s", number, field), Reason: reason}
--- a/internal/job/specifier/worker.go
+++ b/internal/job/specifier/worker.go
@@ -11,14 +11,14 @@
 // Worker is the registration of one incarnation of a worker.
 type Worker struct {
 	ID          string
-	Incarnation int64 // start time, Unix milliseconds; increases when the worker restarts
-	Address     string
+	Incarnation int64  // start time, Unix milliseconds; increases when the worker restarts
+	Address     string // where the worker takes orders
 	Domain      string // failure domain
-	Service     string
+	Service     string // service whose tasks it runs
 	Host        string // host machine
 	Capacity    describer.Resources
 	Labels      []string
-	Draining    bool
+	Draining    bool          // it is to leave, and takes no new runs
 	Remaining   time.Duration // while draining: minimum time until the worker leaves
 }
 
