--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -143,8 +143,8 @@
 	sh.journal.whenDurable(followUp{restoredWorker: w.name})
 }
 
-// setBatchLimit limits the processors, in millicores, that batch tasks may be granted on
-// the worker, or removes the limit if on is false.
+// setBatchLimit limits the CPU, in millicores, that batch tasks may be granted on the
+// worker, or removes the limit if on is false.
 func (sh *shard) setBatchLimit(w *worker, on bool, cpu int64) {
 	if w.account.BatchLimited != on || w.account.BatchLimit != cpu {
 		sh.placementIdle = false
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -59,7 +59,7 @@
 	Stop    runner.StopRequest
 }
 
-// ThrottleTask calls a worker to change the processor grant of a run. It has no outcome;
+// ThrottleTask calls a worker to change the CPU grant of a run. It has no outcome;
 // the worker's next inventory shows the grant that applies.
 type ThrottleTask struct {
 	Worker   string
@@ -128,8 +128,8 @@
 	Workers   int    `json:"workers"`
 	Pending   int    `json:"pending"`
 	Started   int    `json:"started"`
-	Done      int    `json:"done"`    // tasks finished since this daemon claimed the shard
-	Evictions int64  `json:"evicted"` // runs evicted or drained since this daemon claimed the shard
+	Done      int    `json:"done"`    // tasks finished since the snapshot that this daemon loaded when it claimed the shard
+	Evictions int64  `json:"evicted"` // runs evicted or drained since that snapshot
 }
 
 // WorkerStatus describes one worker of an owned shard.
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -35,7 +35,7 @@
 	lastThrottle describer.Token
 }
 
-// used returns a random measured use: all of the granted processors or a quarter of them.
+// used returns a random measured use: all of the granted CPU or a quarter of it.
 func (r *fakeRun) used(m *fakeWorker) describer.Resources {
 	if m.sim.chance(0.5) {
 		return r.Granted
@@ -49,7 +49,8 @@
 	return m
 }
 
-// reset forgets everything, as a worker does that restarts without its disk.
+// reset forgets everything, as a worker does that restarts without its disk. The tasks
+// whose results are lost by that may be completed again.
 func (m *fakeWorker) reset() {
 	for run, f := range m.finished {
 		if f.OK && m.sim.store.completed[run.Task] == run {
@@ -155,7 +156,7 @@
 	return m.outcomes[run], ""
 }
 
-// throttle changes the processor grant of a run, unless a later throttle was applied.
+// throttle changes the CPU grant of a run, unless a later throttle was applied.
 func (m *fakeWorker) throttle(t runner.ThrottleRequest) {
 	m.endDueRuns()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -12,7 +12,7 @@
 const (
 	resizeInterval  = 15 * time.Second // minimum time between rounds of changes on one worker
 	maxResizes      = 4                // maximum number of runs resized in one round
-	maxGrowthFactor = 4                // maximum grant as a multiple of the declared processors
+	maxGrowthFactor = 4                // maximum grant as a multiple of the declared CPU
 )
 
 // adaptGrants resizes grants towards the measured use. A run is resized only if the
@@ -63,7 +63,7 @@
 	return true
 }
 
-// grow records a larger processor grant, in millicores, and sends it to the worker once
+// grow records a larger CPU grant, in millicores, and sends it to the worker once
 // the record is durable, so that the worker never uses more than is recorded.
 func (sh *shard) grow(t *task, cpu int64) bool {
 	w := sh.ensureWorker(t.worker)
@@ -76,7 +76,7 @@
 	return true
 }
 
-// shrink sends a smaller processor grant, in millicores, to the worker first. It is
+// shrink sends a smaller CPU grant, in millicores, to the worker first. It is
 // recorded once an inventory shows it, because the run may use the old grant until then.
 func (sh *shard) shrink(t *task, cpu int64) {
 	if cpu <= 0 || cpu >= t.granted.CPU || t.shrinkTo > 0 && cpu >= t.shrinkTo {
@@ -87,7 +87,7 @@
 	sh.sendThrottle(t, cpu)
 }
 
-// recordResize records a new processor grant, in millicores.
+// recordResize records a new CPU grant, in millicores.
 func (sh *shard) recordResize(t *task, cpu int64) {
 	granted := t.granted
 	granted.CPU = cpu
@@ -113,7 +113,7 @@
 	}
 }
 
-// sendThrottle sends a processor grant, in millicores, to the worker of the run.
+// sendThrottle sends a CPU grant, in millicores, to the worker of the run.
 func (sh *shard) sendThrottle(t *task, cpu int64) {
 	w := sh.ensureWorker(t.worker)
 	if w.account.Host.Control == "" || sh.ownership != owning {
@@ -129,7 +129,8 @@
 	})
 }
 
-// applyResize updates the accounts of the worker and the team for a resized grant.
+// applyResize updates the accounts of the worker and the team for a resized grant. The
+// run keeps its place in worker.runs.
 func (sh *shard) applyResize(t *task, to describer.Resources) {
 	w := sh.ensureWorker(t.worker)
 	id := t.id()
--- a/internal/control/reducer/journal.go
+++ b/internal/control/reducer/journal.go
@@ -9,7 +9,7 @@
 
 const (
 	maxInFlight         = 2       // unanswered appends per shard
-	maxAppendBytes      = 256_000 // estimated size of one append
+	maxAppendBytes      = 256_000 // bytes of one append, as estimateSize counts them
 	maxUnsent           = 20_000  // number of unsent records at which new work is refused
 	maxAppendsPerSecond = 200     // write budget of the store, shared by all shards
 
@@ -44,8 +44,8 @@
 	restoredWorker string // worker to propose as restored
 }
 
-// nextBatch returns the number of the batch that the next added record belongs to. It
-// may move to a later batch if it does not fit.
+// nextBatch returns the number of the batch that the next added record belongs to. A
+// record that does not fit into it moves to a later batch.
 func (j *journal) nextBatch() int64 { return j.lastSent + 1 }
 
 // allSent reports whether every record is part of an AppendRecords effect.
@@ -180,6 +180,7 @@
 	sh.maybeSnapshot()
 }
 
+// runFollowUp takes the action of a follow-up whose batch is durable now.
 func (sh *shard) runFollowUp(f followUp) {
 	switch {
 	case f.start != nil:
--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -14,7 +14,7 @@
 
 // Policies are the replaceable parts of the decisions. Zero values have defaults.
 type Policies struct {
-	Placement   placer.Policy    // chooses workers for tasks; the default is placer.Default with Learner
+	Placement   placer.Policy    // chooses workers for tasks; the default is placer.InterferenceAware with Learner
 	Learner     *learner.Learner // estimates how batch tasks slow down services
 	Escalation  escalator.Options
 	Restoration restorer.Options
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// mayGrow reports whether the placement policy allows the run a processor grant of cpu
+// mayGrow reports whether the placement policy allows the run a CPU grant of cpu
 // millicores.
 func (sh *shard) mayGrow(t *task, w *worker, cpu int64) bool {
 	l, ok := sh.state.placer.(runLimiter)
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -42,8 +42,8 @@
 	ownership       ownership
 	nextClaimAt     time.Time     // earliest time of the next claim
 	failedClaims    int           // failed claims in a row
-	heldSince       time.Time     // start of the time in which a live peer reports the shard as its own; zero if none does
-	freeSince       time.Time     // start of the time in which no live peer reports the shard as its own
+	heldSince       time.Time     // when a live peer was first seen to report the shard as its own, counted anew after a failed claim; zero if none does
+	freeSince       time.Time     // since when no live peer reports the shard as its own; zero if one does
 	minTenure       time.Duration // minimum time of ownership before it is handed over to a daemon that ranks higher
 	releaseRecorded bool          // whether the last record is written; no lease is granted or renewed any more
 	releaseSent     bool          // whether ReleaseShard was emitted
--- a/internal/control/reducer/simulation_test.go
+++ b/internal/control/reducer/simulation_test.go
@@ -69,6 +69,8 @@
 // chance returns true with the given probability, and never if the simulation is reliable.
 func (sim *simulation) chance(share float64) bool { return !sim.reliable && sim.rng.Float64() < share }
 
+// randomDuration returns a random duration of at least least and less than most, in
+// nanoseconds.
 func (sim *simulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(sim.rng.Int64N(int64(most-least)))
 }
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -11,7 +11,8 @@
 )
 
 // scheduleSync sets a timer for the worker's next sync. Each worker has a fixed offset
-// within the sync interval, so that the calls of a shard are spread evenly.
+// within the sync interval, so that the calls of a shard are spread evenly. A time that
+// is less than an eighth of the interval away is skipped.
 func (sh *shard) scheduleSync(w *worker) {
 	interval := sh.state.options.SyncInterval
 	if interval <= 0 {
--- a/internal/control/reducer/view.go
+++ b/internal/control/reducer/view.go
@@ -16,8 +16,8 @@
 	restored       map[string]string     // id of the latest drain whose restore ended, by worker name
 	drainedPending map[string]int        // pending tasks that were drained from a worker, by worker name
 	lastSeq        uint64                // acceptance sequence number of the latest job
-	finished       int                   // tasks finished since this daemon claimed the shard
-	evictions      int64                 // runs evicted or drained since this daemon claimed the shard
+	finished       int                   // tasks finished since the snapshot that this daemon loaded when it claimed the shard
+	evictions      int64                 // runs evicted or drained since that snapshot
 }
 
 // claimedKey records who claimed an idempotency key, and when.
