--- a/internal/control/reducer/daemon_test.go
+++ b/internal/control/reducer/daemon_test.go
@@ -153,25 +153,25 @@
 	case SaveSnapshot:
 		d.later(sim.randomDuration(1e6, 5e7), func() { sim.store.save(d, e) })
 	case StartTask:
-		sim.callWorker(d, e.Worker, func(m *fakeWorker) Event {
+		sim.callWorker(d, e.Worker, func(w *fakeWorker) Event {
 			a := StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token}
-			if err := m.start(e.Start); err != "" {
+			if err := w.start(e.Start); err != "" {
 				a.Err, a.Verdict = err, classifier.NotRun
 			}
 			return a
 		}, StartAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Start.Task, Token: e.Start.Token, Err: "no answer"})
 	case StopTask:
-		sim.callWorker(d, e.Worker, func(m *fakeWorker) Event {
+		sim.callWorker(d, e.Worker, func(w *fakeWorker) Event {
 			a := StopAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Stop.Task, Token: e.Stop.Token}
-			a.Stopped, a.Err = m.stop(e.Stop)
+			a.Stopped, a.Err = w.stop(e.Stop)
 			return a
 		}, StopAnswered{Shard: e.Shard, Epoch: e.Epoch, Worker: e.Worker, Task: e.Stop.Task, Token: e.Stop.Token, Err: "no answer"})
 	case ThrottleTask:
-		sim.callWorker(d, e.Worker, func(m *fakeWorker) Event { m.throttle(e.Throttle); return nil }, nil)
+		sim.callWorker(d, e.Worker, func(w *fakeWorker) Event { w.throttle(e.Throttle); return nil }, nil)
 	case SyncWorker:
 		sent := sim.now
-		sim.callWorker(d, e.Worker, func(m *fakeWorker) Event {
-			s, err := m.sync(e.Sync)
+		sim.callWorker(d, e.Worker, func(w *fakeWorker) Event {
+			s, err := w.sync(e.Sync)
 			if err != "" {
 				return WorkerSyncFailed{Shard: e.Sync.Shard, Epoch: e.Sync.Epoch, Worker: e.Worker, Fenced: true}
 			}
--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -36,40 +36,40 @@
 }
 
 // used returns a random measured use: all of the granted CPU or a quarter of it.
-func (r *fakeRun) used(m *fakeWorker) describer.Resources {
-	if m.sim.chance(0.5) {
+func (r *fakeRun) used(w *fakeWorker) describer.Resources {
+	if w.sim.chance(0.5) {
 		return r.Granted
 	}
 	return describer.Resources{CPU: r.Granted.CPU / 4, Memory: r.Granted.Memory}
 }
 
 func newFakeWorker(sim *simulation, name string, offset time.Duration) *fakeWorker {
-	m := &fakeWorker{sim: sim, name: name, clockOffset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
-	m.reset()
-	return m
+	w := &fakeWorker{sim: sim, name: name, clockOffset: offset, capacity: describer.Resources{CPU: 4000, Memory: 8192}}
+	w.reset()
+	return w
 }
 
 // reset forgets everything, as a worker does that restarts without its disk. The tasks
 // whose results are lost by that may be completed again.
-func (m *fakeWorker) reset() {
-	for run, f := range m.finished {
-		if f.OK && m.sim.store.completed[run.Task] == run {
-			delete(m.sim.store.completed, run.Task)
+func (w *fakeWorker) reset() {
+	for run, f := range w.finished {
+		if f.OK && w.sim.store.completed[run.Task] == run {
+			delete(w.sim.store.completed, run.Task)
 		}
 	}
-	m.epoch = 0
-	m.fences = make(map[describer.TaskID]describer.Token)
-	m.runs = make(map[describer.TaskID]*fakeRun)
-	m.outcomes = make(map[runner.Run]runner.StopResult)
-	m.finished = make(map[runner.Run]runner.FinishedRun)
+	w.epoch = 0
+	w.fences = make(map[describer.TaskID]describer.Token)
+	w.runs = make(map[describer.TaskID]*fakeRun)
+	w.outcomes = make(map[runner.Run]runner.StopResult)
+	w.finished = make(map[runner.Run]runner.FinishedRun)
 }
 
 // clock returns the time by the worker's own clock.
-func (m *fakeWorker) clock() time.Time { return m.sim.now.Add(m.clockOffset) }
+func (w *fakeWorker) clock() time.Time { return w.sim.now.Add(w.clockOffset) }
 
 // leaseEnd returns the end of a lease granted now, by the worker's clock.
-func (m *fakeWorker) leaseEnd(lease time.Duration, until time.Time) time.Time {
-	end := m.clock().Add(lease)
+func (w *fakeWorker) leaseEnd(lease time.Duration, until time.Time) time.Time {
+	end := w.clock().Add(lease)
 	if !until.IsZero() && until.Before(end) {
 		return until
 	}
@@ -77,59 +77,59 @@
 }
 
 // endDueRuns ends the runs that have finished or whose lease has expired by now.
-func (m *fakeWorker) endDueRuns() {
-	for _, id := range sortedTasks(m.runs) {
-		r := m.runs[id]
+func (w *fakeWorker) endDueRuns() {
+	for _, id := range sortedTasks(w.runs) {
+		r := w.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
 		done := r.startedAt.Add(r.length)
 		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
-		case !done.After(m.clock()) && !done.After(r.leaseEnd):
-			f = runner.FinishedRun{Run: run, OK: !m.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.outcomes[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
+		case !done.After(w.clock()) && !done.After(r.leaseEnd):
+			f = runner.FinishedRun{Run: run, OK: !w.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
+			w.outcomes[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
-				m.sim.store.recordCompletion(run)
+				w.sim.store.recordCompletion(run)
 			}
-		case r.leaseEnd.After(m.clock()):
+		case r.leaseEnd.After(w.clock()):
 			continue
 		default:
-			m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
+			w.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
 		}
-		m.finished[run] = f
-		delete(m.runs, id)
+		w.finished[run] = f
+		delete(w.runs, id)
 	}
 }
 
 // start starts a run and returns an empty string, or why it is refused.
-func (m *fakeWorker) start(s runner.StartRequest) string {
-	m.endDueRuns()
+func (w *fakeWorker) start(s runner.StartRequest) string {
+	w.endDueRuns()
 	run := runner.Run{Task: s.Task, Token: s.Token}
-	_, known := m.outcomes[run]
+	_, known := w.outcomes[run]
 	switch {
-	case s.Token.Epoch < m.epoch, s.Token.Less(m.fences[s.Task]):
+	case s.Token.Epoch < w.epoch, s.Token.Less(w.fences[s.Task]):
 		return "fenced"
-	case !s.Until.IsZero() && m.clock().After(s.Until):
+	case !s.Until.IsZero() && w.clock().After(s.Until):
 		return "late"
-	case known && !m.outcomes[run].Ran:
+	case known && !w.outcomes[run].Ran:
 		return "stopped before"
-	case s.Token == m.fences[s.Task]:
+	case s.Token == w.fences[s.Task]:
 		return ""
 	}
-	m.epoch = s.Token.Epoch
-	m.fences[s.Task] = s.Token
-	m.sim.checkStart(m, s)
-	m.runs[s.Task] = &fakeRun{
-		StartRequest: s, startedAt: m.clock(), leaseEnd: m.leaseEnd(s.Lease, s.Until), length: m.sim.runLength(),
+	w.epoch = s.Token.Epoch
+	w.fences[s.Task] = s.Token
+	w.sim.checkStart(w, s)
+	w.runs[s.Task] = &fakeRun{
+		StartRequest: s, startedAt: w.clock(), leaseEnd: w.leaseEnd(s.Lease, s.Until), length: w.sim.runLength(),
 	}
-	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.sim.t.Fatalf("%s: grants exceed the capacity: %v", m.name, sum)
+	if sum := w.granted(); !sum.Fits(w.capacity) {
+		w.sim.t.Fatalf("%s: grants exceed the capacity: %v", w.name, sum)
 	}
 	return ""
 }
 
-func (m *fakeWorker) granted() describer.Resources {
+func (w *fakeWorker) granted() describer.Resources {
 	var sum describer.Resources
-	for _, r := range m.runs {
+	for _, r := range w.runs {
 		sum = sum.Add(r.Granted)
 	}
 	return sum
@@ -137,67 +137,67 @@
 
 // stop stops a run, or prevents its start if the start arrives later. The second result
 // says why the call is refused.
-func (m *fakeWorker) stop(s runner.StopRequest) (runner.StopResult, string) {
-	m.endDueRuns()
-	if s.Epoch < m.epoch {
+func (w *fakeWorker) stop(s runner.StopRequest) (runner.StopResult, string) {
+	w.endDueRuns()
+	if s.Epoch < w.epoch {
 		return runner.StopResult{}, "fenced"
 	}
-	m.epoch = s.Epoch
-	if m.fences[s.Task].Less(s.Token) {
-		m.fences[s.Task] = s.Token
+	w.epoch = s.Epoch
+	if w.fences[s.Task].Less(s.Token) {
+		w.fences[s.Task] = s.Token
 	}
 	run := runner.Run{Task: s.Task, Token: s.Token}
-	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
-		delete(m.runs, s.Task)
-		m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
-	} else if _, ok := m.outcomes[run]; !ok {
-		m.outcomes[run] = runner.StopResult{}
+	if r := w.runs[s.Task]; r != nil && r.Token == s.Token {
+		delete(w.runs, s.Task)
+		w.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+	} else if _, ok := w.outcomes[run]; !ok {
+		w.outcomes[run] = runner.StopResult{}
 	}
-	return m.outcomes[run], ""
+	return w.outcomes[run], ""
 }
 
 // throttle changes the CPU grant of a run, unless a later throttle was applied.
-func (m *fakeWorker) throttle(t runner.ThrottleRequest) {
-	m.endDueRuns()
+func (w *fakeWorker) throttle(t runner.ThrottleRequest) {
+	w.endDueRuns()
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
-	r := m.runs[t.Task]
-	if t.Epoch < m.epoch || r == nil || r.Token != t.Token || order.Less(r.lastThrottle) {
+	r := w.runs[t.Task]
+	if t.Epoch < w.epoch || r == nil || r.Token != t.Token || order.Less(r.lastThrottle) {
 		return
 	}
 	r.lastThrottle = order
 	r.Granted.CPU = t.CPU
-	if sum := m.granted(); !sum.Fits(m.capacity) {
-		m.sim.t.Fatalf("%s: grants exceed the capacity after a throttle: %v", m.name, sum)
+	if sum := w.granted(); !sum.Fits(w.capacity) {
+		w.sim.t.Fatalf("%s: grants exceed the capacity after a throttle: %v", w.name, sum)
 	}
 }
 
 // sync renews leases, forgets acknowledged runs and returns the inventory. The second
 // result says why the call is refused.
-func (m *fakeWorker) sync(s runner.SyncRequest) (runner.SyncResult, string) {
-	m.endDueRuns()
-	if s.Epoch < m.epoch {
+func (w *fakeWorker) sync(s runner.SyncRequest) (runner.SyncResult, string) {
+	w.endDueRuns()
+	if s.Epoch < w.epoch {
 		return runner.SyncResult{}, "fenced"
 	}
-	m.epoch = s.Epoch
+	w.epoch = s.Epoch
 	for _, run := range s.Ack {
-		m.sim.store.checkAck(m.finished[run])
-		delete(m.finished, run)
+		w.sim.store.checkAck(w.finished[run])
+		delete(w.finished, run)
 	}
 	for _, run := range s.Renew {
-		if r := m.runs[run.Task]; r != nil && r.Token == run.Token {
-			if end := m.leaseEnd(s.Lease, s.Until); end.After(r.leaseEnd) {
+		if r := w.runs[run.Task]; r != nil && r.Token == run.Token {
+			if end := w.leaseEnd(s.Lease, s.Until); end.After(r.leaseEnd) {
 				r.leaseEnd = end
 			}
 		}
 	}
-	out := runner.SyncResult{Clock: m.clock(), Capacity: m.capacity}
-	for _, id := range sortedTasks(m.runs) {
-		r := m.runs[id]
+	out := runner.SyncResult{Clock: w.clock(), Capacity: w.capacity}
+	for _, id := range sortedTasks(w.runs) {
+		r := w.runs[id]
 		out.Running = append(out.Running, runner.ActiveRun{
-			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.lastThrottle,
+			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(w), Order: r.lastThrottle,
 		})
 	}
-	for _, f := range m.finished {
+	for _, f := range w.finished {
 		out.Finished = append(out.Finished, f)
 	}
 	slices.SortFunc(out.Finished, func(a, b runner.FinishedRun) int { return compareStrings(a.Task.String(), b.Task.String()) })
--- a/internal/control/reducer/partition_test.go
+++ b/internal/control/reducer/partition_test.go
@@ -48,7 +48,7 @@
 
 // newReliableSimulation returns a simulation without failures in which one task runs for
 // hours, with the owner of its shard and its worker.
-func newReliableSimulation(t *testing.T) (sim *simulation, owner *daemon, m *fakeWorker) {
+func newReliableSimulation(t *testing.T) (sim *simulation, owner *daemon, w *fakeWorker) {
 	sim = newSimulation(t, 1)
 	sim.reliable, sim.longRuns = true, true
 	sim.advance(40 * time.Second)
@@ -56,7 +56,7 @@
 	sim.advance(5 * time.Second)
 	for _, one := range sim.workers {
 		if len(one.runs) > 0 {
-			m = one
+			w = one
 		}
 	}
 	for _, d := range sim.daemons {
@@ -64,18 +64,18 @@
 			owner = d
 		}
 	}
-	if m == nil || owner == nil {
+	if w == nil || owner == nil {
 		t.Fatal("the job is not running")
 	}
-	return sim, owner, m
+	return sim, owner, w
 }
 
 // countRunning returns the number of running tasks.
 func (sim *simulation) countRunning() int {
 	n := 0
-	for _, m := range sim.workers {
-		m.endDueRuns()
-		n += len(m.runs)
+	for _, w := range sim.workers {
+		w.endDueRuns()
+		n += len(w.runs)
 	}
 	return n
 }
@@ -85,14 +85,14 @@
 // former owner keeps renewing leases for the outage limit, and the new owner restarts the
 // task after that.
 func TestSplit(t *testing.T) {
-	sim, owner, m := newReliableSimulation(t)
-	sim.partition(owner, m, 5*time.Minute)
+	sim, owner, w := newReliableSimulation(t)
+	sim.partition(owner, w, 5*time.Minute)
 	sim.advance(30 * time.Second)
 	if sim.countRunning() != 1 {
 		t.Fatal("the task was stopped although the store may only have an outage")
 	}
 	sim.advance(2 * time.Minute)
-	if sim.countRunning() != 1 || len(m.runs) > 0 {
+	if sim.countRunning() != 1 || len(w.runs) > 0 {
 		t.Fatal("the new owner has not restarted the task on another worker")
 	}
 	sim.advance(5 * time.Minute)
@@ -104,10 +104,10 @@
 // TestMute guards against a task that is lost because its worker receives all calls while
 // none of its answers arrive.
 func TestMute(t *testing.T) {
-	sim, owner, m := newReliableSimulation(t)
-	owner.answersLost[m.name] = true
+	sim, owner, w := newReliableSimulation(t)
+	owner.answersLost[w.name] = true
 	sim.advance(time.Minute)
-	if sim.countRunning() != 1 || len(m.runs) > 0 {
+	if sim.countRunning() != 1 || len(w.runs) > 0 {
 		t.Fatal("the task was not restarted on another worker after its lease expired")
 	}
 }
@@ -115,17 +115,17 @@
 // TestOutage checks that tasks keep running during a short outage of the store, and that
 // a job which was refused during the outage is not run later.
 func TestOutage(t *testing.T) {
-	sim, _, m := newReliableSimulation(t)
+	sim, _, w := newReliableSimulation(t)
 	sim.store.reachable = false
 	sim.advance(35 * time.Second)
-	if len(m.runs) != 1 {
+	if len(w.runs) != 1 {
 		t.Fatal("the task was stopped during the store outage")
 	}
 	sim.longRuns = false
 	sim.submit("other", 1)
 	sim.store.reachable = true
 	sim.advance(time.Minute)
-	if len(m.runs) != 1 {
+	if len(w.runs) != 1 {
 		t.Fatal("the task was stopped after the store outage")
 	}
 	if sim.store.jobs["other"] != nil {
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -63,25 +63,25 @@
 		d.storeCut = true
 		sim.after(length, func() { d.storeCut = false })
 	case 8:
-		d, m := sim.anyDaemon(t), sim.anyWorker(t)
-		d.unreachable[m.name] = true
-		sim.after(length, func() { d.unreachable[m.name] = false })
+		d, w := sim.anyDaemon(t), sim.anyWorker(t)
+		d.unreachable[w.name] = true
+		sim.after(length, func() { d.unreachable[w.name] = false })
 	case 9:
 		sim.store.reachable = false
 		sim.after(length, func() { sim.store.reachable = true })
 	case 10:
-		m := sim.anyWorker(t)
-		if !m.down {
-			m.endDueRuns()
-			m.down = true
-			m.reset()
+		w := sim.anyWorker(t)
+		if !w.down {
+			w.endDueRuns()
+			w.down = true
+			w.reset()
 			// It forgets its epoch, so it must stay down until all leases have expired.
-			sim.after(max(length, 15*time.Second), func() { m.down = false })
+			sim.after(max(length, 15*time.Second), func() { w.down = false })
 		}
 	case 11:
-		m := sim.anyWorker(t)
-		m.failsRuns = true
-		sim.after(length, func() { m.failsRuns = false })
+		w := sim.anyWorker(t)
+		w.failsRuns = true
+		sim.after(length, func() { w.failsRuns = false })
 	case 12:
 		sim.drain(fmt.Sprintf("drain-%d", i), sim.anyWorker(t).name, length)
 	case 13:
@@ -94,15 +94,15 @@
 		d.seesNoPeers = true
 		sim.after(length, func() { d.seesNoPeers = false })
 	case 15:
-		d, m := sim.anyDaemon(t), sim.anyWorker(t)
-		d.answersLost[m.name] = true
-		sim.after(length, func() { d.answersLost[m.name] = false })
+		d, w := sim.anyDaemon(t), sim.anyWorker(t)
+		d.answersLost[w.name] = true
+		sim.after(length, func() { d.answersLost[w.name] = false })
 	case 16:
 		sim.partition(sim.anyDaemon(t), sim.anyWorker(t), 3*length)
 	case 17:
-		m := sim.anyWorker(t)
-		m.unlisted = true
-		sim.after(length, func() { m.unlisted = false })
+		w := sim.anyWorker(t)
+		w.unlisted = true
+		sim.after(length, func() { w.unlisted = false })
 	case 18:
 		d := sim.anyDaemon(t)
 		d.reduce(StopRequested{})
@@ -118,11 +118,11 @@
 
 // partition leaves the worker reachable only for one daemon, which can reach neither the
 // store nor its peers.
-func (sim *simulation) partition(alone *daemon, m *fakeWorker, length time.Duration) {
+func (sim *simulation) partition(alone *daemon, w *fakeWorker, length time.Duration) {
 	for _, d := range sim.daemons {
 		if d != alone {
-			d.unreachable[m.name] = true
-			sim.after(length, func() { d.unreachable[m.name] = false })
+			d.unreachable[w.name] = true
+			sim.after(length, func() { d.unreachable[w.name] = false })
 		}
 	}
 	alone.storeCut, alone.seesNoPeers = true, true
@@ -173,8 +173,8 @@
 	sim.reliable = true
 	sim.advance(2 * time.Minute)
 	sim.store.reachable = true
-	for _, m := range sim.workers {
-		m.down, m.failsRuns, m.unlisted = false, false, false
+	for _, w := range sim.workers {
+		w.down, w.failsRuns, w.unlisted = false, false, false
 	}
 	for _, d := range sim.daemons {
 		if !d.alive {
--- a/internal/control/reducer/simulation_test.go
+++ b/internal/control/reducer/simulation_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	d.later(simCallTimeout, answer(failed))
-	m := sim.worker(worker)
+	w := sim.worker(worker)
 	if sim.chance(0.05) {
 		return
 	}
@@ -129,10 +129,10 @@
 		delay = sim.startDelay
 	}
 	sim.after(delay, func() {
-		if m.down || d.unreachable[worker] {
+		if w.down || d.unreachable[worker] {
 			return
 		}
-		e := do(m)
+		e := do(w)
 		if !sim.chance(0.05) && !d.answersLost[worker] {
 			d.later(sim.randomDuration(2e6, 2e8), answer(e))
 		}
@@ -140,14 +140,14 @@
 }
 
 func (sim *simulation) worker(name string) *fakeWorker {
-	i := slices.IndexFunc(sim.workers, func(m *fakeWorker) bool { return m.name == name })
+	i := slices.IndexFunc(sim.workers, func(w *fakeWorker) bool { return w.name == name })
 	return sim.workers[i]
 }
 
 func (sim *simulation) hosts() []describer.Host {
 	var names []string
-	for _, m := range sim.workers {
-		names = append(names, m.name)
+	for _, w := range sim.workers {
+		names = append(names, w.name)
 	}
 	hosts := testHosts(names...)
 	hosts[2].Rack, hosts[3].Rack = "r2", "r2"
--- a/internal/control/reducer/store_test.go
+++ b/internal/control/reducer/store_test.go
@@ -200,7 +200,7 @@
 }
 
 // checkStart checks a run that starts against the committed records and all running tasks.
-func (sim *simulation) checkStart(m *fakeWorker, s runner.StartRequest) {
+func (sim *simulation) checkStart(w *fakeWorker, s runner.StartRequest) {
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	at, ok := sim.store.startCommits[run]
 	if !ok {
@@ -218,7 +218,7 @@
 	for _, other := range sim.workers {
 		other.endDueRuns()
 		if r := other.runs[s.Task]; r != nil {
-			sim.t.Fatalf("%s runs on %s as %v and on %s as %v", s.Task, other.name, r.Token, m.name, s.Token)
+			sim.t.Fatalf("%s runs on %s as %v and on %s as %v", s.Task, other.name, r.Token, w.name, s.Token)
 		}
 	}
 }
--- a/internal/job/dispatcher/fakeworker_test.go
+++ b/internal/job/dispatcher/fakeworker_test.go
@@ -35,168 +35,168 @@
 	startedAt time.Time
 }
 
-func (m *fakeWorker) isUp() bool { return !m.crashed }
+func (w *fakeWorker) isUp() bool { return !w.crashed }
 
 // restart begins a new incarnation without state.
-func (m *fakeWorker) restart() {
-	m.incarnation++
-	m.crashed, m.token, m.lastEnd, m.pendingEnds = false, 0, 0, nil
-	m.startedAt = m.sim.now
-	m.runs = make(map[specifier.TaskID]*fakeRun)
-	m.lastRun = make(map[specifier.TaskID]int64)
+func (w *fakeWorker) restart() {
+	w.incarnation++
+	w.crashed, w.token, w.lastEnd, w.pendingEnds = false, 0, 0, nil
+	w.startedAt = w.sim.now
+	w.runs = make(map[specifier.TaskID]*fakeRun)
+	w.lastRun = make(map[specifier.TaskID]int64)
 }
 
 // crash ends all runs without reporting their ends.
-func (m *fakeWorker) crash() {
-	m.crashed = true
-	m.runs = make(map[specifier.TaskID]*fakeRun)
+func (w *fakeWorker) crash() {
+	w.crashed = true
+	w.runs = make(map[specifier.TaskID]*fakeRun)
 }
 
-func (m *fakeWorker) registration() specifier.Worker {
+func (w *fakeWorker) registration() specifier.Worker {
 	return specifier.Worker{
-		ID: m.id, Incarnation: m.incarnation, Service: "desk", Domain: "bne", Address: m.id, Draining: m.draining,
+		ID: w.id, Incarnation: w.incarnation, Service: "desk", Domain: "bne", Address: w.id, Draining: w.draining,
 		Capacity: describer.Resources{CPU: workerCPU, Memory: 10000},
 	}
 }
 
 // clock is the worker's monotonic clock, which runs 2 % slow.
-func (m *fakeWorker) clock() time.Duration {
-	return time.Duration(float64(m.sim.now.Sub(m.startedAt)) * 0.98)
+func (w *fakeWorker) clock() time.Duration {
+	return time.Duration(float64(w.sim.now.Sub(w.startedAt)) * 0.98)
 }
 
 // isFenced reports whether a token is lower than the highest so far, which it
 // updates.
-func (m *fakeWorker) isFenced(token int64) bool {
-	if token < m.token {
+func (w *fakeWorker) isFenced(token int64) bool {
+	if token < w.token {
 		return true
 	}
-	m.token = token
+	w.token = token
 	return false
 }
 
 // extendLease prolongs the lease of all runs to leaseEnd by the worker's clock,
 // but to at most 10 s from now. It never shortens the lease.
-func (m *fakeWorker) extendLease(leaseEnd time.Duration) {
-	expiry := m.sim.now.Add(time.Duration(float64(min(leaseEnd-m.clock(), 10*time.Second)) / 0.98))
-	if leaseEnd == 0 || !expiry.After(m.leaseEnd) {
+func (w *fakeWorker) extendLease(leaseEnd time.Duration) {
+	expiry := w.sim.now.Add(time.Duration(float64(min(leaseEnd-w.clock(), 10*time.Second)) / 0.98))
+	if leaseEnd == 0 || !expiry.After(w.leaseEnd) {
 		return
 	}
-	m.leaseEnd = expiry
-	incarnation := m.incarnation
-	m.sim.schedule(expiry.Sub(m.sim.now), func() {
-		if m.incarnation == incarnation && !m.sim.now.Before(m.leaseEnd) {
-			for _, id := range sortedFakeRuns(m.runs) {
-				m.endRun(id, specifier.OutcomeLeaseExpired)
+	w.leaseEnd = expiry
+	incarnation := w.incarnation
+	w.sim.schedule(expiry.Sub(w.sim.now), func() {
+		if w.incarnation == incarnation && !w.sim.now.Before(w.leaseEnd) {
+			for _, id := range sortedFakeRuns(w.runs) {
+				w.endRun(id, specifier.OutcomeLeaseExpired)
 			}
 		}
 	})
 }
 
-func (m *fakeWorker) start(token int64, e StartRun) Fault {
-	s := m.sim
-	if m.isFenced(token) {
+func (w *fakeWorker) start(token int64, e StartRun) Fault {
+	s := w.sim
+	if w.isFenced(token) {
 		return Fenced
 	}
-	if e.LeaseEnd <= m.clock() {
+	if e.LeaseEnd <= w.clock() {
 		return LeaseExpired
 	}
-	m.extendLease(e.LeaseEnd)
-	if r := m.runs[e.Task]; r != nil {
+	w.extendLease(e.LeaseEnd)
+	if r := w.runs[e.Task]; r != nil {
 		if r.number == e.Run {
 			return NoFault
 		}
 		return StaleRun
 	}
-	if e.Run <= m.lastRun[e.Task] {
+	if e.Run <= w.lastRun[e.Task] {
 		return StaleRun
 	}
 	step := &s.store[e.Task.Job].job.Steps[e.Task.Step]
-	s.logf("%s starts %s run %d", m.id, e.Task, e.Run)
-	s.checkStart(m, e, step)
+	s.logf("%s starts %s run %d", w.id, e.Task, e.Run)
+	s.checkStart(w, e, step)
 	r := &fakeRun{number: e.Run, step: step, startedAt: s.now}
-	m.runs[e.Task] = r
+	w.runs[e.Task] = r
 	if step.LongRunning {
 		return NoFault
 	}
-	s.schedule(step.Estimate, func() { m.finishRun(e.Task, r) })
+	s.schedule(step.Estimate, func() { w.finishRun(e.Task, r) })
 	return NoFault
 }
 
 // finishRun ends a run after its run time.
-func (m *fakeWorker) finishRun(id specifier.TaskID, r *fakeRun) {
-	if m.crashed || m.runs[id] != r || r.stopping {
+func (w *fakeWorker) finishRun(id specifier.TaskID, r *fakeRun) {
+	if w.crashed || w.runs[id] != r || r.stopping {
 		return
 	}
-	if m.stalled {
-		m.sim.schedule(time.Second, func() { m.finishRun(id, r) })
+	if w.stalled {
+		w.sim.schedule(time.Second, func() { w.finishRun(id, r) })
 		return
 	}
 	outcome := specifier.OutcomeDone
-	if m.sim.random.Float64() < m.sim.failureRate {
+	if w.sim.random.Float64() < w.sim.failureRate {
 		outcome = specifier.OutcomeFailed
 	}
-	m.endRun(id, outcome)
+	w.endRun(id, outcome)
 }
 
 // endRun ends a run and lists the end until it is acknowledged.
-func (m *fakeWorker) endRun(id specifier.TaskID, outcome specifier.Outcome) {
-	r := m.runs[id]
-	delete(m.runs, id)
-	m.lastRun[id] = max(m.lastRun[id], r.number)
-	m.lastEnd++
-	m.sim.logf("%s ends %s run %d: %s", m.id, id, r.number, outcome)
-	m.pendingEnds = append(m.pendingEnds, specifier.End{Number: m.lastEnd, Task: id, Run: r.number, Outcome: outcome})
+func (w *fakeWorker) endRun(id specifier.TaskID, outcome specifier.Outcome) {
+	r := w.runs[id]
+	delete(w.runs, id)
+	w.lastRun[id] = max(w.lastRun[id], r.number)
+	w.lastEnd++
+	w.sim.logf("%s ends %s run %d: %s", w.id, id, r.number, outcome)
+	w.pendingEnds = append(w.pendingEnds, specifier.End{Number: w.lastEnd, Task: id, Run: r.number, Outcome: outcome})
 	if outcome == specifier.OutcomeDone {
-		m.sim.invariants.completed[id] = true
+		w.sim.invariants.completed[id] = true
 	}
 }
 
 // stop ends a run after a random time, and refuses later starts of that run.
-func (m *fakeWorker) stop(token int64, id specifier.TaskID, number int64) Fault {
-	if m.isFenced(token) {
+func (w *fakeWorker) stop(token int64, id specifier.TaskID, number int64) Fault {
+	if w.isFenced(token) {
 		return Fenced
 	}
-	r := m.runs[id]
-	m.lastRun[id] = max(m.lastRun[id], number)
+	r := w.runs[id]
+	w.lastRun[id] = max(w.lastRun[id], number)
 	if r == nil || r.number > number || r.stopping {
 		return NoFault
 	}
 	r.stopping = true
-	incarnation := m.incarnation
-	m.sim.schedule(time.Duration(m.sim.random.IntN(int(simStopTime))), func() {
-		if m.incarnation == incarnation && m.runs[id] == r {
-			m.endRun(id, specifier.OutcomeStopped)
+	incarnation := w.incarnation
+	w.sim.schedule(time.Duration(w.sim.random.IntN(int(simStopTime))), func() {
+		if w.incarnation == incarnation && w.runs[id] == r {
+			w.endRun(id, specifier.OutcomeStopped)
 		}
 	})
 	return NoFault
 }
 
-func (m *fakeWorker) poll(token int64, e PollWorker) (specifier.Inventory, Fault) {
-	if m.isFenced(token) {
+func (w *fakeWorker) poll(token int64, e PollWorker) (specifier.Inventory, Fault) {
+	if w.isFenced(token) {
 		return specifier.Inventory{}, Fenced
 	}
-	m.extendLease(e.LeaseEnd)
-	for len(m.pendingEnds) > 0 && m.pendingEnds[0].Number <= e.Acknowledged {
-		m.sim.recordAckedEnd(m.pendingEnds[0])
-		m.pendingEnds = m.pendingEnds[1:]
+	w.extendLease(e.LeaseEnd)
+	for len(w.pendingEnds) > 0 && w.pendingEnds[0].Number <= e.Acknowledged {
+		w.sim.recordAckedEnd(w.pendingEnds[0])
+		w.pendingEnds = w.pendingEnds[1:]
 	}
-	inventory := specifier.Inventory{Incarnation: m.incarnation, Clock: m.clock(), Ended: append([]specifier.End(nil), m.pendingEnds...)}
-	for _, id := range sortedFakeRuns(m.runs) {
-		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: m.runs[id].number, ProgressPercent: m.progress(m.runs[id])})
+	inventory := specifier.Inventory{Incarnation: w.incarnation, Clock: w.clock(), Ended: append([]specifier.End(nil), w.pendingEnds...)}
+	for _, id := range sortedFakeRuns(w.runs) {
+		inventory.Active = append(inventory.Active, specifier.Run{Task: id, Number: w.runs[id].number, ProgressPercent: w.progress(w.runs[id])})
 	}
 	return inventory, NoFault
 }
 
 // progress returns a run's progress in percent; it is constant on a stalled
 // worker.
-func (m *fakeWorker) progress(r *fakeRun) int {
+func (w *fakeWorker) progress(r *fakeRun) int {
 	switch {
-	case m.stalled:
+	case w.stalled:
 		return 50
 	case r.step.LongRunning:
 		return 100
 	}
-	return int(100 * m.sim.now.Sub(r.startedAt) / (r.step.Estimate + 1))
+	return int(100 * w.sim.now.Sub(r.startedAt) / (r.step.Estimate + 1))
 }
 
 func sortedFakeRuns(runs map[specifier.TaskID]*fakeRun) []specifier.TaskID {
@@ -219,20 +219,20 @@
 }
 
 // checkStart checks the invariants when a run starts.
-func (s *simulation) checkStart(m *fakeWorker, e StartRun, step *specifier.Step) {
+func (s *simulation) checkStart(w *fakeWorker, e StartRun, step *specifier.Step) {
 	if s.invariants.acked[e.Task] {
-		s.fail("%s starts on %s after its end was acknowledged", e.Task, m.id)
+		s.fail("%s starts on %s after its end was acknowledged", e.Task, w.id)
 	}
 	if !step.LongRunning && s.invariants.ackedFailures[e.Task] >= simAttempts {
-		s.fail("%s starts on %s after %d acknowledged failures", e.Task, m.id, s.invariants.ackedFailures[e.Task])
+		s.fail("%s starts on %s after %d acknowledged failures", e.Task, w.id, s.invariants.ackedFailures[e.Task])
 	}
 	// A late call is executed less than 12 s after its owner gave the order.
 	if cancelledAt := s.store[e.Task.Job].cancelHeardAt; !cancelledAt.IsZero() && s.now.Sub(cancelledAt) > 13*time.Second {
-		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, m.id, s.now.Sub(cancelledAt))
+		s.fail("%s starts on %s %s after its owner received the cancellation", e.Task, w.id, s.now.Sub(cancelledAt))
 	}
 	for _, other := range s.workers {
-		if r := other.runs[e.Task]; other != m && r != nil {
-			s.fail("%s run %d starts on %s while run %d is on %s", e.Task, e.Run, m.id, r.number, other.id)
+		if r := other.runs[e.Task]; other != w && r != nil {
+			s.fail("%s run %d starts on %s while run %d is on %s", e.Task, e.Run, w.id, r.number, other.id)
 		}
 	}
 	for _, earlier := range step.After {
@@ -245,16 +245,16 @@
 	}
 	used := step.Needs.CPU
 	beside := 0
-	for id, r := range m.runs {
+	for id, r := range w.runs {
 		used += r.step.Needs.CPU
 		if id.Job == e.Task.Job && id.Step == e.Task.Step && id.Occurrence == e.Task.Occurrence {
 			beside++
 		}
 	}
 	if used > workerCPU {
-		s.fail("%s exceeds the capacity of %s: %d of %d millicores", e.Task, m.id, used, workerCPU)
+		s.fail("%s exceeds the capacity of %s: %d of %d millicores", e.Task, w.id, used, workerCPU)
 	}
 	if step.MaxPerWorker > 0 && beside >= step.MaxPerWorker {
-		s.fail("%s is task %d of its step on %s, more than allowed", e.Task, beside+1, m.id)
+		s.fail("%s is task %d of its step on %s, more than allowed", e.Task, beside+1, w.id)
 	}
 }
--- a/internal/job/dispatcher/longrunning_test.go
+++ b/internal/job/dispatcher/longrunning_test.go
@@ -49,8 +49,8 @@
 // running returns the number of runs of a job.
 func (s *simulation) running(job string) int {
 	n := 0
-	for _, m := range s.workers {
-		for id := range m.runs {
+	for _, w := range s.workers {
+		for id := range w.runs {
 			if id.Job == job {
 				n++
 			}
--- a/internal/job/dispatcher/property_test.go
+++ b/internal/job/dispatcher/property_test.go
@@ -54,7 +54,7 @@
 // randomStep submits a job, or with a lower probability causes a fault.
 func (s *simulation) randomStep(t *rapid.T, i int) {
 	length := time.Duration(rapid.IntRange(200, 14000).Draw(t, "length")) * time.Millisecond
-	m := s.workers[rapid.IntRange(0, len(s.workers)-1).Draw(t, "worker")]
+	w := s.workers[rapid.IntRange(0, len(s.workers)-1).Draw(t, "worker")]
 	o := s.owner
 	switch rapid.IntRange(0, 16).Draw(t, "what") {
 	case 0, 1, 2, 3, 4:
@@ -71,9 +71,9 @@
 		s.schedule(min(length, 3*time.Second), s.claimFrom(o))
 		s.schedule(length, o.resume)
 	case 8:
-		s.logf("owner %d is cut off from %s for %s", o.token, m.id, length)
-		o.unreachable[m] = true
-		s.schedule(length, func() { delete(o.unreachable, m) })
+		s.logf("owner %d is cut off from %s for %s", o.token, w.id, length)
+		o.unreachable[w] = true
+		s.schedule(length, func() { delete(o.unreachable, w) })
 	case 9:
 		s.logf("owner %d is cut off from the store for %s", o.token, length)
 		o.reachesStore = false
@@ -82,13 +82,13 @@
 		}
 		s.schedule(length, func() { o.reachesStore = true })
 	case 10:
-		s.logf("%s crashes for %s", m.id, length)
-		m.crash()
-		s.schedule(length, m.restart)
+		s.logf("%s crashes for %s", w.id, length)
+		w.crash()
+		s.schedule(length, w.restart)
 	case 11:
-		s.logf("%s is unregistered for %s", m.id, length)
-		m.registered = false
-		s.schedule(length, func() { m.registered = true })
+		s.logf("%s is unregistered for %s", w.id, length)
+		w.registered = false
+		s.schedule(length, func() { w.registered = true })
 	case 12:
 		s.lostAnswerRate, s.lateCallRate = 0.2, 0.1
 		s.schedule(length, func() { s.lostAnswerRate, s.lateCallRate = 0, 0 })
@@ -96,16 +96,16 @@
 		s.failureRate = 0.3
 		s.schedule(length, func() { s.failureRate = 0 })
 	case 15:
-		s.logf("%s stalls for %s", m.id, length)
-		m.stalled = true
-		s.schedule(length, func() { m.stalled = false })
+		s.logf("%s stalls for %s", w.id, length)
+		w.stalled = true
+		s.schedule(length, func() { w.stalled = false })
 	case 16:
 		s.release()
 	case 14:
-		s.logf("%s is unregistered and cut off from the owner for %s", m.id, length)
-		m.registered = false
-		o.unreachable[m] = true
-		s.schedule(length, func() { m.registered = true; delete(o.unreachable, m) })
+		s.logf("%s is unregistered and cut off from the owner for %s", w.id, length)
+		w.registered = false
+		o.unreachable[w] = true
+		s.schedule(length, func() { w.registered = true; delete(o.unreachable, w) })
 	}
 }
 
@@ -122,10 +122,10 @@
 func (s *simulation) endFaults() {
 	s.advance(15 * time.Second)
 	s.lostAnswerRate, s.lateCallRate, s.failureRate = 0, 0, 0
-	for _, m := range s.workers {
-		m.registered, m.stalled = true, false
-		if m.crashed {
-			m.restart()
+	for _, w := range s.workers {
+		w.registered, w.stalled = true, false
+		if w.crashed {
+			w.restart()
 		}
 	}
 	if !s.owner.alive {
--- a/internal/job/dispatcher/simulation_test.go
+++ b/internal/job/dispatcher/simulation_test.go
@@ -109,9 +109,9 @@
 		},
 	}
 	for i := range workers {
-		m := &fakeWorker{sim: s, id: fmt.Sprintf("w%d", i), registered: true}
-		m.restart()
-		s.workers = append(s.workers, m)
+		w := &fakeWorker{sim: s, id: fmt.Sprintf("w%d", i), registered: true}
+		w.restart()
+		s.workers = append(s.workers, w)
 	}
 	s.claim()
 	return s
@@ -212,9 +212,9 @@
 
 func (s *simulation) registrations() []specifier.Worker {
 	var out []specifier.Worker
-	for _, m := range s.workers {
-		if m.registered {
-			out = append(out, m.registration())
+	for _, w := range s.workers {
+		if w.registered {
+			out = append(out, w.registration())
 		}
 	}
 	return out
@@ -272,22 +272,22 @@
 	case Commit:
 		s.schedule(s.delay(), func() { o.commit(e) })
 	case StartRun:
-		o.callWorker(e.Worker, func(m *fakeWorker) Event {
-			return StartAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.start(o.token, e)}
+		o.callWorker(e.Worker, func(w *fakeWorker) Event {
+			return StartAnswered{Worker: w.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: w.start(o.token, e)}
 		}, StartAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case StopRun:
-		o.callWorker(e.Worker, func(m *fakeWorker) Event {
-			return StopAnswered{Worker: m.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: m.stop(o.token, e.Task, e.Run)}
+		o.callWorker(e.Worker, func(w *fakeWorker) Event {
+			return StopAnswered{Worker: w.id, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: w.stop(o.token, e.Task, e.Run)}
 		}, StopAnswered{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Task: e.Task, Run: e.Run, Fault: OutcomeUnknown})
 	case PaceRun:
 	case PollWorker:
 		sent := s.now
-		o.callWorker(e.Worker, func(m *fakeWorker) Event {
-			inventory, fault := m.poll(o.token, e)
+		o.callWorker(e.Worker, func(w *fakeWorker) Event {
+			inventory, fault := w.poll(o.token, e)
 			if fault != NoFault {
-				return PollFailed{Worker: m.id, Incarnation: e.Worker.Incarnation, Fault: fault}
+				return PollFailed{Worker: w.id, Incarnation: e.Worker.Incarnation, Fault: fault}
 			}
-			return PollAnswered{Worker: m.id, Sent: sent, Inventory: inventory}
+			return PollAnswered{Worker: w.id, Sent: sent, Inventory: inventory}
 		}, PollFailed{Worker: e.Worker.ID, Incarnation: e.Worker.Incarnation, Fault: OutcomeUnknown})
 	}
 }
@@ -296,40 +296,40 @@
 // there is none.
 func (o *owner) callWorker(reg specifier.Worker, do func(*fakeWorker) Event, lost Event) {
 	s := o.sim
-	m := s.worker(reg.ID)
+	w := s.worker(reg.ID)
 	timeout := time.Second
 	roll := s.random.Float64()
 	switch {
 	case roll < s.lateCallRate:
 		s.schedule(time.Duration(2000+s.random.IntN(10000))*time.Millisecond, func() {
-			if m.isUp() && m.incarnation == reg.Incarnation {
-				do(m)
+			if w.isUp() && w.incarnation == reg.Incarnation {
+				do(w)
 			}
 		})
 		s.schedule(timeout, func() { o.post(lost) })
 	case roll < s.lateCallRate+s.lostAnswerRate:
 		s.schedule(s.delay(), func() {
-			if m.isUp() && !o.unreachable[m] && m.incarnation == reg.Incarnation {
-				do(m)
+			if w.isUp() && !o.unreachable[w] && w.incarnation == reg.Incarnation {
+				do(w)
 			}
 		})
 		s.schedule(timeout, func() { o.post(lost) })
 	default:
 		s.schedule(s.delay(), func() {
-			if !m.isUp() || o.unreachable[m] || m.incarnation != reg.Incarnation {
+			if !w.isUp() || o.unreachable[w] || w.incarnation != reg.Incarnation {
 				s.schedule(timeout, func() { o.post(lost) })
 				return
 			}
-			answer := do(m)
+			answer := do(w)
 			s.schedule(s.delay(), func() { o.post(answer) })
 		})
 	}
 }
 
 func (s *simulation) worker(id string) *fakeWorker {
-	for _, m := range s.workers {
-		if m.id == id {
-			return m
+	for _, w := range s.workers {
+		if w.id == id {
+			return w
 		}
 	}
 	return nil
