--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -18,7 +18,7 @@
 	interferenceDeviation = 3.0                     // standard deviation of the prior
 	interferenceNoise     = 0.5                     // standard deviation of an observed log tail latency
 	interferenceHalfLife  = 60 * time.Second        // time in which observations lose half of their weight
-	maxLearnedImages      = 32                      // filler images with estimates of their own, for each serving image
+	maxLearnedImages      = 32                      // filler images with an estimate, for each serving image; further ones share the last
 	sampleLoad            = 0.625                   // the middle of a load band; workers don't report the load
 	sampleCount           = 100                     // requests assumed for a sample; workers don't report them
 	maxExpectedRatio      = 0.85                    // a new filler may raise the latency ratio to this value
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -283,7 +283,8 @@
 }
 
 // commit writes changes to the store and posts Committed once they are durable.
-// If the write fails for good, the shard is given up.
+// The write is repeated until its outcome is known. If it fails before ctx ends,
+// the shard is given up.
 func (o *ownedShard) commit(ctx context.Context, e dispatcher.Commit) {
 	var puts []storer.Write
 	var removes []string
