--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -200,7 +200,8 @@
 	}
 }
 
-// unknownPace is the pace of a run for which this owner has ordered none.
+// unknownPace is the pace of a run for which this owner has ordered none, or whose
+// last order failed.
 const unknownPace = -1
 
 // percentText formats a fraction as a percentage.
