--- a/internal/job/dispatcher/interference.go
+++ b/internal/job/dispatcher/interference.go
@@ -18,7 +18,7 @@
 	interferenceDeviation = 3.0                     // standard deviation of the prior
 	interferenceNoise     = 0.5                     // standard deviation of an observed log tail latency
 	interferenceHalfLife  = 60 * time.Second        // time in which observations lose half of their weight
-	maxLearnedImages      = 32                      // filler images with estimates of their own, for each serving image
+	maxLearnedImages      = 32                      // filler images with an estimate, for each serving image; further ones share the last
 	sampleLoad            = 0.625                   // the middle of a load band; workers don't report the load
 	sampleCount           = 100                     // requests assumed for a sample; workers don't report them
 	maxExpectedRatio      = 0.85                    // a new filler may raise the latency ratio to this value
@@ -141,11 +141,11 @@
 			Lateness: work.Lateness(s.now.Add(-r.estimatedTimeDone())),
 		})
 	}
-	over := time.Duration(0)
+	overTargetFor := time.Duration(0)
 	if !w.overTargetSince.IsZero() {
-		over = s.now.Sub(w.overTargetSince)
+		overTargetFor = s.now.Sub(w.overTargetSince)
 	}
-	pacer.Decide(w.latencyRatio, over, fillers)
+	pacer.Decide(w.latencyRatio, overTargetFor, fillers)
 	for i, r := range runs {
 		if fillers[i].Pace != r.pace {
 			s.setPace(r, fillers[i].Pace)
@@ -200,7 +200,8 @@
 	}
 }
 
-// unknownPace is the pace of a run for which this owner has ordered none.
+// unknownPace is the pace of a run for which this owner has ordered none, or whose
+// last order failed.
 const unknownPace = -1
 
 // percentText formats a fraction as a percentage.
