--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -171,7 +171,7 @@
 	return both
 }
 
-func report(o Options, d *deployer.Deployment, calls *caller.Load, jobs *wave, drained *drain) Report {
+func report(o Options, d *deployer.Deployment, calls *caller.Generator, jobs *wave, drained *drain) Report {
 	audit := d.Audit.Report()
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
--- a/internal/operator/demonstrator/screen.go
+++ b/internal/operator/demonstrator/screen.go
@@ -22,7 +22,7 @@
 type screen struct {
 	out      io.Writer
 	terminal bool
-	calls    *caller.Load
+	calls    *caller.Generator
 	jobs     *wave
 	drained  *drain
 	began    time.Time
@@ -31,7 +31,7 @@
 	latest string
 }
 
-func newScreen(out io.Writer, terminal bool, calls *caller.Load, jobs *wave, drained *drain) *screen {
+func newScreen(out io.Writer, terminal bool, calls *caller.Generator, jobs *wave, drained *drain) *screen {
 	return &screen{out: out, terminal: terminal, calls: calls, jobs: jobs, drained: drained, began: time.Now()}
 }
 
--- a/internal/operator/rehearser/rehearser.go
+++ b/internal/operator/rehearser/rehearser.go
@@ -66,7 +66,7 @@
 	dir    string
 	d      *deployer.Deployment
 	watch  *watcher
-	calls  *caller.Load
+	calls  *caller.Generator
 	plans  map[string]string // plan's id by the intent's
 
 	mu       sync.Mutex
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -38,8 +38,8 @@
 	idleHosts     = 16
 )
 
-// Load is the callers of all failure domains.
-type Load struct {
+// Generator is the callers of all failure domains.
+type Generator struct {
 	Work time.Duration // service time asked for; the worker's own if 0
 
 	d    *deployer.Deployment
@@ -68,8 +68,8 @@
 }
 
 // New returns callers that are still silent.
-func New(d *deployer.Deployment, random *rand.Rand, rate float64) *Load {
-	return &Load{
+func New(d *deployer.Deployment, random *rand.Rand, rate float64) *Generator {
+	return &Generator{
 		d: d, rate: rate, random: random,
 		latency: hdrhistogram.New(1, highestMicros, 3),
 		tries:   make(map[string]*outcomes),
@@ -78,7 +78,7 @@
 }
 
 // Run sends requests until ctx ends, and returns when all have ended.
-func (l *Load) Run(ctx context.Context) {
+func (l *Generator) Run(ctx context.Context) {
 	var callers sync.WaitGroup
 	for _, m := range l.d.Domains {
 		client := NewClient()
@@ -100,13 +100,13 @@
 	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleHosts}}
 }
 
-func (l *Load) gap() time.Duration {
+func (l *Generator) gap() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.random.ExpFloat64() / l.rate * float64(time.Second))
 }
 
-func (l *Load) next(m *deployer.Domain) Request {
+func (l *Generator) next(m *deployer.Domain) Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.serial++
@@ -130,7 +130,7 @@
 
 // Call sends a request to the domain's balancer, and once more if it may have
 // run.
-func (l *Load) Call(client *http.Client, m *deployer.Domain, q Request) Outcome {
+func (l *Generator) Call(client *http.Client, m *deployer.Domain, q Request) Outcome {
 	began := time.Now()
 	outcome := l.try(client, m, q)
 	if outcome == Unclear {
@@ -144,7 +144,7 @@
 }
 
 // CallAt sends a request to an address, once. The text says why it failed.
-func (l *Load) CallAt(client *http.Client, address string, q Request) (Outcome, string) {
+func (l *Generator) CallAt(client *http.Client, address string, q Request) (Outcome, string) {
 	began := time.Now()
 	a := q.send(client, address)
 	l.check(q, a)
@@ -152,7 +152,7 @@
 	return a.outcome, a.code
 }
 
-func (l *Load) count(q Request, outcome Outcome, took time.Duration) {
+func (l *Generator) count(q Request, outcome Outcome, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Requests++
@@ -200,7 +200,7 @@
 	return o.others == 0 && executions > 0
 }
 
-func (l *Load) try(client *http.Client, m *deployer.Domain, q Request) Outcome {
+func (l *Generator) try(client *http.Client, m *deployer.Domain, q Request) Outcome {
 	a := q.send(client, m.Balancer.Address)
 	l.check(q, a)
 	if host := m.Balancer.Used(a.local); a.err != nil && l.d.IsStoppingAt(host) {
@@ -212,7 +212,7 @@
 	return a.outcome
 }
 
-func (l *Load) check(q Request, a attempt) {
+func (l *Generator) check(q Request, a attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a.code != "" {
@@ -227,12 +227,12 @@
 	}
 }
 
-func (l *Load) say(format string, args ...any) {
+func (l *Generator) say(format string, args ...any) {
 	l.counts.Words = append(l.counts.Words, fmt.Sprintf(format, args...))
 }
 
 // Counts returns how many requests were sent and how many failed.
-func (l *Load) Counts() (requests, failed int64) {
+func (l *Generator) Counts() (requests, failed int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts.Requests, l.counts.Failed
@@ -240,7 +240,7 @@
 
 // Report checks the requests that were said not to have run, and returns all
 // counts.
-func (l *Load) Report() Report {
+func (l *Generator) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.counts
