--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -60,7 +60,7 @@
 	Broken   int64 // of these, connections that ended without a whole answer
 	Wrong    int64 // answers that were not the request's own
 	Cut      int64 // in flight at an entry host when its planned stop cut them
-	Untrue   int64 // said not to have run, though they had
+	FalseDenials   int64 // said not to have run, though they had
 	P50      float64
 	P99      float64
 	Codes    map[string]int // failed attempts by code and verdict
@@ -248,7 +248,7 @@
 	out.Words = append([]string{}, l.counts.Words...)
 	for _, id := range slices.Sorted(maps.Keys(l.tries)) {
 		if l.tries[id].isUntrue(l.d.Audit.Executions(id)) {
-			out.Untrue++
+			out.FalseDenials++
 			out.Words = append(out.Words, "request "+id+" ran and was said not to have run")
 		}
 	}
