--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -187,7 +187,7 @@
 	out.Cut, out.Untrue = seen.Cut, seen.FalseDenials
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
-	out.Violations = append(out.Violations, seen.Words...)
+	out.Violations = append(out.Violations, seen.Violations...)
 	jobs.fill(&out)
 	if why := drained.missing(); why != "" {
 		out.Violations = append(out.Violations, why)
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -64,7 +64,7 @@
 	P50      float64
 	P99      float64
 	Codes    map[string]int // failed attempts by code and verdict
-	Words    []string       // violations
+	Violations    []string       // violations
 }
 
 // New returns callers that are still silent.
@@ -228,7 +228,7 @@
 }
 
 func (l *Generator) say(format string, args ...any) {
-	l.counts.Words = append(l.counts.Words, fmt.Sprintf(format, args...))
+	l.counts.Violations = append(l.counts.Violations, fmt.Sprintf(format, args...))
 }
 
 // Counts returns how many requests were sent and how many failed.
@@ -245,11 +245,11 @@
 	defer l.mu.Unlock()
 	out := l.counts
 	out.Codes = maps.Clone(l.counts.Codes)
-	out.Words = append([]string{}, l.counts.Words...)
+	out.Violations = append([]string{}, l.counts.Violations...)
 	for _, id := range slices.Sorted(maps.Keys(l.tries)) {
 		if l.tries[id].isUntrue(l.d.Audit.Executions(id)) {
 			out.FalseDenials++
-			out.Words = append(out.Words, "request "+id+" ran and was said not to have run")
+			out.Violations = append(out.Violations, "request "+id+" ran and was said not to have run")
 		}
 	}
 	out.P50 = float64(l.latency.ValueAtQuantile(50)) / 1000
