--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -59,7 +59,7 @@
 	Failed   int64 // without an answer of their own, refusals included
 	Broken   int64 // of these, connections that ended without a whole answer
 	Wrong    int64 // answers that were not the request's own
-	Cut      int64 // in flight at an entry host when its planned stop cut them
+	CutByStop      int64 // in flight at an entry host when its planned stop cut them
 	FalseDenials   int64 // said not to have run, though they had
 	P50      float64
 	P99      float64
@@ -206,7 +206,7 @@
 	if host := m.Balancer.Used(a.local); a.err != nil && l.d.IsStoppingAt(host) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.counts.Cut++
+		l.counts.CutByStop++
 		l.say("request %s was cut by the planned stop of %s: %v", q.ID, host, a.err)
 	}
 	return a.outcome
