--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -183,7 +183,7 @@
 		Violations: audit.Faults,
 	}
 	seen := calls.Report()
-	out.Requests, out.Failed, out.Wrong = seen.Requests, seen.Failed, seen.Wrong
+	out.Requests, out.Failed, out.Wrong = seen.Requests, seen.Failed, seen.Mismatched
 	out.Cut, out.Untrue = seen.CutByStop, seen.FalseDenials
 	out.Failures = seen.Codes
 	out.P50, out.P99 = seen.P50, seen.P99
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -58,7 +58,7 @@
 	Requests int64
 	Failed   int64 // without an answer of their own, refusals included
 	Broken   int64 // of these, connections that ended without a whole answer
-	Wrong    int64 // answers that were not the request's own
+	Mismatched    int64 // answers that were not the request's own
 	CutByStop      int64 // in flight at an entry host when its planned stop cut them
 	FalseDenials   int64 // said not to have run, though they had
 	P50      float64
@@ -222,7 +222,7 @@
 		l.counts.Broken++
 	}
 	if a.wrong {
-		l.counts.Wrong++
+		l.counts.Mismatched++
 		l.say("request %s had an answer that is not its own", q.ID)
 	}
 }
