--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -185,7 +185,7 @@
 	seen := calls.Report()
 	out.Requests, out.Failed, out.Wrong = seen.Requests, seen.Failed, seen.Mismatched
 	out.Cut, out.Untrue = seen.CutByStop, seen.FalseDenials
-	out.Failures = seen.Codes
+	out.Failures = seen.FailuresByCode
 	out.P50, out.P99 = seen.P50, seen.P99
 	out.Violations = append(out.Violations, seen.Violations...)
 	jobs.fill(&out)
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -63,7 +63,7 @@
 	FalseDenials   int64 // said not to have run, though they had
 	P50      float64
 	P99      float64
-	Codes    map[string]int // failed attempts by code and verdict
+	FailuresByCode    map[string]int // failed attempts by code and verdict
 	Violations    []string       // violations
 }
 
@@ -73,7 +73,7 @@
 		d: d, rate: rate, random: random,
 		latency: hdrhistogram.New(1, highestMicros, 3),
 		tries:   make(map[string]*outcomes),
-		counts:  Report{Codes: make(map[string]int)},
+		counts:  Report{FailuresByCode: make(map[string]int)},
 	}
 }
 
@@ -216,7 +216,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if a.code != "" {
-		l.counts.Codes[a.code]++
+		l.counts.FailuresByCode[a.code]++
 	}
 	if a.err != nil {
 		l.counts.Broken++
@@ -244,7 +244,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.counts
-	out.Codes = maps.Clone(l.counts.Codes)
+	out.FailuresByCode = maps.Clone(l.counts.FailuresByCode)
 	out.Violations = append([]string{}, l.counts.Violations...)
 	for _, id := range slices.Sorted(maps.Keys(l.tries)) {
 		if l.tries[id].isUntrue(l.d.Audit.Executions(id)) {
