--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -180,7 +180,7 @@
 		Late:       audit.Late,
 		Evicted:    audit.Stopped + audit.Lapsed,
 		Restored:   drained.restored(),
-		Violations: audit.Faults,
+		Violations: audit.Violations,
 	}
 	seen := calls.Report()
 	out.Requests, out.Failed, out.Wrong = seen.Requests, seen.Failed, seen.Mismatched
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -337,7 +337,7 @@
 
 func invariant(w *world, _ []string) error {
 	audit, calls := w.d.Audit.Report(), w.calls.Report()
-	faults := append(audit.Faults, calls.Violations...)
+	faults := append(audit.Violations, calls.Violations...)
 	faults = append(faults, w.watch.faults()...)
 	w.mu.Lock()
 	for _, err := range w.failures {
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -53,7 +53,7 @@
 	Repeated   int      `json:"repeated"`   // non-idempotent requests executed again
 	Late       int      `json:"late"`       // requests to a worker long after it began to leave
 	Requests   int      `json:"requests"`   // executions of requests
-	Faults     []string `json:"faults"`     // the first violations in words
+	Violations     []string `json:"faults"`     // the first violations in words
 }
 
 // Ending is how a run ended.
@@ -176,7 +176,7 @@
 	defer a.mu.Unlock()
 	out := a.report
 	out.Tasks = len(a.tasks)
-	out.Faults = append([]string{}, a.report.Faults...)
+	out.Violations = append([]string{}, a.report.Violations...)
 	for _, h := range a.tasks {
 		if h.completed > 0 {
 			out.Finished++
@@ -205,7 +205,7 @@
 }
 
 func (a *Auditor) fault(format string, args ...any) {
-	if len(a.report.Faults) < maxFaults {
-		a.report.Faults = append(a.report.Faults, fmt.Sprintf(format, args...))
+	if len(a.report.Violations) < maxFaults {
+		a.report.Violations = append(a.report.Violations, fmt.Sprintf(format, args...))
 	}
 }
