--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -176,7 +176,7 @@
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
 		Duplicated: int64(audit.Duplicated + audit.Repeated),
-		Overfilled: audit.Overfilled,
+		Overfilled: audit.CapacityExceeded,
 		Late:       audit.Late,
 		Evicted:    audit.Stopped + audit.Lapsed,
 		Restored:   drained.restored(),
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -49,7 +49,7 @@
 	Failed     int      `json:"failed"`     // runs that failed
 	Lost       int      `json:"lost"`       // runs that ended with their worker
 	Duplicated int      `json:"duplicated"` // tasks in two places at once, or begun again after completion
-	Overfilled int      `json:"overfilled"` // grants that went over a worker's capacity
+	CapacityExceeded int      `json:"overfilled"` // grants that went over a worker's capacity
 	Repeated   int      `json:"repeated"`   // non-idempotent requests executed again
 	Late       int      `json:"late"`       // requests to a worker long after it began to leave
 	Requests   int      `json:"requests"`   // executions of requests
@@ -127,7 +127,7 @@
 func (a *Auditor) Overfilled(worker string, granted, capacity describer.Resources) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.report.Overfilled++
+	a.report.CapacityExceeded++
 	a.fault("%s has granted %+v of %+v", worker, granted, capacity)
 }
 
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -137,7 +137,7 @@
 		big := start(1, 2)
 		big.Task.Index, big.Granted.CPU = 1, 40000
 		g.Expect(failure(m.Start(big))).To(Succeed())
-		g.Expect(a.Report().Overfilled).To(Equal(1))
+		g.Expect(a.Report().CapacityExceeded).To(Equal(1))
 	})
 }
 
