--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -177,7 +177,7 @@
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
 		Duplicated: int64(audit.Duplicated + audit.Repeated),
 		Overfilled: audit.CapacityExceeded,
-		Late:       audit.Late,
+		Late:       audit.LateRequests,
 		Evicted:    audit.Stopped + audit.Lapsed,
 		Restored:   drained.restored(),
 		Violations: audit.Violations,
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -51,7 +51,7 @@
 	Duplicated int      `json:"duplicated"` // tasks in two places at once, or begun again after completion
 	CapacityExceeded int      `json:"overfilled"` // grants that went over a worker's capacity
 	Repeated   int      `json:"repeated"`   // non-idempotent requests executed again
-	Late       int      `json:"late"`       // requests to a worker long after it began to leave
+	LateRequests       int      `json:"late"`       // requests to a worker long after it began to leave
 	Requests   int      `json:"requests"`   // executions of requests
 	Violations     []string `json:"faults"`     // the first violations in words
 }
@@ -151,7 +151,7 @@
 func (a *Auditor) Late(worker string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.report.Late++
+	a.report.LateRequests++
 	a.fault("%s got a request after it began to leave", worker)
 }
 
