--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -178,7 +178,7 @@
 		Duplicated: int64(audit.Duplicated + audit.Repeated),
 		Overfilled: audit.CapacityExceeded,
 		Late:       audit.LateRequests,
-		Evicted:    audit.Stopped + audit.Lapsed,
+		Evicted:    audit.Stopped + audit.LeaseExpired,
 		Restored:   drained.restored(),
 		Violations: audit.Violations,
 	}
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -45,7 +45,7 @@
 	Tasks      int      `json:"tasks"`      // with at least one run
 	Finished   int      `json:"finished"`   // tasks with a completed run
 	Stopped    int      `json:"stopped"`    // runs ended on request
-	Lapsed     int      `json:"lapsed"`     // runs ended by their lease
+	LeaseExpired     int      `json:"lapsed"`     // runs ended by their lease
 	Failed     int      `json:"failed"`     // runs that failed
 	Lost       int      `json:"lost"`       // runs that ended with their worker
 	Duplicated int      `json:"duplicated"` // tasks in two places at once, or begun again after completion
@@ -107,7 +107,7 @@
 	case Stopped:
 		a.report.Stopped++
 	case Lapsed:
-		a.report.Lapsed++
+		a.report.LeaseExpired++
 	case Failed:
 		a.report.Failed++
 	case Lost:
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(2 * time.Second)
 		out, _ := m.Sync(runner.SyncRequest{Epoch: 1})
 		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("Lapsed", true), HaveField("Checkpoint", "19s"))))
-		g.Expect(a.Report().Lapsed).To(Equal(1))
+		g.Expect(a.Report().LeaseExpired).To(Equal(1))
 	})
 }
 
@@ -121,7 +121,7 @@
 		time.Sleep(9 * time.Second)
 		g.Expect(m.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
-		g.Expect(a.Report().Lapsed).To(Equal(1))
+		g.Expect(a.Report().LeaseExpired).To(Equal(1))
 		m.Pause(false)
 		g.Expect(a.Report().Finished).To(BeZero())
 	})
