--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -175,7 +175,7 @@
 	audit := d.Audit.Report()
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
-		Duplicated: int64(audit.Duplicated + audit.Repeated),
+		Duplicated: int64(audit.Duplicated + audit.RepeatedRequests),
 		Overfilled: audit.CapacityExceeded,
 		Late:       audit.LateRequests,
 		Evicted:    audit.Stopped + audit.LeaseExpired,
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -50,7 +50,7 @@
 	Lost       int      `json:"lost"`       // runs that ended with their worker
 	Duplicated int      `json:"duplicated"` // tasks in two places at once, or begun again after completion
 	CapacityExceeded int      `json:"overfilled"` // grants that went over a worker's capacity
-	Repeated   int      `json:"repeated"`   // non-idempotent requests executed again
+	RepeatedRequests   int      `json:"repeated"`   // non-idempotent requests executed again
 	LateRequests       int      `json:"late"`       // requests to a worker long after it began to leave
 	Requests   int      `json:"requests"`   // executions of requests
 	Violations     []string `json:"faults"`     // the first violations in words
@@ -142,7 +142,7 @@
 	}
 	a.executions[id]++
 	if a.executions[id] > 1 && !idempotent {
-		a.report.Repeated++
+		a.report.RepeatedRequests++
 		a.fault("request %s executes again on %s", id, worker)
 	}
 }
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -43,9 +43,9 @@
 	It("counts repeated requests unless they are idempotent", func() {
 		a.Executed("r", "w1", true)
 		a.Executed("r", "w1", true)
-		Expect(a.Report().Repeated).To(BeZero())
+		Expect(a.Report().RepeatedRequests).To(BeZero())
 		a.Executed("r", "w1", false)
-		Expect(a.Report().Repeated).To(Equal(1))
+		Expect(a.Report().RepeatedRequests).To(Equal(1))
 		Expect(a.Executions("r")).To(Equal(3))
 	})
 })
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -207,7 +207,7 @@
 		Expect(a.Executions("1")).To(Equal(1))
 		_, _, err = call(fresh(), "1", "0s")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(a.Report().Repeated).To(Equal(1))
+		Expect(a.Report().RepeatedRequests).To(Equal(1))
 	})
 
 	It("answers the worker interface, and forgets all when killed", func() {
