--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -70,9 +70,9 @@
 
 func outage(d *deployer.Deployment) []event {
 	return []event{
-		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.Outage(true) }},
+		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.SetOutage(true) }},
 		{at: 0.55, name: "store back, answers lost", do: func(context.Context) {
-			d.Store.Outage(false)
+			d.Store.SetOutage(false)
 			d.Store.LoseAnswers(5, 0, 0)
 		}},
 	}
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -195,7 +195,7 @@
 func outage(w *world, args []string) error {
 	switch args[0] {
 	case "on", "off":
-		w.d.Store.Outage(args[0] == "on")
+		w.d.Store.SetOutage(args[0] == "on")
 	case "slow":
 		slow, err := time.ParseDuration(args[1])
 		if err != nil {
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -25,8 +25,8 @@
 	Peak    int64            `json:"peak"`    // most calls in one second
 }
 
-// Outage switches an outage on or off. Leases go on lapsing during it.
-func (k *Keeper) Outage(on bool) {
+// SetOutage switches an outage on or off. Leases go on lapsing during it.
+func (k *Keeper) SetOutage(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults.Outage = on
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -52,7 +52,7 @@
 	m.Handle("POST /v1/faults", listener.Handle(func(_ *http.Request, in faults) (struct{}, error) {
 		k.Slow(in.Slow)
 		k.LoseAnswers(in.Lose, in.Probability, in.Seed)
-		k.Outage(in.Outage)
+		k.SetOutage(in.Outage)
 		return struct{}{}, nil
 	}))
 	return m
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -77,10 +77,10 @@
 	})
 
 	It("has no effect during an outage and counts the calls", func() {
-		k.Outage(true)
+		k.SetOutage(true)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
-		k.Outage(false)
+		k.SetOutage(false)
 		_, err = c.Get(ctx, "a")
 		Expect(err).To(MatchError(storer.ErrNotFound))
 		Expect(k.Counts().Calls).To(HaveKeyWithValue("swap", int64(1)))
@@ -99,7 +99,7 @@
 			failed <- err
 		}()
 		Eventually(func() int64 { return k.Counts().Waiting }).Should(BeEquivalentTo(1))
-		k.Outage(true)
+		k.SetOutage(true)
 		Eventually(failed).Should(Receive(HaveOccurred()))
 		Expect(k.Counts().Watches).To(BeEquivalentTo(1))
 	})
