--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -201,7 +201,7 @@
 		if err != nil {
 			return err
 		}
-		w.d.Store.Slow(slow)
+		w.d.Store.SetDelay(slow)
 	case "lose":
 		n, err := strconv.Atoi(args[1])
 		if err != nil {
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Slow delays every call by d; a call whose caller gave up still takes effect.
-func (k *Keeper) Slow(d time.Duration) {
+// SetDelay delays every call by d; a call whose caller gave up still takes effect.
+func (k *Keeper) SetDelay(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults.Slow = d
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -7,7 +7,7 @@
 // next revision. A deleted key leaves a mark with its revision, so a watch can
 // be answered from the present state however long its client was away.
 //
-// Faults are switched by [Keeper.SetOutage], [Keeper.Slow] and
+// Faults are switched by [Keeper.SetOutage], [Keeper.SetDelay] and
 // [Keeper.LoseAnswers], or over HTTP, as docs/PLATFORM.md describes:
 //
 //	k, err := keeper.New("127.0.0.1:0")
