--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -73,7 +73,7 @@
 		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.SetOutage(true) }},
 		{at: 0.55, name: "store back, answers lost", do: func(context.Context) {
 			d.Store.SetOutage(false)
-			d.Store.LoseAnswers(5, 0, 0)
+			d.Store.DropResponses(5, 0, 0)
 		}},
 	}
 }
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -207,7 +207,7 @@
 		if err != nil {
 			return err
 		}
-		w.d.Store.LoseAnswers(n, 0, 0)
+		w.d.Store.DropResponses(n, 0, 0)
 	default:
 		return eris.New("usage: outage on|off|slow D|lose N")
 	}
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -43,9 +43,9 @@
 	k.faults.Slow = d
 }
 
-// LoseAnswers lets the next n writes, and later ones with the probability,
+// DropResponses lets the next n writes, and later ones with the probability,
 // take effect without an answer.
-func (k *Keeper) LoseAnswers(n int, probability float64, seed uint64) {
+func (k *Keeper) DropResponses(n int, probability float64, seed uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults.Lose = n
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -51,7 +51,7 @@
 	m.Handle("GET /v1/counts", listener.Handle(func(*http.Request, struct{}) (Counts, error) { return k.Counts(), nil }))
 	m.Handle("POST /v1/faults", listener.Handle(func(_ *http.Request, in faults) (struct{}, error) {
 		k.SetDelay(in.Slow)
-		k.LoseAnswers(in.Lose, in.Probability, in.Seed)
+		k.DropResponses(in.Lose, in.Probability, in.Seed)
 		k.SetOutage(in.Outage)
 		return struct{}{}, nil
 	}))
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -8,7 +8,7 @@
 // be answered from the present state however long its client was away.
 //
 // Faults are switched by [Keeper.SetOutage], [Keeper.SetDelay] and
-// [Keeper.LoseAnswers], or over HTTP, as docs/PLATFORM.md describes:
+// [Keeper.DropResponses], or over HTTP, as docs/PLATFORM.md describes:
 //
 //	k, err := keeper.New("127.0.0.1:0")
 //	defer k.Close()
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -66,7 +66,7 @@
 	})
 
 	It("takes a write whose answer it loses", func() {
-		k.LoseAnswers(1, 0, 0)
+		k.DropResponses(1, 0, 0)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
 		Expect(err).To(HaveOccurred())
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
