--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -156,7 +156,7 @@
 	if args[1] == "cut" {
 		w.d.Worker(args[0]).CutAnswers(n)
 	} else {
-		w.d.Worker(args[0]).LoseAnswers(n)
+		w.d.Worker(args[0]).DropResponses(n)
 	}
 	return nil
 }
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -119,7 +119,7 @@
 	case "cut":
 		w.CutAnswers(c.Count)
 	case "lose":
-		w.LoseAnswers(c.Count)
+		w.DropResponses(c.Count)
 	default:
 		return listener.Refuse(http.StatusBadRequest, "malformed", "no action "+c.Action)
 	}
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -186,9 +186,9 @@
 // Fail lets every later run fail at once, or ends that.
 func (w *Worker) Fail(on bool) { w.agent.Load().Fail(on) }
 
-// LoseAnswers lets the next n calls of the worker interface take effect
+// DropResponses lets the next n calls of the worker interface take effect
 // without an answer.
-func (w *Worker) LoseAnswers(n int) {
+func (w *Worker) DropResponses(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lose = n
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -216,7 +216,7 @@
 		Expect(c.Start(ctx, w.Host.Control, start(1, 1))).To(Succeed())
 		err := c.Start(ctx, w.Host.Control, start(0, 1))
 		Expect(err).To(MatchError(runner.ErrFenced))
-		w.LoseAnswers(1)
+		w.DropResponses(1)
 		_, err = c.Stop(ctx, w.Host.Control, runner.StopRequest{Task: task, Token: describer.Token{Epoch: 1, Sequence: 1}})
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
 		w.Kill()
