--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -154,7 +154,7 @@
 		return err
 	}
 	if args[1] == "cut" {
-		w.d.Worker(args[0]).CutAnswers(n)
+		w.d.Worker(args[0]).TruncateResponses(n)
 	} else {
 		w.d.Worker(args[0]).DropResponses(n)
 	}
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -117,7 +117,7 @@
 	case "recover":
 		w.Fail(false)
 	case "cut":
-		w.CutAnswers(c.Count)
+		w.TruncateResponses(c.Count)
 	case "lose":
 		w.DropResponses(c.Count)
 	default:
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -180,8 +180,8 @@
 // Silence lets the backend server's open connections go silent for good.
 func (w *Worker) Silence() { w.backend.silence() }
 
-// CutAnswers ends the next n answers half way.
-func (w *Worker) CutAnswers(n int) { w.backend.cut.Store(int64(n)) }
+// TruncateResponses ends the next n answers half way.
+func (w *Worker) TruncateResponses(n int) { w.backend.cut.Store(int64(n)) }
 
 // Fail lets every later run fail at once, or ends that.
 func (w *Worker) Fail(on bool) { w.agent.Load().Fail(on) }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -201,7 +201,7 @@
 	})
 
 	It("cuts an answer after the execution and counts a repetition", func() {
-		w.CutAnswers(1)
+		w.TruncateResponses(1)
 		_, _, err := call(fresh(), "1", "0s")
 		Expect(err).To(HaveOccurred())
 		Expect(a.Executions("1")).To(Equal(1))
