--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -89,7 +89,7 @@
 	quiet := func(context.Context) {
 		for _, m := range d.Domains {
 			for _, w := range m.Workers[:workers/2] {
-				w.Silence()
+				w.SilenceConnections()
 			}
 		}
 	}
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -138,7 +138,7 @@
 	for _, m := range w.d.Domains {
 		for _, h := range m.Workers {
 			if args[0] == "all" || args[0] == h.Host.Name {
-				h.Silence()
+				h.SilenceConnections()
 			}
 		}
 	}
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -109,7 +109,7 @@
 	case "resume":
 		w.Resume()
 	case "silence":
-		w.Silence()
+		w.SilenceConnections()
 	case "leave":
 		w.Leave()
 	case "fail":
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// Silence lets the backend server's open connections go silent for good.
-func (w *Worker) Silence() { w.backend.silence() }
+// SilenceConnections lets the backend server's open connections go silent for good.
+func (w *Worker) SilenceConnections() { w.backend.silence() }
 
 // TruncateResponses ends the next n answers half way.
 func (w *Worker) TruncateResponses(n int) { w.backend.cut.Store(int64(n)) }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -192,7 +192,7 @@
 		_, body, err := call(old, "1", "0s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("menu"))
-		w.Silence()
+		w.SilenceConnections()
 		_, _, err = call(old, "2", "0s")
 		Expect(err).To(HaveOccurred())
 		Expect(a.Executions("2")).To(BeZero())
