--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -111,7 +111,7 @@
 	case "silence":
 		w.SilenceConnections()
 	case "leave":
-		w.Leave()
+		w.MarkLeaving()
 	case "fail":
 		w.Fail(true)
 	case "recover":
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -194,8 +194,8 @@
 	w.lose = n
 }
 
-// Leave marks the time after which requests to the worker are counted as late.
-func (w *Worker) Leave() {
+// MarkLeaving marks the time after which requests to the worker are counted as late.
+func (w *Worker) MarkLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = time.Now()
