--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -51,7 +51,7 @@
 		return struct{}{}, nil
 	}))
 	m.Handle("POST /v1/change", listener.Handle(func(_ *http.Request, in change) (struct{}, error) {
-		r.Change(in.Name, in.State)
+		r.SetState(in.Name, in.State)
 		return struct{}{}, nil
 	}))
 	m.Handle("POST /v1/view", listener.Handle(func(_ *http.Request, in view) (struct{}, error) {
@@ -93,8 +93,8 @@
 	r.set(slices.Clone(hosts))
 }
 
-// Change sets one host's state; an empty state removes the host.
-func (r *Registrar) Change(name string, state describer.HostState) {
+// SetState sets one host's state; an empty state removes the host.
+func (r *Registrar) SetState(name string, state describer.HostState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hosts := slices.Clone(r.latest())
--- a/internal/standin/registrar/registrar_test.go
+++ b/internal/standin/registrar/registrar_test.go
@@ -25,7 +25,7 @@
 
 	It("shows a change only after the lag", func() {
 		r := start(time.Hour)
-		r.Change("w1", describer.Leaving)
+		r.SetState("w1", describer.Leaving)
 		hosts, err := lister.New("http://"+r.Address, http.DefaultClient).Hosts(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(hosts).To(HaveExactElements(HaveField("State", describer.Live)))
@@ -35,12 +35,12 @@
 		r := start(0)
 		r.View("fnq", map[string]string{"10.0.0.1:80": "10.0.0.9:80"})
 		c := lister.New("http://"+r.Address+"/fnq", http.DefaultClient)
-		r.Change("w1", describer.Leaving)
+		r.SetState("w1", describer.Leaving)
 		hosts, err := c.Hosts(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(hosts).To(HaveExactElements(And(
 			HaveField("State", describer.Leaving), HaveField("Address", "10.0.0.9:80"))))
-		r.Change("w1", "")
+		r.SetState("w1", "")
 		Expect(c.Hosts(ctx)).To(BeEmpty())
 	})
 })
