--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -80,8 +80,8 @@
 
 func partition(d *deployer.Deployment) []event {
 	return []event{
-		{at: 0.35, name: "regions cut off", do: func(context.Context) { d.Region.Cut(delayer.Blackhole) }},
-		{at: 0.55, name: "regions joined", do: func(context.Context) { d.Region.Heal() }},
+		{at: 0.35, name: "regions cut off", do: func(context.Context) { d.InterRegion.Cut(delayer.Blackhole) }},
+		{at: 0.55, name: "regions joined", do: func(context.Context) { d.InterRegion.Heal() }},
 	}
 }
 
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -164,7 +164,7 @@
 func (w *world) link(name string) (*delayer.Link, error) {
 	switch name {
 	case "region":
-		return w.d.Region, nil
+		return w.d.InterRegion, nil
 	case "local":
 		return w.d.Local, nil
 	}
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -72,7 +72,7 @@
 	Audit   *auditor.Auditor
 	Store   *keeper.Keeper
 	Hosts   *registrar.Registrar
-	Region  *delayer.Link // between the regions
+	InterRegion  *delayer.Link // between the regions
 	Local   *delayer.Link // between the failure domains of one region
 
 	options Options
@@ -102,7 +102,7 @@
 			{Name: "fnq-cns", Region: "fnq"},
 		},
 		Audit:  auditor.New(),
-		Region: delayer.NewLink(regionDelay, regionRate),
+		InterRegion: delayer.NewLink(regionDelay, regionRate),
 		Local:  delayer.NewLink(domainDelay, 0),
 		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}},
 	}
--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -118,7 +118,7 @@
 	}
 	link := d.Local
 	if from.Region != region {
-		link = d.Region
+		link = d.InterRegion
 	}
 	if from != d.Domains[0] {
 		link = link.Reverse()
