--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -166,7 +166,7 @@
 	case "region":
 		return w.d.InterRegion, nil
 	case "local":
-		return w.d.Local, nil
+		return w.d.IntraRegion, nil
 	}
 	return nil, eris.Errorf("no link %q, use region or local", name)
 }
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -73,7 +73,7 @@
 	Store   *keeper.Keeper
 	Hosts   *registrar.Registrar
 	InterRegion  *delayer.Link // between the regions
-	Local   *delayer.Link // between the failure domains of one region
+	IntraRegion   *delayer.Link // between the failure domains of one region
 
 	options Options
 	relays  []*delayer.Relay
@@ -103,7 +103,7 @@
 		},
 		Audit:  auditor.New(),
 		InterRegion: delayer.NewLink(regionDelay, regionRate),
-		Local:  delayer.NewLink(domainDelay, 0),
+		IntraRegion:  delayer.NewLink(domainDelay, 0),
 		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}},
 	}
 	steps := []func(context.Context) error{d.startPlatform, d.startWorkers, d.startEntries, d.startBalancers}
--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -116,7 +116,7 @@
 	if from.Name == name {
 		return target, nil
 	}
-	link := d.Local
+	link := d.IntraRegion
 	if from.Region != region {
 		link = d.InterRegion
 	}
