--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -129,7 +129,7 @@
 
 func leave(w *world, args []string) error {
 	return on(w, args, func(e *deployer.Entry) { e.Stop(w.ctx) }, func(h *hoster.Worker) {
-		w.d.Hosts.SetState(h.Host.Name, describer.Leaving)
+		w.d.HostList.SetState(h.Host.Name, describer.Leaving)
 		h.MarkLeaving()
 	})
 }
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -71,7 +71,7 @@
 	Domains []*Domain
 	Audit   *auditor.Auditor
 	Store   *keeper.Keeper
-	Hosts   *registrar.Registrar
+	HostList   *registrar.Registrar
 	InterRegion  *delayer.Link // between the regions
 	IntraRegion   *delayer.Link // between the failure domains of one region
 
@@ -124,8 +124,8 @@
 	for _, r := range d.relays {
 		_ = r.Close()
 	}
-	if d.Hosts != nil {
-		_ = d.Hosts.Close()
+	if d.HostList != nil {
+		_ = d.HostList.Close()
 	}
 	if d.Store != nil {
 		_ = d.Store.Close()
--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -16,7 +16,7 @@
 	if d.Store, err = keeper.New(loopback); err != nil {
 		return err
 	}
-	d.Hosts, err = registrar.New(loopback, hostsLag)
+	d.HostList, err = registrar.New(loopback, hostsLag)
 	return err
 }
 
@@ -44,13 +44,13 @@
 	if err != nil {
 		return err
 	}
-	d.Hosts.Set(hosts)
+	d.HostList.Set(hosts)
 	for _, m := range d.Domains {
 		relays, err := d.view(m, hosts)
 		if err != nil {
 			return err
 		}
-		d.Hosts.View(m.Name, relays)
+		d.HostList.View(m.Name, relays)
 		store, list, err := d.platform(m)
 		if err != nil {
 			return err
@@ -92,7 +92,7 @@
 	if store, err = d.through(m, home.Name, home.Region, d.Store.Address); err != nil {
 		return "", "", err
 	}
-	hosts, err = d.through(m, home.Name, home.Region, d.Hosts.Address)
+	hosts, err = d.through(m, home.Name, home.Region, d.HostList.Address)
 	return store, hosts, err
 }
 
