--- a/internal/operator/demonstrator/wave.go
+++ b/internal/operator/demonstrator/wave.go
@@ -92,7 +92,7 @@
 // follow submits a job until it is acknowledged and asks for it until it ends.
 func (w *wave) follow(ctx context.Context, m *deployer.Domain, job describer.Job) {
 	url := "http://" + m.Balancer.Address + "/v1/jobs"
-	err := deployer.Until(ctx, func() error { return deployer.Exchange(ctx, w.client, http.MethodPost, url, job, nil) })
+	err := deployer.Until(ctx, func() error { return deployer.CallJSON(ctx, w.client, http.MethodPost, url, job, nil) })
 	if err != nil {
 		return
 	}
@@ -101,7 +101,7 @@
 	w.mu.Unlock()
 	for deployer.Pause(ctx, inquireInterval) {
 		var status reducer.JobStatus
-		if deployer.Exchange(ctx, w.client, http.MethodGet, url+"/"+job.ID, nil, &status) != nil {
+		if deployer.CallJSON(ctx, w.client, http.MethodGet, url+"/"+job.ID, nil, &status) != nil {
 			continue
 		}
 		w.mu.Lock()
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -253,7 +253,7 @@
 	ctx, cancel := w.limited()
 	defer cancel()
 	url := "http://" + w.d.Domain(domain).Balancer.Address + path
-	return deployer.Until(ctx, func() error { return deployer.Exchange(ctx, client, method, url, in, nil) })
+	return deployer.Until(ctx, func() error { return deployer.CallJSON(ctx, client, method, url, in, nil) })
 }
 
 func call(w *world, args []string) error {
--- a/internal/operator/rehearser/conditions.go
+++ b/internal/operator/rehearser/conditions.go
@@ -117,7 +117,7 @@
 func (w *world) status(ctx context.Context, job string) (status reducer.JobStatus, err error) {
 	for _, m := range w.d.Domains {
 		url := "http://" + m.Balancer.Address + "/v1/jobs/" + job
-		if err = deployer.Exchange(ctx, client, http.MethodGet, url, nil, &status); err == nil {
+		if err = deployer.CallJSON(ctx, client, http.MethodGet, url, nil, &status); err == nil {
 			return status, nil
 		}
 	}
@@ -189,7 +189,7 @@
 		for _, e := range w.daemons() {
 			var reports []reducer.Status
 			url := "http://" + e.Settings.Listen.Operators + "/v1/status"
-			if err := deployer.Exchange(ctx, client, http.MethodGet, url, nil, &reports); err != nil {
+			if err := deployer.CallJSON(ctx, client, http.MethodGet, url, nil, &reports); err != nil {
 				return err
 			}
 			for _, r := range reports {
@@ -234,6 +234,6 @@
 // revisionOf asks a daemon for the configuration in force there.
 func revisionOf(ctx context.Context, e *deployer.Entry) (int64, error) {
 	var c describer.Configuration
-	err := deployer.Exchange(ctx, client, http.MethodGet, "http://"+e.Settings.Listen.Operators+"/v1/configuration", nil, &c)
+	err := deployer.CallJSON(ctx, client, http.MethodGet, "http://"+e.Settings.Listen.Operators+"/v1/configuration", nil, &c)
 	return c.Revision, err
 }
--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -83,7 +83,7 @@
 		e := w.d.Domains[i].Entries[0]
 		both.Go(func() {
 			url := "http://" + e.Settings.Listen.Operators + "/v1/plans/" + p.ID + "/confirm"
-			if deployer.Exchange(ctx, client, http.MethodPost, url, nil, nil) == nil {
+			if deployer.CallJSON(ctx, client, http.MethodPost, url, nil, nil) == nil {
 				confirmed.Add(1)
 			}
 		})
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -101,7 +101,7 @@
 	var err error
 	for _, m := range d.Domains {
 		for _, e := range m.Entries {
-			err = Exchange(ctx, d.client, method, "http://"+e.Settings.Listen.Operators+path, in, out)
+			err = CallJSON(ctx, d.client, method, "http://"+e.Settings.Listen.Operators+path, in, out)
 			if err == nil || ctx.Err() != nil {
 				return err
 			}
@@ -132,8 +132,8 @@
 	return c.Drains, err
 }
 
-// Exchange sends JSON and reads JSON; in and out may be nil.
-func Exchange(ctx context.Context, c *http.Client, method, url string, in, out any) error {
+// CallJSON sends JSON and reads JSON; in and out may be nil.
+func CallJSON(ctx context.Context, c *http.Client, method, url string, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
