--- a/internal/operator/demonstrator/drain.go
+++ b/internal/operator/demonstrator/drain.go
@@ -47,7 +47,7 @@
 	if !r.untilBusy(ctx) {
 		return
 	}
-	if err := deployer.Until(ctx, func() error { return r.isOver(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.isOver(ctx) }); err != nil {
 		return
 	}
 	r.mu.Lock()
@@ -62,7 +62,7 @@
 	if !deployer.Pause(ctx, time.Duration(float64(r.length())*drainAt)) {
 		return false
 	}
-	if err := deployer.Until(ctx, func() error { return r.confirm(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.confirm(ctx) }); err != nil {
 		r.say("not confirmed: " + err.Error())
 		return false
 	}
@@ -71,7 +71,7 @@
 		return false
 	}
 	r.say("drained")
-	if err := deployer.Until(ctx, func() error { return r.isRestoring(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.isRestoring(ctx) }); err != nil {
 		return false
 	}
 	r.say("restoring")
--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -55,7 +55,7 @@
 
 // start tries until the daemon runs, since its ports may still be in use.
 func start(ctx context.Context, e *deployer.Entry) {
-	_ = deployer.Until(ctx, func() error { return e.Start(ctx) })
+	_ = deployer.Retry(ctx, func() error { return e.Start(ctx) })
 }
 
 func kills(d *deployer.Deployment) []event {
@@ -64,7 +64,7 @@
 		{at: 0.35, name: "kill an entry host", do: func(context.Context) { first.Entries[0].Kill() }},
 		{at: 0.4, name: "kill a worker", do: func(context.Context) { last.Workers[0].Kill() }},
 		{at: 0.5, name: "replace the entry host", do: func(ctx context.Context) { start(ctx, first.Entries[0]) }},
-		{at: 0.55, name: "replace the worker", do: func(ctx context.Context) { _ = deployer.Until(ctx, last.Workers[0].Restart) }},
+		{at: 0.55, name: "replace the worker", do: func(ctx context.Context) { _ = deployer.Retry(ctx, last.Workers[0].Restart) }},
 	}
 }
 
--- a/internal/operator/demonstrator/wave.go
+++ b/internal/operator/demonstrator/wave.go
@@ -92,7 +92,7 @@
 // follow submits a job until it is acknowledged and asks for it until it ends.
 func (w *wave) follow(ctx context.Context, m *deployer.Domain, job describer.Job) {
 	url := "http://" + m.Balancer.Address + "/v1/jobs"
-	err := deployer.Until(ctx, func() error { return deployer.CallJSON(ctx, w.client, http.MethodPost, url, job, nil) })
+	err := deployer.Retry(ctx, func() error { return deployer.CallJSON(ctx, w.client, http.MethodPost, url, job, nil) })
 	if err != nil {
 		return
 	}
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := w.limited()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return e.Start(ctx) })
+	return deployer.Retry(ctx, func() error { return e.Start(ctx) })
 }
 
 // on carries a command out on an entry host's process or on a worker.
@@ -253,7 +253,7 @@
 	ctx, cancel := w.limited()
 	defer cancel()
 	url := "http://" + w.d.Domain(domain).Balancer.Address + path
-	return deployer.Until(ctx, func() error { return deployer.CallJSON(ctx, client, method, url, in, nil) })
+	return deployer.Retry(ctx, func() error { return deployer.CallJSON(ctx, client, method, url, in, nil) })
 }
 
 func call(w *world, args []string) error {
@@ -274,7 +274,7 @@
 	defer c.CloseIdleConnections()
 	ctx, cancel := w.limited()
 	defer cancel()
-	return deployer.Until(ctx, func() error {
+	return deployer.Retry(ctx, func() error {
 		outcome, code := w.calls.CallAt(c, address, q)
 		if outcome == caller.Denied && args[1] != outcome.String() {
 			return eris.Errorf("call %s was denied, want %s: %s", q.ID, args[1], code)
--- a/internal/operator/rehearser/conditions.go
+++ b/internal/operator/rehearser/conditions.go
@@ -55,7 +55,7 @@
 	}
 	ctx, cancel := w.limited()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return check(ctx) })
+	return deployer.Retry(ctx, func() error { return check(ctx) })
 }
 
 // atLeast builds a condition on a count.
--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -21,7 +21,7 @@
 	}
 	ctx, cancel := w.limited()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return w.d.Drain(ctx, args[0], args[2:], lasting) })
+	return deployer.Retry(ctx, func() error { return w.d.Drain(ctx, args[0], args[2:], lasting) })
 }
 
 // planDrain asks for the plan of a drain and does not confirm it.
@@ -37,7 +37,7 @@
 	defer cancel()
 	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: lasting}
 	var made describer.Plan
-	err = deployer.Until(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &made) })
+	err = deployer.Retry(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &made) })
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	ctx, cancel := w.limited()
 	defer cancel()
 	path := "/v1/plans/" + w.plans[args[0]] + "/confirm"
-	return deployer.Until(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, path, nil, nil) })
+	return deployer.Retry(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, path, nil, nil) })
 }
 
 // race lets two operators plan first and confirm at the same time.
@@ -70,7 +70,7 @@
 	var plans [2]describer.Plan
 	for i := range plans {
 		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: lasting}
-		err := deployer.Until(ctx, func() error {
+		err := deployer.Retry(ctx, func() error {
 			return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
 		})
 		if err != nil {
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -20,11 +20,11 @@
 // serves.
 func (d *Deployment) Configure(ctx context.Context) error {
 	c := d.configuration()
-	err := Until(ctx, func() error { return d.Operate(ctx, http.MethodPut, "/v1/configuration", c, nil) })
+	err := Retry(ctx, func() error { return d.Operate(ctx, http.MethodPut, "/v1/configuration", c, nil) })
 	if err != nil {
 		return eris.Wrap(err, "deployer: first configuration")
 	}
-	err = Until(ctx, d.Probe)
+	err = Retry(ctx, d.Probe)
 	return eris.Wrap(err, "deployer: not all entry hosts became ready")
 }
 
@@ -166,9 +166,9 @@
 	return data, err
 }
 
-// Until repeats a step until it succeeds, and returns its last error when ctx
+// Retry repeats a step until it succeeds, and returns its last error when ctx
 // ends first.
-func Until(ctx context.Context, step func() error) error {
+func Retry(ctx context.Context, step func() error) error {
 	for {
 		err := step()
 		if err == nil || !Pause(ctx, retryPause) {
