--- a/internal/operator/demonstrator/drain.go
+++ b/internal/operator/demonstrator/drain.go
@@ -59,7 +59,7 @@
 // untilBusy drains, and waits until every worker was empty and has requests again.
 func (r *drain) untilBusy(ctx context.Context) bool {
 	defer close(r.busy)
-	if !deployer.Pause(ctx, time.Duration(float64(r.length())*drainAt)) {
+	if !deployer.Sleep(ctx, time.Duration(float64(r.length())*drainAt)) {
 		return false
 	}
 	if err := deployer.Retry(ctx, func() error { return r.confirm(ctx) }); err != nil {
@@ -142,7 +142,7 @@
 		if all {
 			return true
 		}
-		if !deployer.Pause(ctx, watchInterval) {
+		if !deployer.Sleep(ctx, watchInterval) {
 			return false
 		}
 	}
--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -17,7 +17,7 @@
 }
 
 func (e event) run(ctx context.Context, length time.Duration) {
-	if !deployer.Pause(ctx, time.Duration(float64(length)*e.at)) {
+	if !deployer.Sleep(ctx, time.Duration(float64(length)*e.at)) {
 		return
 	}
 	e.view.note(e.name)
@@ -106,7 +106,7 @@
 		{at: 0.35, name: "freeze a worker", do: func(ctx context.Context) {
 			frozen.Pause()
 			lease := time.Duration(d.Domains[0].Entries[0].Settings.Lease.Task)
-			deployer.Pause(ctx, lease+time.Second)
+			deployer.Sleep(ctx, lease+time.Second)
 			frozen.Resume()
 		}},
 	}
--- a/internal/operator/demonstrator/screen.go
+++ b/internal/operator/demonstrator/screen.go
@@ -38,7 +38,7 @@
 // draw shows progress until ctx ends.
 func (s *screen) draw(ctx context.Context) {
 	last := ""
-	for deployer.Pause(ctx, drawInterval) {
+	for deployer.Sleep(ctx, drawInterval) {
 		if s.terminal {
 			fmt.Fprintf(s.out, "\r%-*s", lineWidth, s.line())
 			continue
--- a/internal/operator/demonstrator/wave.go
+++ b/internal/operator/demonstrator/wave.go
@@ -53,13 +53,13 @@
 // run submits jobs while loaded holds and waits for their ends until settled.
 func (w *wave) run(loaded, settled context.Context) {
 	length := time.Duration(w.options.Seconds) * time.Second
-	if !deployer.Pause(loaded, time.Duration(float64(length)*waveAt)) {
+	if !deployer.Sleep(loaded, time.Duration(float64(length)*waveAt)) {
 		return
 	}
 	ends := time.Now().Add(time.Duration(float64(length) * (waveEnd - waveAt)))
 	var jobs sync.WaitGroup
 	for n := 0; time.Now().Before(ends); n++ {
-		if n >= waveSize && !deployer.Pause(loaded, time.Second/jobsASecond) {
+		if n >= waveSize && !deployer.Sleep(loaded, time.Second/jobsASecond) {
 			break
 		}
 		m, job := w.next(n)
@@ -99,7 +99,7 @@
 	w.mu.Lock()
 	w.accepted[job.ID] = job.Tasks
 	w.mu.Unlock()
-	for deployer.Pause(ctx, inquireInterval) {
+	for deployer.Sleep(ctx, inquireInterval) {
 		var status reducer.JobStatus
 		if deployer.CallJSON(ctx, w.client, http.MethodGet, url+"/"+job.ID, nil, &status) != nil {
 			continue
--- a/internal/operator/rehearser/watcher.go
+++ b/internal/operator/rehearser/watcher.go
@@ -32,7 +32,7 @@
 	for _, m := range d.Domains {
 		for _, e := range m.Entries {
 			parts.Go(func() {
-				for deployer.Pause(ctx, watchInterval) {
+				for deployer.Sleep(ctx, watchInterval) {
 					w.look(ctx, e)
 				}
 			})
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -86,7 +86,7 @@
 			defer client.CloseIdleConnections()
 			var calls sync.WaitGroup
 			defer calls.Wait()
-			for deployer.Pause(ctx, l.gap()) {
+			for deployer.Sleep(ctx, l.gap()) {
 				q := l.next(m)
 				calls.Go(func() { l.Call(client, m, q) })
 			}
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -171,14 +171,14 @@
 func Retry(ctx context.Context, step func() error) error {
 	for {
 		err := step()
-		if err == nil || !Pause(ctx, retryPause) {
+		if err == nil || !Sleep(ctx, retryPause) {
 			return err
 		}
 	}
 }
 
-// Pause waits, and reports whether ctx still holds.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits, and reports whether ctx still holds.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
