--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -37,7 +37,7 @@
 	defer cancel()
 	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: lasting}
 	var made describer.Plan
-	err = deployer.Retry(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &made) })
+	err = deployer.Retry(ctx, func() error { return w.d.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &made) })
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	ctx, cancel := w.limited()
 	defer cancel()
 	path := "/v1/plans/" + w.plans[args[0]] + "/confirm"
-	return deployer.Retry(ctx, func() error { return w.d.Operate(ctx, http.MethodPost, path, nil, nil) })
+	return deployer.Retry(ctx, func() error { return w.d.CallOperators(ctx, http.MethodPost, path, nil, nil) })
 }
 
 // race lets two operators plan first and confirm at the same time.
@@ -71,7 +71,7 @@
 	for i := range plans {
 		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: lasting}
 		err := deployer.Retry(ctx, func() error {
-			return w.d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
+			return w.d.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
 		})
 		if err != nil {
 			return err
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -20,7 +20,7 @@
 // serves.
 func (d *Deployment) Configure(ctx context.Context) error {
 	c := d.configuration()
-	err := Retry(ctx, func() error { return d.Operate(ctx, http.MethodPut, "/v1/configuration", c, nil) })
+	err := Retry(ctx, func() error { return d.CallOperators(ctx, http.MethodPut, "/v1/configuration", c, nil) })
 	if err != nil {
 		return eris.Wrap(err, "deployer: first configuration")
 	}
@@ -95,9 +95,9 @@
 	return nil
 }
 
-// Operate sends a call to the operators' port of the first entry host that
+// CallOperators sends a call to the operators' port of the first entry host that
 // answers it without fault.
-func (d *Deployment) Operate(ctx context.Context, method, path string, in, out any) error {
+func (d *Deployment) CallOperators(ctx context.Context, method, path string, in, out any) error {
 	var err error
 	for _, m := range d.Domains {
 		for _, e := range m.Entries {
@@ -119,16 +119,16 @@
 // Confirm states an intent, and confirms its plan.
 func (d *Deployment) Confirm(ctx context.Context, intent describer.Intent) error {
 	var plan describer.Plan
-	if err := d.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plan); err != nil {
+	if err := d.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plan); err != nil {
 		return err
 	}
-	return d.Operate(ctx, http.MethodPost, fmt.Sprintf("/v1/plans/%s/confirm", plan.ID), nil, nil)
+	return d.CallOperators(ctx, http.MethodPost, fmt.Sprintf("/v1/plans/%s/confirm", plan.ID), nil, nil)
 }
 
 // Drains returns the drains in force.
 func (d *Deployment) Drains(ctx context.Context) ([]describer.Drain, error) {
 	var c describer.Configuration
-	err := d.Operate(ctx, http.MethodGet, "/v1/configuration", nil, &c)
+	err := d.CallOperators(ctx, http.MethodGet, "/v1/configuration", nil, &c)
 	return c.Drains, err
 }
 
