--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -113,11 +113,11 @@
 // Drain states the intent to drain workers, and confirms its plan.
 func (d *Deployment) Drain(ctx context.Context, id string, workers []string, lasting time.Duration) error {
 	intent := describer.Intent{ID: id, Action: describer.DrainWorkers, Workers: workers, For: lasting}
-	return d.Confirm(ctx, intent)
+	return d.ApplyIntent(ctx, intent)
 }
 
-// Confirm states an intent, and confirms its plan.
-func (d *Deployment) Confirm(ctx context.Context, intent describer.Intent) error {
+// ApplyIntent states an intent, and confirms its plan.
+func (d *Deployment) ApplyIntent(ctx context.Context, intent describer.Intent) error {
 	var plan describer.Plan
 	if err := d.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plan); err != nil {
 		return err
