--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -49,7 +49,7 @@
 	if w.d != nil && len(args) == 1 {
 		return w.startOne(args[0])
 	}
-	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, Target: lenientTarget, Launch: w.launch}
+	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, LatencyTarget: lenientTarget, Launch: w.launch}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
 		n, err := strconv.Atoi(value)
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -56,7 +56,7 @@
 type Options struct {
 	EntryHosts int           // in each failure domain
 	Workers    int           // in each failure domain
-	Target     time.Duration // of the service's latency, 0 is defaultTarget
+	LatencyTarget     time.Duration // of the service's latency, 0 is defaultTarget
 	Launch     func(context.Context, parser.Settings) (Daemon, error)
 }
 
@@ -91,8 +91,8 @@
 
 // New starts a deployment.
 func New(ctx context.Context, o Options) (*Deployment, error) {
-	if o.Target == 0 {
-		o.Target = defaultTarget
+	if o.LatencyTarget == 0 {
+		o.LatencyTarget = defaultTarget
 	}
 	d := &Deployment{
 		options: o,
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -30,7 +30,7 @@
 
 func (d *Deployment) configuration() describer.Configuration {
 	c := describer.Configuration{
-		Services: []describer.Service{{Name: Service, Target: d.options.Target}},
+		Services: []describer.Service{{Name: Service, Target: d.options.LatencyTarget}},
 		Teams: []describer.Team{
 			{Name: "owners", Weight: 4},
 			{Name: "council", Weight: 2},
