--- a/internal/operator/commander/standin.go
+++ b/internal/operator/commander/standin.go
@@ -169,7 +169,7 @@
 				Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10},
 				Services: []string{service},
 			},
-			Service: 5 * time.Millisecond,
+			ServiceTime: 5 * time.Millisecond,
 			Lag:     time.Second,
 		}
 	}
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -151,7 +151,7 @@
 
 // serviceTime grows with the processor share of batch runs.
 func (b *backend) serviceTime(r *http.Request) time.Duration {
-	base := b.worker.options.Service
+	base := b.worker.options.ServiceTime
 	if d, err := time.ParseDuration(r.Header.Get(HeaderWork)); err == nil {
 		base = d
 	}
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -140,7 +140,7 @@
 				Slots:    8, Connections: 64,
 				Services: []string{service},
 			},
-			Service:      10 * time.Millisecond,
+			ServiceTime:      10 * time.Millisecond,
 			Lag:          2 * time.Second,
 			Interference: map[string]float64{"render": 1, "translate": 0.3},
 		}
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -35,7 +35,7 @@
 // Options of a worker.
 type Options struct {
 	Host         describer.Host     // empty addresses mean loopback ports of its own
-	Service      time.Duration      // service time of a request that states none
+	ServiceTime      time.Duration      // service time of a request that states none
 	Lag          time.Duration      // of usage and latency reports
 	Interference map[string]float64 // slow-down by a class at full processor share; 1 doubles
 	Enforce      bool               // refuse overfull starts in place of counting them
