--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -24,7 +24,7 @@
 	for _, m := range d.Domains {
 		for i, o := range hoster.Typical(m.Region, m.Name, Service, d.options.Workers) {
 			o.Host.Rack = rackName(m, i/RackSize)
-			o.Lag, o.ServiceTime = usageLag, serviceTime
+			o.ReportDelay, o.ServiceTime = usageLag, serviceTime
 			w, err := hoster.New(o, d.Audit)
 			if err != nil {
 				return err
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -53,7 +53,7 @@
 		runs:     make(map[describer.TaskID]*run),
 		ended:    make(map[runner.Run]runner.StopResult),
 		finished: make(map[runner.Run]runner.FinishedRun),
-		meter:    meter{lag: o.Lag, slots: o.Host.Slots},
+		meter:    meter{lag: o.ReportDelay, slots: o.Host.Slots},
 	}
 	m.timer = time.AfterFunc(time.Hour, m.wake)
 	return m
@@ -176,7 +176,7 @@
 func (m *Agent) inventory(now time.Time) runner.SyncResult {
 	out := runner.SyncResult{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
 	for _, r := range m.runs {
-		out.Running = append(out.Running, r.report(now, m.options.Lag))
+		out.Running = append(out.Running, r.report(now, m.options.ReportDelay))
 	}
 	for _, f := range m.finished {
 		out.Finished = append(out.Finished, f)
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -141,7 +141,7 @@
 				Services: []string{service},
 			},
 			ServiceTime:      10 * time.Millisecond,
-			Lag:          2 * time.Second,
+			ReportDelay:          2 * time.Second,
 			Interference: map[string]float64{"render": 1, "translate": 0.3},
 		}
 	}
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -36,7 +36,7 @@
 type Options struct {
 	Host         describer.Host     // empty addresses mean loopback ports of its own
 	ServiceTime      time.Duration      // service time of a request that states none
-	Lag          time.Duration      // of usage and latency reports
+	ReportDelay          time.Duration      // of usage and latency reports
 	Interference map[string]float64 // slow-down by a class at full processor share; 1 doubles
 	Enforce      bool               // refuse overfull starts in place of counting them
 }
