--- a/internal/operator/commander/standin.go
+++ b/internal/operator/commander/standin.go
@@ -118,7 +118,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			targets := make([]balancer.Target, len(entries))
 			for i, address := range entries {
-				targets[i] = balancer.Target{Address: address, Check: "http://" + address + "/ready"}
+				targets[i] = balancer.Target{Address: address, CheckURL: "http://" + address + "/ready"}
 			}
 			b, err := balancer.New(listen, targets, check)
 			if err != nil {
--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -20,7 +20,7 @@
 // Target is an entry host.
 type Target struct {
 	Address string `json:"address"` // for callers, ip:port
-	Check   string `json:"check"`   // URL that answers 200 while it may be used
+	CheckURL   string `json:"check"`   // URL that answers 200 while it may be used
 }
 
 // Balancer spreads connections.
@@ -122,7 +122,7 @@
 	ok := make([]bool, len(targets))
 	var all sync.WaitGroup
 	for i, t := range targets {
-		all.Go(func() { ok[i] = isReady(ctx, client, t.Check) })
+		all.Go(func() { ok[i] = isReady(ctx, client, t.CheckURL) })
 	}
 	all.Wait()
 	var out []Target
--- a/internal/standin/balancer/balancer_test.go
+++ b/internal/standin/balancer/balancer_test.go
@@ -28,7 +28,7 @@
 			}))
 			DeferCleanup(s.Close)
 			targets = append(targets, balancer.Target{
-				Address: strings.TrimPrefix(s.URL, "http://"), Check: s.URL + "/ready",
+				Address: strings.TrimPrefix(s.URL, "http://"), CheckURL: s.URL + "/ready",
 			})
 		}
 		b, err := balancer.New("127.0.0.1:0", targets, 10*time.Millisecond)
--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -146,7 +146,7 @@
 		var targets []balancer.Target
 		for _, e := range m.Entries {
 			callers := e.Settings.Listen.Callers
-			targets = append(targets, balancer.Target{Address: callers, Check: "http://" + callers + "/ready"})
+			targets = append(targets, balancer.Target{Address: callers, CheckURL: "http://" + callers + "/ready"})
 		}
 		b, err := balancer.New(loopback, targets, checkInterval)
 		if err != nil {
