--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -18,7 +18,7 @@
 		a.Ended(task, "w1", auditor.Stopped)
 		a.Began(task, "w2")
 		a.Ended(task, "w2", auditor.Completed)
-		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Faults", BeEmpty())))
+		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Violations", BeEmpty())))
 	})
 
 	It("counts a task that is in two places once", func() {
