--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -57,7 +57,7 @@
 type Report struct {
 	Requests int64
 	Failed   int64 // without an answer of their own, refusals included
-	Broken   int64 // of these, connections that ended without a whole answer
+	ConnectionErrors   int64 // of these, connections that ended without a whole answer
 	Mismatched    int64 // answers that were not the request's own
 	CutByStop      int64 // in flight at an entry host when its planned stop cut them
 	FalseDenials   int64 // said not to have run, though they had
@@ -219,7 +219,7 @@
 		l.counts.FailuresByCode[a.code]++
 	}
 	if a.err != nil {
-		l.counts.Broken++
+		l.counts.ConnectionErrors++
 	}
 	if a.wrong {
 		l.counts.Mismatched++
