--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -56,12 +56,12 @@
 	Violations     []string `json:"faults"`     // the first violations in words
 }
 
-// Ending is how a run ended.
-type Ending uint8
+// Outcome is how a run ended.
+type Outcome uint8
 
 // Endings of runs.
 const (
-	Completed Ending = iota
+	Completed Outcome = iota
 	Stopped
 	Lapsed
 	Failed
@@ -92,7 +92,7 @@
 }
 
 // Ended reports that a run is over.
-func (a *Auditor) Ended(task describer.TaskID, worker string, e Ending) {
+func (a *Auditor) Ended(task describer.TaskID, worker string, e Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := a.history(task)
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -299,7 +299,7 @@
 }
 
 // end takes a run out and remembers the answer for repeated stops.
-func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.StopResult {
+func (m *Agent) end(r *run, e auditor.Outcome, checkpoint string) runner.StopResult {
 	delete(m.runs, r.start.Task)
 	m.audit.Ended(r.start.Task, m.options.Host.Name, e)
 	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
