--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -63,7 +63,7 @@
 const (
 	Completed Outcome = iota
 	Stopped
-	Lapsed
+	LeaseExpired
 	Failed
 	Lost // the worker died
 )
@@ -106,7 +106,7 @@
 		}
 	case Stopped:
 		a.report.Stopped++
-	case Lapsed:
+	case LeaseExpired:
 		a.report.LeaseExpired++
 	case Failed:
 		a.report.Failed++
