--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -65,7 +65,7 @@
 	Stopped
 	LeaseExpired
 	Failed
-	Lost // the worker died
+	WorkerDied // the worker died
 )
 
 // New returns an empty Auditor.
@@ -110,7 +110,7 @@
 		a.report.LeaseExpired++
 	case Failed:
 		a.report.Failed++
-	case Lost:
+	case WorkerDied:
 		a.report.Lost++
 	}
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -235,7 +235,7 @@
 	m.timer.Stop()
 	for task, r := range m.runs {
 		delete(m.runs, task)
-		m.audit.Ended(r.start.Task, m.options.Host.Name, auditor.Lost)
+		m.audit.Ended(r.start.Task, m.options.Host.Name, auditor.WorkerDied)
 	}
 	for _, f := range m.finished {
 		if f.OK {
