--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Began reports that a run of the task begins on the worker.
-func (a *Auditor) Began(task describer.TaskID, worker string) {
+// RunStarted reports that a run of the task begins on the worker.
+func (a *Auditor) RunStarted(task describer.TaskID, worker string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := a.history(task)
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -97,7 +97,7 @@
 		r.payload.Fail = true
 	}
 	m.runs[s.Task] = r
-	m.audit.Began(s.Task, m.options.Host.Name)
+	m.audit.RunStarted(s.Task, m.options.Host.Name)
 	m.checkCapacity()
 	m.schedule()
 	return true, nil
