--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// Ended reports that a run is over.
-func (a *Auditor) Ended(task describer.TaskID, worker string, e Outcome) {
+// RunEnded reports that a run is over.
+func (a *Auditor) RunEnded(task describer.TaskID, worker string, e Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	h := a.history(task)
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -15,27 +15,27 @@
 
 	It("accepts runs one after the other", func() {
 		a.RunStarted(task, "w1")
-		a.Ended(task, "w1", auditor.Stopped)
+		a.RunEnded(task, "w1", auditor.Stopped)
 		a.RunStarted(task, "w2")
-		a.Ended(task, "w2", auditor.Completed)
+		a.RunEnded(task, "w2", auditor.Completed)
 		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Violations", BeEmpty())))
 	})
 
 	It("counts a task that is in two places once", func() {
 		a.RunStarted(task, "w1")
 		a.RunStarted(task, "w2")
-		a.Ended(task, "w1", auditor.Completed)
-		a.Ended(task, "w2", auditor.Completed)
+		a.RunEnded(task, "w1", auditor.Completed)
+		a.RunEnded(task, "w2", auditor.Completed)
 		Expect(a.Report().Duplicated).To(Equal(1))
 	})
 
 	It("counts a task that begins after it completed, unless that is lost", func() {
 		a.RunStarted(task, "w1")
-		a.Ended(task, "w1", auditor.Completed)
+		a.RunEnded(task, "w1", auditor.Completed)
 		a.Forgot(task)
 		a.RunStarted(task, "w2")
 		Expect(a.Report().Duplicated).To(BeZero())
-		a.Ended(task, "w2", auditor.Completed)
+		a.RunEnded(task, "w2", auditor.Completed)
 		a.RunStarted(task, "w3")
 		Expect(a.Report().Duplicated).To(Equal(1))
 	})
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -235,7 +235,7 @@
 	m.timer.Stop()
 	for task, r := range m.runs {
 		delete(m.runs, task)
-		m.audit.Ended(r.start.Task, m.options.Host.Name, auditor.WorkerDied)
+		m.audit.RunEnded(r.start.Task, m.options.Host.Name, auditor.WorkerDied)
 	}
 	for _, f := range m.finished {
 		if f.OK {
@@ -301,7 +301,7 @@
 // end takes a run out and remembers the answer for repeated stops.
 func (m *Agent) end(r *run, e auditor.Outcome, checkpoint string) runner.StopResult {
 	delete(m.runs, r.start.Task)
-	m.audit.Ended(r.start.Task, m.options.Host.Name, e)
+	m.audit.RunEnded(r.start.Task, m.options.Host.Name, e)
 	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
 	m.ended[r.id()] = out
 	return out
