--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Forgot reports that a worker died with a completion that nobody had
+// CompletionLost reports that a worker died with a completion that nobody had
 // acknowledged: the task may run again.
-func (a *Auditor) Forgot(task describer.TaskID) {
+func (a *Auditor) CompletionLost(task describer.TaskID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.history(task).forgotten++
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -32,7 +32,7 @@
 	It("counts a task that begins after it completed, unless that is lost", func() {
 		a.RunStarted(task, "w1")
 		a.RunEnded(task, "w1", auditor.Completed)
-		a.Forgot(task)
+		a.CompletionLost(task)
 		a.RunStarted(task, "w2")
 		Expect(a.Report().Duplicated).To(BeZero())
 		a.RunEnded(task, "w2", auditor.Completed)
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -239,7 +239,7 @@
 	}
 	for _, f := range m.finished {
 		if f.OK {
-			m.audit.Forgot(f.Task)
+			m.audit.CompletionLost(f.Task)
 		}
 	}
 	m.finished = nil
