--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -123,8 +123,8 @@
 	a.history(task).forgotten++
 }
 
-// Overfilled reports grants beyond a worker's capacity.
-func (a *Auditor) Overfilled(worker string, granted, capacity describer.Resources) {
+// CapacityExceeded reports grants beyond a worker's capacity.
+func (a *Auditor) CapacityExceeded(worker string, granted, capacity describer.Resources) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.CapacityExceeded++
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -342,7 +342,7 @@
 
 func (m *Agent) checkCapacity() {
 	if sum := m.granted(); !sum.Fits(m.options.Host.Capacity) {
-		m.audit.Overfilled(m.options.Host.Name, sum, m.options.Host.Capacity)
+		m.audit.CapacityExceeded(m.options.Host.Name, sum, m.options.Host.Capacity)
 	}
 }
 
