--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -131,9 +131,9 @@
 	a.fault("%s has granted %+v of %+v", worker, granted, capacity)
 }
 
-// Executed reports an execution of the request with this id. Only requests
+// RequestExecuted reports an execution of the request with this id. Only requests
 // that must not be repeated are checked.
-func (a *Auditor) Executed(id, worker string, idempotent bool) {
+func (a *Auditor) RequestExecuted(id, worker string, idempotent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.Requests++
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -41,10 +41,10 @@
 	})
 
 	It("counts repeated requests unless they are idempotent", func() {
-		a.Executed("r", "w1", true)
-		a.Executed("r", "w1", true)
+		a.RequestExecuted("r", "w1", true)
+		a.RequestExecuted("r", "w1", true)
 		Expect(a.Report().RepeatedRequests).To(BeZero())
-		a.Executed("r", "w1", false)
+		a.RequestExecuted("r", "w1", false)
 		Expect(a.Report().RepeatedRequests).To(Equal(1))
 		Expect(a.Executions("r")).To(Equal(3))
 	})
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -206,7 +206,7 @@
 
 func (w *Worker) executed(id string, idempotent bool) {
 	w.Counts.Requests.Add(1)
-	w.audit.Executed(id, w.options.Host.Name, idempotent)
+	w.audit.RequestExecuted(id, w.options.Host.Name, idempotent)
 	w.mu.Lock()
 	late := !w.leaving.IsZero() && time.Since(w.leaving) > leaveGrace
 	w.mu.Unlock()
