--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Late reports a request to a worker long after it began to leave.
-func (a *Auditor) Late(worker string) {
+// LateRequest reports a request to a worker long after it began to leave.
+func (a *Auditor) LateRequest(worker string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.LateRequests++
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -211,7 +211,7 @@
 	late := !w.leaving.IsZero() && time.Since(w.leaving) > leaveGrace
 	w.mu.Unlock()
 	if late {
-		w.audit.Late(w.options.Host.Name)
+		w.audit.LateRequest(w.options.Host.Name)
 	}
 }
 
