--- a/internal/standin/delayer/hub.go
+++ b/internal/standin/delayer/hub.go
@@ -123,7 +123,7 @@
 	if l == nil {
 		return unknown(link)
 	}
-	for _, c := range []Cut{None, Drop, Blackhole} {
+	for _, c := range []CutMode{None, Drop, Blackhole} {
 		if c.String() == how {
 			l.Cut(c)
 			return nil
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Cut is how a link is cut.
-type Cut uint8
+// CutMode is how a link is cut.
+type CutMode uint8
 
 // Ways to cut a link.
 const (
-	None      Cut = iota
+	None      CutMode = iota
 	Drop          // connections are reset and new ones refused
 	Blackhole     // bytes wait for the link to heal, as TCP sends them again
 )
 
-func (c Cut) String() string { return [...]string{"none", "drop", "blackhole"}[c] }
+func (c CutMode) String() string { return [...]string{"none", "drop", "blackhole"}[c] }
 
 // Link joins two places. Its direction up leads towards the relays' targets.
 type Link struct {
@@ -30,7 +30,7 @@
 // state is what both views of a link share.
 type state struct {
 	mu      sync.Mutex
-	cut     Cut
+	cut     CutMode
 	changed chan struct{} // closed at the next change
 	relays  []*Relay
 }
@@ -60,7 +60,7 @@
 }
 
 // Cut cuts the link until Heal.
-func (l *Link) Cut(c Cut) {
+func (l *Link) Cut(c CutMode) {
 	s := l.state
 	s.mu.Lock()
 	s.cut = c
@@ -87,7 +87,7 @@
 	l.state.relays = append(l.state.relays, r)
 }
 
-func (l *Link) present() (Cut, <-chan struct{}) {
+func (l *Link) present() (CutMode, <-chan struct{}) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	return l.state.cut, l.state.changed
