--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -79,7 +79,7 @@
 	case b.slots <- struct{}{}:
 		defer func() { <-b.slots }()
 	default:
-		b.refuse(w, &b.worker.Counts.Slots)
+		b.refuse(w, &b.worker.Counts.RefusedForSlots)
 		return
 	}
 	b.execute(w, r)
