--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -68,7 +68,7 @@
 	b.worker.waitResumed(r.Context())
 	if r.Context().Value(overLimit{}) != nil {
 		w.Header().Set("Connection", "close")
-		b.refuse(w, &b.worker.Counts.Connections)
+		b.refuse(w, &b.worker.Counts.RefusedForConnections)
 		return
 	}
 	if r.Method == http.MethodHead {
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -66,7 +66,7 @@
 // Counts of a worker's lifetime, restarts included.
 type Counts struct {
 	RefusedForSlots       atomic.Int64 // requests refused for want of a slot
-	Connections atomic.Int64 // requests refused for want of a connection
+	RefusedForConnections atomic.Int64 // requests refused for want of a connection
 	Requests    atomic.Int64 // executed
 	Runs        atomic.Int64 // begun
 }
