--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return false, listener.Refuse(http.StatusBadRequest, "malformed", err.Error())
 	}
-	if m.options.Enforce && !s.Granted.Fits(m.options.Host.Capacity.Sub(m.granted())) {
+	if m.options.EnforceCapacity && !s.Granted.Fits(m.options.Host.Capacity.Sub(m.granted())) {
 		return false, listener.Refuse(http.StatusConflict, "full", "no room for "+s.Task.String())
 	}
 	m.fences[s.Task] = s.Token
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -38,7 +38,7 @@
 	ServiceTime      time.Duration      // service time of a request that states none
 	ReportDelay          time.Duration      // of usage and latency reports
 	Interference map[string]float64 // slow-down by a class at full processor share; 1 doubles
-	Enforce      bool               // refuse overfull starts in place of counting them
+	EnforceCapacity      bool               // refuse overfull starts in place of counting them
 }
 
 // Worker is one stand-in worker.
