--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -113,9 +113,9 @@
 	case "leave":
 		w.MarkLeaving()
 	case "fail":
-		w.Fail(true)
+		w.SetFailing(true)
 	case "recover":
-		w.Fail(false)
+		w.SetFailing(false)
 	case "cut":
 		w.TruncateResponses(c.Count)
 	case "lose":
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -183,8 +183,8 @@
 // TruncateResponses ends the next n answers half way.
 func (w *Worker) TruncateResponses(n int) { w.backend.cut.Store(int64(n)) }
 
-// Fail lets every later run fail at once, or ends that.
-func (w *Worker) Fail(on bool) { w.agent.Load().Fail(on) }
+// SetFailing lets every later run fail at once, or ends that.
+func (w *Worker) SetFailing(on bool) { w.agent.Load().Fail(on) }
 
 // DropResponses lets the next n calls of the worker interface take effect
 // without an answer.
