--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -219,8 +219,8 @@
 	m.schedule()
 }
 
-// Fail lets every later run fail at once, or ends that.
-func (m *Agent) Fail(on bool) {
+// SetFailing lets every later run fail at once, or ends that.
+func (m *Agent) SetFailing(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.failing = on
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -184,7 +184,7 @@
 func (w *Worker) TruncateResponses(n int) { w.backend.cut.Store(int64(n)) }
 
 // SetFailing lets every later run fail at once, or ends that.
-func (w *Worker) SetFailing(on bool) { w.agent.Load().Fail(on) }
+func (w *Worker) SetFailing(on bool) { w.agent.Load().SetFailing(on) }
 
 // DropResponses lets the next n calls of the worker interface take effect
 // without an answer.
