--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -203,9 +203,9 @@
 	return len(m.runs)
 }
 
-// Pause freezes all runs, or lets them go on. A lease that ended meanwhile
+// SetPaused freezes all runs, or lets them go on. A lease that ended meanwhile
 // has lapsed.
-func (m *Agent) Pause(on bool) {
+func (m *Agent) SetPaused(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance()
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -158,7 +158,7 @@
 	defer w.mu.Unlock()
 	if w.paused == nil {
 		w.paused = make(chan struct{})
-		w.agent.Load().Pause(true)
+		w.agent.Load().SetPaused(true)
 	}
 }
 
@@ -173,7 +173,7 @@
 	if w.paused != nil {
 		close(w.paused)
 		w.paused = nil
-		w.agent.Load().Pause(false)
+		w.agent.Load().SetPaused(false)
 	}
 }
 
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -117,12 +117,12 @@
 func TestPausedRunLapses(t *testing.T) {
 	virtual(t, func(g Gomega, m *hoster.Agent, a *auditor.Auditor) {
 		g.Expect(failure(m.Start(start(1, 1)))).To(Succeed())
-		m.Pause(true)
+		m.SetPaused(true)
 		time.Sleep(9 * time.Second)
 		g.Expect(m.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
 		g.Expect(a.Report().LeaseExpired).To(Equal(1))
-		m.Pause(false)
+		m.SetPaused(false)
 		g.Expect(a.Report().Finished).To(BeZero())
 	})
 }
