--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -114,5 +114,5 @@
 // matches reports whether the answer is whole and the request's own.
 func (q Request) matches(answer *http.Response, data []byte) bool {
 	return answer.Header.Get(hoster.HeaderRequest) == q.ID &&
-		bytes.Equal(data, hoster.Answer(q.ID, []byte(q.Body), fmt.Sprint(q.Size)))
+		bytes.Equal(data, hoster.ResponseBody(q.ID, []byte(q.Body), fmt.Sprint(q.Size)))
 }
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -110,7 +110,7 @@
 	b.worker.agent.Load().meter.add(b.service(), began, time.Since(began))
 	w.Header().Set(HeaderRequest, id)
 	w.Header().Set(HeaderWorker, b.worker.options.Host.Name)
-	b.answer(w, Answer(id, body, r.Header.Get(HeaderSize)))
+	b.answer(w, ResponseBody(id, body, r.Header.Get(HeaderSize)))
 }
 
 func isIdempotent(r *http.Request) bool {
@@ -121,9 +121,9 @@
 	return true
 }
 
-// Answer is the body that a request's answer must have: the request's body,
+// ResponseBody is the body that a request's answer must have: the request's body,
 // or its id if it has none, repeated up to the size.
-func Answer(id string, body []byte, size string) []byte {
+func ResponseBody(id string, body []byte, size string) []byte {
 	unit := body
 	if len(unit) == 0 {
 		unit = []byte(id + "\n")
