--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -103,7 +103,7 @@
 	r.Header.Set(hoster.HeaderRequest, q.ID)
 	r.Header.Set(hoster.HeaderSize, fmt.Sprint(q.Size))
 	if q.Work > 0 {
-		r.Header.Set(hoster.HeaderWork, q.Work.String())
+		r.Header.Set(hoster.HeaderServiceTime, q.Work.String())
 	}
 	if q.Charge {
 		r.Header.Set(hoster.HeaderKey, q.ID)
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -14,7 +14,7 @@
 // Headers that the backend server reads and writes.
 const (
 	HeaderRequest    = "Dotterel-Request"     // the caller's id of the request, echoed
-	HeaderWork       = "Dotterel-Work"        // service time, duration text
+	HeaderServiceTime       = "Dotterel-Work"        // service time, duration text
 	HeaderSize       = "Dotterel-Answer-Size" // bytes of answer
 	HeaderVerdict    = "Dotterel-Verdict"
 	HeaderWorker     = "Dotterel-Worker" // that answered
@@ -152,7 +152,7 @@
 // serviceTime grows with the processor share of batch runs.
 func (b *backend) serviceTime(r *http.Request) time.Duration {
 	base := b.worker.options.ServiceTime
-	if d, err := time.ParseDuration(r.Header.Get(HeaderWork)); err == nil {
+	if d, err := time.ParseDuration(r.Header.Get(HeaderServiceTime)); err == nil {
 		base = d
 	}
 	_, shares := b.worker.agent.Load().Grants()
