--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -101,7 +101,7 @@
 	r.Header.Set("Dotterel-Class", q.Class)
 	r.Header.Set("Dotterel-Deadline", callDeadline.String())
 	r.Header.Set(hoster.HeaderRequest, q.ID)
-	r.Header.Set(hoster.HeaderSize, fmt.Sprint(q.Size))
+	r.Header.Set(hoster.HeaderResponseSize, fmt.Sprint(q.Size))
 	if q.Work > 0 {
 		r.Header.Set(hoster.HeaderServiceTime, q.Work.String())
 	}
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -15,7 +15,7 @@
 const (
 	HeaderRequest    = "Dotterel-Request"     // the caller's id of the request, echoed
 	HeaderServiceTime       = "Dotterel-Work"        // service time, duration text
-	HeaderSize       = "Dotterel-Answer-Size" // bytes of answer
+	HeaderResponseSize       = "Dotterel-Answer-Size" // bytes of answer
 	HeaderVerdict    = "Dotterel-Verdict"
 	HeaderWorker     = "Dotterel-Worker" // that answered
 	HeaderKey        = "Idempotency-Key"
@@ -110,7 +110,7 @@
 	b.worker.agent.Load().meter.add(b.service(), began, time.Since(began))
 	w.Header().Set(HeaderRequest, id)
 	w.Header().Set(HeaderWorker, b.worker.options.Host.Name)
-	b.answer(w, ResponseBody(id, body, r.Header.Get(HeaderSize)))
+	b.answer(w, ResponseBody(id, body, r.Header.Get(HeaderResponseSize)))
 }
 
 func isIdempotent(r *http.Request) bool {
