--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -100,7 +100,7 @@
 	r.Header.Set("Dotterel-Tenant", q.Tenant)
 	r.Header.Set("Dotterel-Class", q.Class)
 	r.Header.Set("Dotterel-Deadline", callDeadline.String())
-	r.Header.Set(hoster.HeaderRequest, q.ID)
+	r.Header.Set(hoster.HeaderRequestID, q.ID)
 	r.Header.Set(hoster.HeaderResponseSize, fmt.Sprint(q.Size))
 	if q.Work > 0 {
 		r.Header.Set(hoster.HeaderServiceTime, q.Work.String())
@@ -113,6 +113,6 @@
 
 // matches reports whether the answer is whole and the request's own.
 func (q Request) matches(answer *http.Response, data []byte) bool {
-	return answer.Header.Get(hoster.HeaderRequest) == q.ID &&
+	return answer.Header.Get(hoster.HeaderRequestID) == q.ID &&
 		bytes.Equal(data, hoster.ResponseBody(q.ID, []byte(q.Body), fmt.Sprint(q.Size)))
 }
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -13,7 +13,7 @@
 
 // Headers that the backend server reads and writes.
 const (
-	HeaderRequest    = "Dotterel-Request"     // the caller's id of the request, echoed
+	HeaderRequestID    = "Dotterel-Request"     // the caller's id of the request, echoed
 	HeaderServiceTime       = "Dotterel-Work"        // service time, duration text
 	HeaderResponseSize       = "Dotterel-Answer-Size" // bytes of answer
 	HeaderVerdict    = "Dotterel-Verdict"
@@ -99,7 +99,7 @@
 	if err != nil {
 		return // the request never arrived whole
 	}
-	id := r.Header.Get(HeaderRequest)
+	id := r.Header.Get(HeaderRequestID)
 	key := r.Header.Get(HeaderKey)
 	if key == "" {
 		key = id
@@ -108,7 +108,7 @@
 	took := b.serviceTime(r)
 	time.Sleep(took)
 	b.worker.agent.Load().meter.add(b.service(), began, time.Since(began))
-	w.Header().Set(HeaderRequest, id)
+	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderWorker, b.worker.options.Host.Name)
 	b.answer(w, ResponseBody(id, body, r.Header.Get(HeaderResponseSize)))
 }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -155,7 +155,7 @@
 	})
 	call := func(c *http.Client, id, work string) (int, string, error) {
 		r, _ := http.NewRequest(http.MethodPost, "http://"+w.Host.Address+"/", bytes.NewReader([]byte("menu")))
-		r.Header.Set(hoster.HeaderRequest, id)
+		r.Header.Set(hoster.HeaderRequestID, id)
 		r.Header.Set(hoster.HeaderServiceTime, work)
 		answer, err := c.Do(r)
 		if err != nil {
