--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -106,7 +106,7 @@
 		r.Header.Set(hoster.HeaderServiceTime, q.Work.String())
 	}
 	if q.Charge {
-		r.Header.Set(hoster.HeaderKey, q.ID)
+		r.Header.Set(hoster.HeaderIdempotencyKey, q.ID)
 	}
 	return r
 }
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -18,7 +18,7 @@
 	HeaderResponseSize       = "Dotterel-Answer-Size" // bytes of answer
 	HeaderVerdict    = "Dotterel-Verdict"
 	HeaderWorker     = "Dotterel-Worker" // that answered
-	HeaderKey        = "Idempotency-Key"
+	HeaderIdempotencyKey        = "Idempotency-Key"
 	HeaderIdempotent = "Dotterel-Idempotent" // true: a POST or PATCH that may be repeated
 )
 
@@ -100,7 +100,7 @@
 		return // the request never arrived whole
 	}
 	id := r.Header.Get(HeaderRequestID)
-	key := r.Header.Get(HeaderKey)
+	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		key = id
 	}
@@ -116,7 +116,7 @@
 func isIdempotent(r *http.Request) bool {
 	switch r.Method {
 	case http.MethodPost, http.MethodPatch:
-		return r.Header.Get(HeaderIdempotent) == "true" && r.Header.Get(HeaderKey) == ""
+		return r.Header.Get(HeaderIdempotent) == "true" && r.Header.Get(HeaderIdempotencyKey) == ""
 	}
 	return true
 }
