--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -22,7 +22,7 @@
 
 func (d *Deployment) startWorkers(context.Context) error {
 	for _, m := range d.Domains {
-		for i, o := range hoster.Typical(m.Region, m.Name, Service, d.options.Workers) {
+		for i, o := range hoster.TypicalWorkers(m.Region, m.Name, Service, d.options.Workers) {
 			o.Host.Rack = rackName(m, i/RackSize)
 			o.ReportDelay, o.ServiceTime = usageLag, serviceTime
 			w, err := hoster.New(o, d.Audit)
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Typical returns the options of n workers of a domain, 8 to a rack.
-func Typical(region, domain, service string, n int) []Options {
+// TypicalWorkers returns the options of n workers of a domain, 8 to a rack.
+func TypicalWorkers(region, domain, service string, n int) []Options {
 	out := make([]Options, n)
 	for i := range out {
 		out[i] = Options{
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -22,7 +22,7 @@
 var task = describer.TaskID{Job: "j", Index: 0}
 
 func options() hoster.Options {
-	return hoster.Typical("seq", "seq-bne", "menu-desk", 1)[0]
+	return hoster.TypicalWorkers("seq", "seq-bne", "menu-desk", 1)[0]
 }
 
 func start(epoch, sequence int64) runner.StartRequest {
