--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -19,7 +19,7 @@
 // Counts are the calls that arrived, those during an outage included.
 type Counts struct {
 	Calls   map[string]int64 `json:"calls"`   // by kind
-	Lost    int64            `json:"lost"`    // writes that took effect and had no answer
+	DroppedResponses    int64            `json:"lost"`    // writes that took effect and had no answer
 	Waiting int64            `json:"waiting"` // watches waiting now
 	Watches int64            `json:"watches"` // most that waited at once
 	Peak    int64            `json:"peak"`    // most calls in one second
@@ -72,7 +72,7 @@
 		lost = k.faults.random.Float64() < k.faults.Probability
 	}
 	if lost {
-		k.counts.Lost++
+		k.counts.DroppedResponses++
 	}
 	return lost
 }
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -73,7 +73,7 @@
 		item, err := c.Get(ctx, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(item.Value).To(Equal([]byte("1")))
-		Expect(k.Counts().Lost).To(BeEquivalentTo(1))
+		Expect(k.Counts().DroppedResponses).To(BeEquivalentTo(1))
 	})
 
 	It("has no effect during an outage and counts the calls", func() {
