--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -20,7 +20,7 @@
 type Counts struct {
 	Calls   map[string]int64 `json:"calls"`   // by kind
 	DroppedResponses    int64            `json:"lost"`    // writes that took effect and had no answer
-	Waiting int64            `json:"waiting"` // watches waiting now
+	WaitingWatches int64            `json:"waiting"` // watches waiting now
 	Watches int64            `json:"watches"` // most that waited at once
 	Peak    int64            `json:"peak"`    // most calls in one second
 }
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -108,9 +108,9 @@
 	if err := k.enter("watch"); err != nil {
 		return items{}, err
 	}
-	k.counts.Waiting++
-	k.counts.Watches = max(k.counts.Watches, k.counts.Waiting)
-	defer func() { k.counts.Waiting-- }()
+	k.counts.WaitingWatches++
+	k.counts.Watches = max(k.counts.Watches, k.counts.WaitingWatches)
+	defer func() { k.counts.WaitingWatches-- }()
 	ctx, cancel := context.WithTimeout(r.Context(), min(in.Wait, MaxWait))
 	defer cancel()
 	for {
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -98,7 +98,7 @@
 			_, _, err := c.Watch(ctx, "a", 0, time.Minute)
 			failed <- err
 		}()
-		Eventually(func() int64 { return k.Counts().Waiting }).Should(BeEquivalentTo(1))
+		Eventually(func() int64 { return k.Counts().WaitingWatches }).Should(BeEquivalentTo(1))
 		k.SetOutage(true)
 		Eventually(failed).Should(Receive(HaveOccurred()))
 		Expect(k.Counts().Watches).To(BeEquivalentTo(1))
