--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -21,7 +21,7 @@
 	Calls   map[string]int64 `json:"calls"`   // by kind
 	DroppedResponses    int64            `json:"lost"`    // writes that took effect and had no answer
 	WaitingWatches int64            `json:"waiting"` // watches waiting now
-	Watches int64            `json:"watches"` // most that waited at once
+	PeakWatches int64            `json:"watches"` // most that waited at once
 	Peak    int64            `json:"peak"`    // most calls in one second
 }
 
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -109,7 +109,7 @@
 		return items{}, err
 	}
 	k.counts.WaitingWatches++
-	k.counts.Watches = max(k.counts.Watches, k.counts.WaitingWatches)
+	k.counts.PeakWatches = max(k.counts.PeakWatches, k.counts.WaitingWatches)
 	defer func() { k.counts.WaitingWatches-- }()
 	ctx, cancel := context.WithTimeout(r.Context(), min(in.Wait, MaxWait))
 	defer cancel()
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -101,6 +101,6 @@
 		Eventually(func() int64 { return k.Counts().WaitingWatches }).Should(BeEquivalentTo(1))
 		k.SetOutage(true)
 		Eventually(failed).Should(Receive(HaveOccurred()))
-		Expect(k.Counts().Watches).To(BeEquivalentTo(1))
+		Expect(k.Counts().PeakWatches).To(BeEquivalentTo(1))
 	})
 })
