--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -22,7 +22,7 @@
 	DroppedResponses    int64            `json:"lost"`    // writes that took effect and had no answer
 	WaitingWatches int64            `json:"waiting"` // watches waiting now
 	PeakWatches int64            `json:"watches"` // most that waited at once
-	Peak    int64            `json:"peak"`    // most calls in one second
+	PeakCalls    int64            `json:"peak"`    // most calls in one second
 }
 
 // SetOutage switches an outage on or off. Leases go on lapsing during it.
@@ -84,5 +84,5 @@
 		k.second, k.calls = second, 0
 	}
 	k.calls++
-	k.counts.Peak = max(k.counts.Peak, k.calls)
+	k.counts.PeakCalls = max(k.counts.PeakCalls, k.calls)
 }
