--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -111,7 +111,7 @@
 	k.counts.WaitingWatches++
 	k.counts.PeakWatches = max(k.counts.PeakWatches, k.counts.WaitingWatches)
 	defer func() { k.counts.WaitingWatches-- }()
-	ctx, cancel := context.WithTimeout(r.Context(), min(in.Wait, MaxWait))
+	ctx, cancel := context.WithTimeout(r.Context(), min(in.Wait, MaxWatchWait))
 	defer cancel()
 	for {
 		if k.faults.Outage {
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -26,8 +26,8 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// MaxWait is the longest a watch waits.
-const MaxWait = time.Minute
+// MaxWatchWait is the longest a watch waits.
+const MaxWatchWait = time.Minute
 
 // Keeper is the store.
 type Keeper struct {
