--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -261,7 +261,7 @@
 		w.waitResumed(r.Context())
 		out, err := call(in)
 		if err == nil && w.loses() {
-			err = listener.ErrDrop
+			err = listener.ErrDropResponse
 		}
 		return out, err
 	})
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -80,7 +80,7 @@
 		}
 		out, err := call(in)
 		if err == nil && k.loses() {
-			err = listener.ErrDrop
+			err = listener.ErrDropResponse
 		}
 		return out, err
 	})
@@ -97,7 +97,7 @@
 		k.mu.Lock()
 	}
 	if k.faults.Outage {
-		return listener.ErrDrop
+		return listener.ErrDropResponse
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	defer cancel()
 	for {
 		if k.faults.Outage {
-			return items{}, listener.ErrDrop
+			return items{}, listener.ErrDropResponse
 		}
 		changes := k.list(in.Prefix, in.Revision, true)
 		if len(changes) > 0 || ctx.Err() != nil {
--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -59,8 +59,8 @@
 	Verdict string `json:"verdict"`
 }
 
-// ErrDrop makes a handler cut the connection in place of an answer.
-var ErrDrop = errors.New("listener: answer dropped")
+// ErrDropResponse makes a handler cut the connection in place of an answer.
+var ErrDropResponse = errors.New("listener: answer dropped")
 
 // Refuse builds an error that says that the call did not run.
 func Refuse(status int, code, message string) error {
@@ -86,7 +86,7 @@
 
 // Answer writes out, or the refusal that err stands for.
 func Answer(w http.ResponseWriter, out any, err error) {
-	if errors.Is(err, ErrDrop) {
+	if errors.Is(err, ErrDropResponse) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -160,7 +160,7 @@
 	defer r.mu.Unlock()
 	r.calls++
 	if r.outage {
-		return nil, listener.ErrDrop
+		return nil, listener.ErrDropResponse
 	}
 	hosts := slices.Clone(r.visible())
 	if hosts == nil {
