--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -76,16 +76,16 @@
 			err = json.Unmarshal(body, &in)
 		}
 		if err != nil {
-			Answer(w, nil, Refuse(http.StatusBadRequest, "malformed", err.Error()))
+			WriteResponse(w, nil, Refuse(http.StatusBadRequest, "malformed", err.Error()))
 			return
 		}
 		out, err := call(r, in)
-		Answer(w, out, err)
+		WriteResponse(w, out, err)
 	})
 }
 
-// Answer writes out, or the refusal that err stands for.
-func Answer(w http.ResponseWriter, out any, err error) {
+// WriteResponse writes out, or the refusal that err stands for.
+func WriteResponse(w http.ResponseWriter, out any, err error) {
 	if errors.Is(err, ErrDropResponse) {
 		panic(http.ErrAbortHandler)
 	}
