--- a/internal/standin/delayer/hub.go
+++ b/internal/standin/delayer/hub.go
@@ -129,7 +129,7 @@
 			return nil
 		}
 	}
-	return listener.Refuse(http.StatusBadRequest, "malformed", "how must be none, drop or blackhole")
+	return listener.NewRefusal(http.StatusBadRequest, "malformed", "how must be none, drop or blackhole")
 }
 
 func (h *Hub) bytes() map[string]bytesAnswer {
@@ -144,5 +144,5 @@
 }
 
 func unknown(link string) error {
-	return listener.Refuse(http.StatusNotFound, "unknown", "no link "+link)
+	return listener.NewRefusal(http.StatusNotFound, "unknown", "no link "+link)
 }
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -86,10 +86,10 @@
 	}
 	r, err := newRun(s, now)
 	if err != nil {
-		return false, listener.Refuse(http.StatusBadRequest, "malformed", err.Error())
+		return false, listener.NewRefusal(http.StatusBadRequest, "malformed", err.Error())
 	}
 	if m.options.EnforceCapacity && !s.Granted.Fits(m.options.Host.Capacity.Sub(m.granted())) {
-		return false, listener.Refuse(http.StatusConflict, "full", "no room for "+s.Task.String())
+		return false, listener.NewRefusal(http.StatusConflict, "full", "no room for "+s.Task.String())
 	}
 	m.fences[s.Task] = s.Token
 	if m.failing {
@@ -139,7 +139,7 @@
 	}
 	r := m.runs[t.Task]
 	if r == nil || r.start.Token != t.Token {
-		return listener.Refuse(http.StatusNotFound, "unknown", "no such run")
+		return listener.NewRefusal(http.StatusNotFound, "unknown", "no such run")
 	}
 	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
 	if order.Less(r.throttled) {
@@ -347,5 +347,5 @@
 }
 
 func fenced(message string) error {
-	return listener.Refuse(http.StatusConflict, "fenced", message)
+	return listener.NewRefusal(http.StatusConflict, "fenced", message)
 }
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -97,7 +97,7 @@
 func (f *Fleet) apply(c change) error {
 	w := f.Workers[c.Worker]
 	if w == nil {
-		return listener.Refuse(http.StatusNotFound, "unknown", "no worker "+c.Worker)
+		return listener.NewRefusal(http.StatusNotFound, "unknown", "no worker "+c.Worker)
 	}
 	switch c.Action {
 	case "kill":
@@ -121,7 +121,7 @@
 	case "lose":
 		w.DropResponses(c.Count)
 	default:
-		return listener.Refuse(http.StatusBadRequest, "malformed", "no action "+c.Action)
+		return listener.NewRefusal(http.StatusBadRequest, "malformed", "no action "+c.Action)
 	}
 	return nil
 }
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -82,7 +82,7 @@
 func (k *Keeper) get(key string) (storer.Item, error) {
 	item, ok := k.items[key]
 	if !ok || item.Deleted {
-		return storer.Item{}, listener.Refuse(http.StatusNotFound, "not-found", "no key "+key)
+		return storer.Item{}, listener.NewRefusal(http.StatusNotFound, "not-found", "no key "+key)
 	}
 	return item, nil
 }
@@ -102,13 +102,13 @@
 
 func (k *Keeper) swap(item storer.Item, expected int64) (int64, error) {
 	if len(item.Value) > storer.MaxValue {
-		return 0, listener.Refuse(http.StatusRequestEntityTooLarge, "too-large", "value is over 1 MB")
+		return 0, listener.NewRefusal(http.StatusRequestEntityTooLarge, "too-large", "value is over 1 MB")
 	}
 	if err := k.expect(item.Key, expected); err != nil {
 		return 0, err
 	}
 	if item.Lease != 0 && k.leases[item.Lease] == nil {
-		return 0, listener.Refuse(http.StatusGone, "no-lease", "lease unknown or expired")
+		return 0, listener.NewRefusal(http.StatusGone, "no-lease", "lease unknown or expired")
 	}
 	return k.put(item), nil
 }
@@ -130,7 +130,7 @@
 		present.Revision = 0
 	}
 	if present.Revision != expected {
-		return listener.Refuse(http.StatusConflict, "conflict", "revision differs for "+key)
+		return listener.NewRefusal(http.StatusConflict, "conflict", "revision differs for "+key)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 
 func (k *Keeper) grant(ttl time.Duration) (int64, error) {
 	if ttl <= 0 {
-		return 0, listener.Refuse(http.StatusBadRequest, "malformed", "ttl must be positive")
+		return 0, listener.NewRefusal(http.StatusBadRequest, "malformed", "ttl must be positive")
 	}
 	k.next++
 	id := k.next
@@ -160,7 +160,7 @@
 func (k *Keeper) renew(id int64) error {
 	l := k.leases[id]
 	if l == nil {
-		return listener.Refuse(http.StatusGone, "no-lease", "lease unknown or expired")
+		return listener.NewRefusal(http.StatusGone, "no-lease", "lease unknown or expired")
 	}
 	l.ends = time.Now().Add(l.ttl)
 	l.timer.Reset(l.ttl)
--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -62,8 +62,8 @@
 // ErrDropResponse makes a handler cut the connection in place of an answer.
 var ErrDropResponse = errors.New("listener: answer dropped")
 
-// Refuse builds an error that says that the call did not run.
-func Refuse(status int, code, message string) error {
+// NewRefusal builds an error that says that the call did not run.
+func NewRefusal(status int, code, message string) error {
 	return &classifier.Error{Verdict: classifier.NotRun, Status: status, Code: code, Message: message}
 }
 
@@ -76,7 +76,7 @@
 			err = json.Unmarshal(body, &in)
 		}
 		if err != nil {
-			WriteResponse(w, nil, Refuse(http.StatusBadRequest, "malformed", err.Error()))
+			WriteResponse(w, nil, NewRefusal(http.StatusBadRequest, "malformed", err.Error()))
 			return
 		}
 		out, err := call(r, in)
