--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -92,9 +92,9 @@
 	return len(b.ready)
 }
 
-// Used returns the address of the entry host that the latest connection from
+// LastTarget returns the address of the entry host that the latest connection from
 // the caller's address was passed to, or an empty string.
-func (b *Balancer) Used(caller string) string {
+func (b *Balancer) LastTarget(caller string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used[caller]
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -203,7 +203,7 @@
 func (l *Generator) try(client *http.Client, m *deployer.Domain, q Request) Outcome {
 	a := q.send(client, m.Balancer.Address)
 	l.check(q, a)
-	if host := m.Balancer.Used(a.local); a.err != nil && l.d.IsStoppingAt(host) {
+	if host := m.Balancer.LastTarget(a.local); a.err != nil && l.d.IsStoppingAt(host) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.counts.CutByStop++
