--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -85,8 +85,8 @@
 	return err
 }
 
-// Ready returns how many entry hosts are in use.
-func (b *Balancer) Ready() int {
+// ReadyCount returns how many entry hosts are in use.
+func (b *Balancer) ReadyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
@@ -170,7 +170,7 @@
 
 // dial tries each ready entry host once, in turn.
 func (b *Balancer) dial(caller string) net.Conn {
-	for range b.Ready() {
+	for range b.ReadyCount() {
 		t, ok := b.pick()
 		if !ok {
 			return nil
--- a/internal/standin/balancer/balancer_test.go
+++ b/internal/standin/balancer/balancer_test.go
@@ -34,7 +34,7 @@
 		b, err := balancer.New("127.0.0.1:0", targets, 10*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { b.Close() })
-		Eventually(b.Ready).Should(Equal(2))
+		Eventually(b.ReadyCount).Should(Equal(2))
 		ask := func() string {
 			c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			answer, err := c.Get("http://" + b.Address)
@@ -45,7 +45,7 @@
 		}
 		Expect([]string{ask(), ask()}).To(ConsistOf("0", "1"))
 		down.Store(true)
-		Eventually(b.Ready).Should(Equal(1))
+		Eventually(b.ReadyCount).Should(Equal(1))
 		Expect([]string{ask(), ask()}).To(Equal([]string{"1", "1"}))
 	})
 })
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -78,7 +78,7 @@
 func (d *Deployment) Probe() error {
 	for _, m := range d.Domains {
 		running := m.running()
-		if ready := m.Balancer.Ready(); ready < len(running) {
+		if ready := m.Balancer.ReadyCount(); ready < len(running) {
 			return eris.Errorf("%d of %d entry hosts of %s are ready", ready, len(running), m.Name)
 		}
 		for _, e := range running {
