--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -62,7 +62,7 @@
 		Outage bool `json:"outage"`
 	},
 	) (struct{}, error) {
-		r.Outage(in.Outage)
+		r.SetOutage(in.Outage)
 		return struct{}{}, nil
 	}))
 	server, err := listener.New(address, m)
@@ -118,8 +118,8 @@
 	r.views[name] = relays
 }
 
-// Outage switches an outage on or off.
-func (r *Registrar) Outage(on bool) {
+// SetOutage switches an outage on or off.
+func (r *Registrar) SetOutage(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outage = on
