--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		d.HostList.View(m.Name, relays)
+		d.HostList.SetView(m.Name, relays)
 		store, list, err := d.platform(m)
 		if err != nil {
 			return err
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -55,7 +55,7 @@
 		return struct{}{}, nil
 	}))
 	m.Handle("POST /v1/view", listener.Handle(func(_ *http.Request, in view) (struct{}, error) {
-		r.View(in.Name, in.Relays)
+		r.SetView(in.Name, in.Relays)
 		return struct{}{}, nil
 	}))
 	m.Handle("POST /v1/outage", listener.Handle(func(_ *http.Request, in struct {
@@ -110,9 +110,9 @@
 	r.set(hosts)
 }
 
-// View registers a list under a name in which the addresses that are keys of
+// SetView registers a list under a name in which the addresses that are keys of
 // relays are replaced.
-func (r *Registrar) View(name string, relays map[string]string) {
+func (r *Registrar) SetView(name string, relays map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.views[name] = relays
--- a/internal/standin/registrar/registrar_test.go
+++ b/internal/standin/registrar/registrar_test.go
@@ -33,7 +33,7 @@
 
 	It("shows and removes changed hosts, rewritten in a view", func() {
 		r := start(0)
-		r.View("fnq", map[string]string{"10.0.0.1:80": "10.0.0.9:80"})
+		r.SetView("fnq", map[string]string{"10.0.0.1:80": "10.0.0.9:80"})
 		c := lister.New("http://"+r.Address+"/fnq", http.DefaultClient)
 		r.SetState("w1", describer.Leaving)
 		hosts, err := c.Hosts(ctx)
