--- a/internal/operator/commander/standin.go
+++ b/internal/operator/commander/standin.go
@@ -170,7 +170,7 @@
 				Services: []string{service},
 			},
 			ServiceTime: 5 * time.Millisecond,
-			ReportDelay:     time.Second,
+			ReportDelay: time.Second,
 		}
 	}
 	return options
--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -1,16 +1,17 @@
-// Package auditor counts what the stand-ins see, independently of the system
-// under test, so that its invariants can be checked.
+// Package auditor records what the stand-in workers do, independently of the
+// system under test, and finds violations of its guarantees.
 //
 // # Model
 //
-// All workers of a deployment share one [Auditor]. A worker reports each run
-// of a task as it begins and ends, and each execution of a request. From
-// these the auditor finds tasks that ran in two places or completed twice,
-// and requests that ran more than once:
+// All workers of a deployment share one [Auditor]. A worker reports when each
+// run of a task starts and ends, and each request that it executes. From these
+// reports the auditor finds tasks that ran on two workers at once or started
+// again after completion, requests that must not be repeated but were, and
+// workers whose grants exceeded their capacity:
 //
 //	a := auditor.New()
-//	a.Began(task, "worker-1")
-//	a.Began(task, "worker-2") // counted in a.Report().Duplicated
+//	a.RunStarted(task, "worker-1")
+//	a.RunStarted(task, "worker-2") // counted in a.Report().Duplicated
 package auditor
 
 import (
@@ -20,89 +21,92 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// maxFaults bounds the kept descriptions of violations.
-const maxFaults = 50
+// maxViolations is the number of violations whose descriptions are kept; later
+// ones are only counted.
+const maxViolations = 50
 
-// Auditor counts runs and executions.
+// Auditor counts runs of tasks and executions of requests, and keeps the
+// violations found. It is safe for concurrent use.
 type Auditor struct {
 	mu         sync.Mutex
-	tasks      map[describer.TaskID]*history
-	executions map[string]int
+	tasks      map[describer.TaskID]*taskRecord
+	executions map[string]int // executions by request id
 	report     Report
 }
 
-type history struct {
-	running    int
-	completed  int
-	forgotten  int // completions that died with their worker, unacknowledged
-	duplicated bool
+// taskRecord is what the auditor knows about one task.
+type taskRecord struct {
+	running         int // runs in progress
+	completed       int // runs that completed
+	lostCompletions int // completions lost with their worker before they were acknowledged
+	duplicated      bool
 }
 
-// Report holds the counts so far.
+// Report holds the counts since the auditor was created.
 type Report struct {
-	Runs       int      `json:"runs"`       // of tasks, begun
-	Completed  int      `json:"completed"`  // runs that ended by themselves with success
-	Tasks      int      `json:"tasks"`      // with at least one run
-	Finished   int      `json:"finished"`   // tasks with a completed run
-	Stopped    int      `json:"stopped"`    // runs ended on request
-	LeaseExpired     int      `json:"lapsed"`     // runs ended by their lease
-	Failed     int      `json:"failed"`     // runs that failed
-	Lost       int      `json:"lost"`       // runs that ended with their worker
-	Duplicated int      `json:"duplicated"` // tasks in two places at once, or begun again after completion
-	CapacityExceeded int      `json:"overfilled"` // grants that went over a worker's capacity
-	RepeatedRequests   int      `json:"repeated"`   // non-idempotent requests executed again
-	LateRequests       int      `json:"late"`       // requests to a worker long after it began to leave
-	Requests   int      `json:"requests"`   // executions of requests
-	Violations     []string `json:"faults"`     // the first violations in words
-}
-
-// Outcome is how a run ended.
+	Runs             int      `json:"runs"`       // runs of tasks that started
+	Completed        int      `json:"completed"`  // runs that completed with success
+	Tasks            int      `json:"tasks"`      // tasks with at least one run
+	Finished         int      `json:"finished"`   // tasks with at least one completed run
+	Stopped          int      `json:"stopped"`    // runs stopped on request
+	LeaseExpired     int      `json:"lapsed"`     // runs stopped because their lease expired
+	Failed           int      `json:"failed"`     // runs that failed
+	WorkerDied       int      `json:"lost"`       // runs in progress when their worker died
+	Duplicated       int      `json:"duplicated"` // tasks that ran on two workers at once, or again after completion
+	CapacityExceeded int      `json:"overfilled"` // grants that exceeded a worker's capacity
+	RepeatedRequests int      `json:"repeated"`   // repeated executions of requests that aren't idempotent
+	LateRequests     int      `json:"late"`       // requests that reached a worker long after it began to leave
+	Requests         int      `json:"requests"`   // executions of requests
+	Violations       []string `json:"faults"`     // descriptions of the first violations
+}
+
+// Outcome says how a run ended.
 type Outcome uint8
 
-// Endings of runs.
+// Outcomes of runs.
 const (
-	Completed Outcome = iota
-	Stopped
-	LeaseExpired
-	Failed
-	WorkerDied // the worker died
+	Completed    Outcome = iota // the task completed with success
+	Stopped                     // the run was stopped on request
+	LeaseExpired                // the worker stopped the run because its lease expired
+	Failed                      // the task failed
+	WorkerDied                  // the worker died while the run was in progress
 )
 
-// New returns an empty Auditor.
+// New returns an Auditor without any records.
 func New() *Auditor {
 	return &Auditor{
-		tasks:      make(map[describer.TaskID]*history),
+		tasks:      make(map[describer.TaskID]*taskRecord),
 		executions: make(map[string]int),
 	}
 }
 
-// RunStarted reports that a run of the task begins on the worker.
+// RunStarted records that a run of the task started on the worker.
 func (a *Auditor) RunStarted(task describer.TaskID, worker string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h := a.history(task)
+	r := a.record(task)
 	a.report.Runs++
-	h.running++
-	if h.running > 1 {
-		a.duplicate(h, "%s runs in two places, the later is %s", task, worker)
+	r.running++
+	if r.running > 1 {
+		a.addDuplicate(r, "task %s started on %s while another run was in progress", task, worker)
 	}
-	if h.completed > h.forgotten {
-		a.duplicate(h, "%s begins on %s after it completed", task, worker)
+	if r.completed > r.lostCompletions {
+		a.addDuplicate(r, "task %s started on %s after it had completed", task, worker)
 	}
 }
 
-// RunEnded reports that a run is over.
-func (a *Auditor) RunEnded(task describer.TaskID, worker string, e Outcome) {
+// RunEnded records how a run of the task ended on the worker.
+func (a *Auditor) RunEnded(task describer.TaskID, worker string, o Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h := a.history(task)
-	h.running--
-	switch e {
+	r := a.record(task)
+	r.running--
+	switch o {
 	case Completed:
 		a.report.Completed++
-		h.completed++
-		if h.completed > 1+h.forgotten {
-			a.duplicate(h, "%s completes again on %s", task, worker)
+		r.completed++
+		if r.completed > 1+r.lostCompletions {
+			a.addDuplicate(r, "task %s completed again on %s", task, worker)
 		}
 	case Stopped:
 		a.report.Stopped++
@@ -111,28 +115,29 @@
 	case Failed:
 		a.report.Failed++
 	case WorkerDied:
-		a.report.Lost++
+		a.report.WorkerDied++
 	}
 }
 
-// CompletionLost reports that a worker died with a completion that nobody had
-// acknowledged: the task may run again.
+// CompletionLost records that a worker died with a completion that had not been
+// acknowledged. The task may then run once more.
 func (a *Auditor) CompletionLost(task describer.TaskID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.history(task).forgotten++
+	a.record(task).lostCompletions++
 }
 
-// CapacityExceeded reports grants beyond a worker's capacity.
+// CapacityExceeded records that a worker's grants exceed its capacity.
 func (a *Auditor) CapacityExceeded(worker string, granted, capacity describer.Resources) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.CapacityExceeded++
-	a.fault("%s has granted %+v of %+v", worker, granted, capacity)
+	a.addViolation("worker %s has granted %+v, which exceeds its capacity %+v", worker, granted, capacity)
 }
 
-// RequestExecuted reports an execution of the request with this id. Only requests
-// that must not be repeated are checked.
+// RequestExecuted records that the worker executed the request with this id. A
+// second execution is a violation unless it is idempotent. Requests without an id
+// are only counted.
 func (a *Auditor) RequestExecuted(id, worker string, idempotent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,16 +148,17 @@
 	a.executions[id]++
 	if a.executions[id] > 1 && !idempotent {
 		a.report.RepeatedRequests++
-		a.fault("request %s executes again on %s", id, worker)
+		a.addViolation("request %s was executed again on %s", id, worker)
 	}
 }
 
-// LateRequest reports a request to a worker long after it began to leave.
+// LateRequest records a request that reached the worker long after it began to
+// leave.
 func (a *Auditor) LateRequest(worker string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.LateRequests++
-	a.fault("%s got a request after it began to leave", worker)
+	a.addViolation("worker %s received a request after it began to leave", worker)
 }
 
 // Executions returns how often the request with this id was executed.
@@ -166,46 +172,48 @@
 func (a *Auditor) Finished(task describer.TaskID) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	h, ok := a.tasks[task]
-	return ok && h.completed > 0
+	r, ok := a.tasks[task]
+	return ok && r.completed > 0
 }
 
-// Report returns the counts so far.
+// Report returns the counts so far. The caller owns the returned slice.
 func (a *Auditor) Report() Report {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := a.report
 	out.Tasks = len(a.tasks)
 	out.Violations = append([]string{}, a.report.Violations...)
-	for _, h := range a.tasks {
-		if h.completed > 0 {
+	for _, r := range a.tasks {
+		if r.completed > 0 {
 			out.Finished++
 		}
 	}
 	return out
 }
 
-func (a *Auditor) history(task describer.TaskID) *history {
-	h := a.tasks[task]
-	if h == nil {
-		h = &history{}
-		a.tasks[task] = h
+// record returns the task's record, which it creates if needed.
+func (a *Auditor) record(task describer.TaskID) *taskRecord {
+	r := a.tasks[task]
+	if r == nil {
+		r = &taskRecord{}
+		a.tasks[task] = r
 	}
-	return h
+	return r
 }
 
-// duplicate counts each task once.
-func (a *Auditor) duplicate(h *history, format string, args ...any) {
-	a.fault(format, args...)
-	if h.duplicated {
+// addDuplicate records a violation; each task is counted once as duplicated.
+func (a *Auditor) addDuplicate(r *taskRecord, format string, args ...any) {
+	a.addViolation(format, args...)
+	if r.duplicated {
 		return
 	}
-	h.duplicated = true
+	r.duplicated = true
 	a.report.Duplicated++
 }
 
-func (a *Auditor) fault(format string, args ...any) {
-	if len(a.report.Violations) < maxFaults {
+// addViolation keeps the description while there are fewer than maxViolations.
+func (a *Auditor) addViolation(format string, args ...any) {
+	if len(a.report.Violations) < maxViolations {
 		a.report.Violations = append(a.report.Violations, fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -13,7 +13,7 @@
 	var a *auditor.Auditor
 	BeforeEach(func() { a = auditor.New() })
 
-	It("accepts runs one after the other", func() {
+	It("accepts runs that follow each other", func() {
 		a.RunStarted(task, "w1")
 		a.RunEnded(task, "w1", auditor.Stopped)
 		a.RunStarted(task, "w2")
@@ -21,7 +21,7 @@
 		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Violations", BeEmpty())))
 	})
 
-	It("counts a task that is in two places once", func() {
+	It("counts a task that runs on two workers once", func() {
 		a.RunStarted(task, "w1")
 		a.RunStarted(task, "w2")
 		a.RunEnded(task, "w1", auditor.Completed)
@@ -29,7 +29,7 @@
 		Expect(a.Report().Duplicated).To(Equal(1))
 	})
 
-	It("counts a task that begins after it completed, unless that is lost", func() {
+	It("counts a task that starts after it completed, unless the completion was lost", func() {
 		a.RunStarted(task, "w1")
 		a.RunEnded(task, "w1", auditor.Completed)
 		a.CompletionLost(task)
--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -19,8 +19,8 @@
 
 // Target is an entry host.
 type Target struct {
-	Address string `json:"address"` // for callers, ip:port
-	CheckURL   string `json:"check"`   // URL that answers 200 while it may be used
+	Address  string `json:"address"` // for callers, ip:port
+	CheckURL string `json:"check"`   // URL that answers 200 while it may be used
 }
 
 // Balancer spreads connections.
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -55,16 +55,16 @@
 
 // Report holds the counts so far. Times are in milliseconds.
 type Report struct {
-	Requests int64
-	Failed   int64 // without an answer of their own, refusals included
-	ConnectionErrors   int64 // of these, connections that ended without a whole answer
-	Mismatched    int64 // answers that were not the request's own
-	CutByStop      int64 // in flight at an entry host when its planned stop cut them
-	FalseDenials   int64 // said not to have run, though they had
-	P50      float64
-	P99      float64
-	FailuresByCode    map[string]int // failed attempts by code and verdict
-	Violations    []string       // violations
+	Requests         int64
+	Failed           int64 // without an answer of their own, refusals included
+	ConnectionErrors int64 // of these, connections that ended without a whole answer
+	Mismatched       int64 // answers that were not the request's own
+	CutByStop        int64 // in flight at an entry host when its planned stop cut them
+	FalseDenials     int64 // said not to have run, though they had
+	P50              float64
+	P99              float64
+	FailuresByCode   map[string]int // failed attempts by code and verdict
+	Violations       []string       // violations
 }
 
 // New returns callers that are still silent.
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -12,8 +12,8 @@
 // Ways to cut a link.
 const (
 	None      CutMode = iota
-	Drop          // connections are reset and new ones refused
-	Blackhole     // bytes wait for the link to heal, as TCP sends them again
+	Drop              // connections are reset and new ones refused
+	Blackhole         // bytes wait for the link to heal, as TCP sends them again
 )
 
 func (c CutMode) String() string { return [...]string{"none", "drop", "blackhole"}[c] }
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -54,10 +54,10 @@
 
 // Options of a deployment.
 type Options struct {
-	EntryHosts int           // in each failure domain
-	Workers    int           // in each failure domain
-	LatencyTarget     time.Duration // of the service's latency, 0 is defaultTarget
-	Launch     func(context.Context, parser.Settings) (Daemon, error)
+	EntryHosts    int           // in each failure domain
+	Workers       int           // in each failure domain
+	LatencyTarget time.Duration // of the service's latency, 0 is defaultTarget
+	Launch        func(context.Context, parser.Settings) (Daemon, error)
 }
 
 // Daemon is a running entry daemon.
@@ -68,12 +68,12 @@
 
 // Deployment is everything that runs.
 type Deployment struct {
-	Domains []*Domain
-	Audit   *auditor.Auditor
-	Store   *keeper.Keeper
-	HostList   *registrar.Registrar
-	InterRegion  *delayer.Link // between the regions
-	IntraRegion   *delayer.Link // between the failure domains of one region
+	Domains     []*Domain
+	Audit       *auditor.Auditor
+	Store       *keeper.Keeper
+	HostList    *registrar.Registrar
+	InterRegion *delayer.Link // between the regions
+	IntraRegion *delayer.Link // between the failure domains of one region
 
 	options Options
 	relays  []*delayer.Relay
@@ -101,10 +101,10 @@
 			{Name: "seq-gc", Region: "seq"},
 			{Name: "fnq-cns", Region: "fnq"},
 		},
-		Audit:  auditor.New(),
+		Audit:       auditor.New(),
 		InterRegion: delayer.NewLink(regionDelay, regionRate),
-		IntraRegion:  delayer.NewLink(domainDelay, 0),
-		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}},
+		IntraRegion: delayer.NewLink(domainDelay, 0),
+		client:      &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}},
 	}
 	steps := []func(context.Context) error{d.startPlatform, d.startWorkers, d.startEntries, d.startBalancers}
 	for _, step := range steps {
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -13,13 +13,13 @@
 
 // Headers that the backend server reads and writes.
 const (
-	HeaderRequestID    = "Dotterel-Request"     // the caller's id of the request, echoed
-	HeaderServiceTime       = "Dotterel-Work"        // service time, duration text
-	HeaderResponseSize       = "Dotterel-Answer-Size" // bytes of answer
-	HeaderVerdict    = "Dotterel-Verdict"
-	HeaderWorker     = "Dotterel-Worker" // that answered
-	HeaderIdempotencyKey        = "Idempotency-Key"
-	HeaderIdempotent = "Dotterel-Idempotent" // true: a POST or PATCH that may be repeated
+	HeaderRequestID      = "Dotterel-Request"     // the caller's id of the request, echoed
+	HeaderServiceTime    = "Dotterel-Work"        // service time, duration text
+	HeaderResponseSize   = "Dotterel-Answer-Size" // bytes of answer
+	HeaderVerdict        = "Dotterel-Verdict"
+	HeaderWorker         = "Dotterel-Worker" // that answered
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderIdempotent     = "Dotterel-Idempotent" // true: a POST or PATCH that may be repeated
 )
 
 // leaveGrace is how long a leaving worker may still get requests.
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -140,8 +140,8 @@
 				Slots:    8, Connections: 64,
 				Services: []string{service},
 			},
-			ServiceTime:      10 * time.Millisecond,
-			ReportDelay:          2 * time.Second,
+			ServiceTime:  10 * time.Millisecond,
+			ReportDelay:  2 * time.Second,
 			Interference: map[string]float64{"render": 1, "translate": 0.3},
 		}
 	}
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -34,11 +34,11 @@
 
 // Options of a worker.
 type Options struct {
-	Host         describer.Host     // empty addresses mean loopback ports of its own
-	ServiceTime      time.Duration      // service time of a request that states none
-	ReportDelay          time.Duration      // of usage and latency reports
-	Interference map[string]float64 // slow-down by a class at full processor share; 1 doubles
-	EnforceCapacity      bool               // refuse overfull starts in place of counting them
+	Host            describer.Host     // empty addresses mean loopback ports of its own
+	ServiceTime     time.Duration      // service time of a request that states none
+	ReportDelay     time.Duration      // of usage and latency reports
+	Interference    map[string]float64 // slow-down by a class at full processor share; 1 doubles
+	EnforceCapacity bool               // refuse overfull starts in place of counting them
 }
 
 // Worker is one stand-in worker.
@@ -67,8 +67,8 @@
 type Counts struct {
 	RefusedForSlots       atomic.Int64 // requests refused for want of a slot
 	RefusedForConnections atomic.Int64 // requests refused for want of a connection
-	Requests    atomic.Int64 // executed
-	Runs        atomic.Int64 // begun
+	Requests              atomic.Int64 // executed
+	Runs                  atomic.Int64 // begun
 }
 
 // New starts a worker.
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -18,11 +18,11 @@
 
 // Counts are the calls that arrived, those during an outage included.
 type Counts struct {
-	Calls   map[string]int64 `json:"calls"`   // by kind
-	DroppedResponses    int64            `json:"lost"`    // writes that took effect and had no answer
-	WaitingWatches int64            `json:"waiting"` // watches waiting now
-	PeakWatches int64            `json:"watches"` // most that waited at once
-	PeakCalls    int64            `json:"peak"`    // most calls in one second
+	Calls            map[string]int64 `json:"calls"`   // by kind
+	DroppedResponses int64            `json:"lost"`    // writes that took effect and had no answer
+	WaitingWatches   int64            `json:"waiting"` // watches waiting now
+	PeakWatches      int64            `json:"watches"` // most that waited at once
+	PeakCalls        int64            `json:"peak"`    // most calls in one second
 }
 
 // SetOutage switches an outage on or off. Leases go on lapsing during it.
