--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -1,8 +1,8 @@
-// Package balancer is a stand-in for the platform's balancer, for tests and
+// Package balancer is a stand-in for the platform's load balancer, for tests and
 // the demo.
 //
-// It passes each TCP connection to the next entry host in turn that its
-// regular check found ready, and never looks into the bytes:
+// It forwards TCP connections round robin to the entry hosts that passed their
+// latest readiness check, and doesn't interpret the bytes:
 //
 //	b, err := balancer.New("127.0.0.1:0", targets, 200*time.Millisecond)
 //	defer b.Close()
@@ -17,64 +17,65 @@
 	"time"
 )
 
-// Target is an entry host.
+// Target is an entry host to which connections are forwarded.
 type Target struct {
-	Address  string `json:"address"` // for callers, ip:port
-	CheckURL string `json:"check"`   // URL that answers 200 while it may be used
+	Address  string `json:"address"` // ip:port at which the entry host serves callers
+	CheckURL string `json:"check"`   // URL that returns status 200 while the entry host is ready
 }
 
-// Balancer spreads connections.
+// Balancer forwards connections to entry hosts that are ready.
 type Balancer struct {
 	Address string        // ip:port
-	Done    chan struct{} // closed when it has ended
+	Done    chan struct{} // closed once Close has ended all connections
 
-	inner  net.Listener
-	cancel context.CancelFunc
+	listener net.Listener
+	cancel   context.CancelFunc
 
-	mu    sync.Mutex
-	ready []Target
-	next  int
-	conns map[net.Conn]bool
-	used  map[string]string // entry host by the caller's address
+	mu          sync.Mutex
+	ready       []Target          // targets that passed the latest check
+	next        int               // advances with each connection; modulo len(ready), the index of its target
+	conns       map[net.Conn]bool // open connections on both sides; nil after Close
+	lastTargets map[string]string // address of the entry host by the caller's address
 }
 
-// New balances over the targets; each is checked at every interval.
+// New listens on address and balances over the targets, all of which it checks at
+// once and then at each interval.
 func New(address string, targets []Target, interval time.Duration) (*Balancer, error) {
-	inner, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Balancer{
-		Address: inner.Addr().String(),
-		Done:    make(chan struct{}),
-		inner:   inner,
-		cancel:  cancel,
-		conns:   make(map[net.Conn]bool),
-		used:    make(map[string]string),
+		Address:     listener.Addr().String(),
+		Done:        make(chan struct{}),
+		listener:    listener,
+		cancel:      cancel,
+		conns:       make(map[net.Conn]bool),
+		lastTargets: make(map[string]string),
 	}
-	var parts sync.WaitGroup
-	parts.Go(func() { b.check(ctx, targets, interval) })
-	parts.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() { b.checkTargets(ctx, targets, interval) })
+	running.Go(func() {
 		for {
-			c, err := inner.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			parts.Go(func() { b.relay(c) })
+			running.Go(func() { b.relay(c) })
 		}
 	})
 	go func() {
-		parts.Wait()
+		running.Wait()
 		close(b.Done)
 	}()
 	return b, nil
 }
 
-// Close ends the balancer and its connections.
+// Close stops listening, closes all connections and waits until they have ended.
 func (b *Balancer) Close() error {
 	b.cancel()
-	err := b.inner.Close()
+	err := b.listener.Close()
 	b.mu.Lock()
 	for c := range b.conns {
 		c.Close()
@@ -85,27 +86,28 @@
 	return err
 }
 
-// ReadyCount returns how many entry hosts are in use.
+// ReadyCount returns how many entry hosts passed the latest check.
 func (b *Balancer) ReadyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
 }
 
-// LastTarget returns the address of the entry host that the latest connection from
-// the caller's address was passed to, or an empty string.
+// LastTarget returns the address of the entry host to which the latest connection
+// from the caller's address was forwarded, or an empty string.
 func (b *Balancer) LastTarget(caller string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used[caller]
+	return b.lastTargets[caller]
 }
 
-func (b *Balancer) check(ctx context.Context, targets []Target, interval time.Duration) {
+// checkTargets updates the ready targets at each interval until ctx ends.
+func (b *Balancer) checkTargets(ctx context.Context, targets []Target, interval time.Duration) {
 	client := &http.Client{Timeout: max(interval, time.Second), Transport: &http.Transport{DisableKeepAlives: true}}
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		ready := probe(ctx, client, targets)
+		ready := readyTargets(ctx, client, targets)
 		b.mu.Lock()
 		b.ready = ready
 		b.mu.Unlock()
@@ -117,14 +119,15 @@
 	}
 }
 
-// probe checks all targets at once and keeps their order.
-func probe(ctx context.Context, client *http.Client, targets []Target) []Target {
+// readyTargets checks all targets concurrently and returns those that are ready, in
+// their order.
+func readyTargets(ctx context.Context, client *http.Client, targets []Target) []Target {
 	ok := make([]bool, len(targets))
-	var all sync.WaitGroup
+	var checks sync.WaitGroup
 	for i, t := range targets {
-		all.Go(func() { ok[i] = isReady(ctx, client, t.CheckURL) })
+		checks.Go(func() { ok[i] = isReady(ctx, client, t.CheckURL) })
 	}
-	all.Wait()
+	checks.Wait()
 	var out []Target
 	for i, t := range targets {
 		if ok[i] {
@@ -134,6 +137,7 @@
 	return out
 }
 
+// isReady reports whether the URL returns status 200.
 func isReady(ctx context.Context, client *http.Client, url string) bool {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -147,38 +151,41 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-func (b *Balancer) relay(near net.Conn) {
-	defer near.Close()
-	if !b.keep(near) {
+// relay forwards a client's connection to an entry host until both directions
+// have ended.
+func (b *Balancer) relay(client net.Conn) {
+	defer client.Close()
+	if !b.track(client) {
 		return
 	}
-	defer b.forget(near)
-	far := b.dial(near.RemoteAddr().String())
-	if far == nil {
+	defer b.untrack(client)
+	upstream := b.dialTarget(client.RemoteAddr().String())
+	if upstream == nil {
 		return
 	}
-	defer far.Close()
-	if !b.keep(far) {
+	defer upstream.Close()
+	if !b.track(upstream) {
 		return
 	}
-	defer b.forget(far)
-	var both sync.WaitGroup
-	both.Go(func() { pipe(far, near) })
-	both.Go(func() { pipe(near, far) })
-	both.Wait()
+	defer b.untrack(upstream)
+	var directions sync.WaitGroup
+	directions.Go(func() { copyHalf(upstream, client) })
+	directions.Go(func() { copyHalf(client, upstream) })
+	directions.Wait()
 }
 
-// dial tries each ready entry host once, in turn.
-func (b *Balancer) dial(caller string) net.Conn {
+// dialTarget connects to the next ready entry host and tries as many in turn as
+// are ready. It returns nil if none accepts.
+func (b *Balancer) dialTarget(caller string) net.Conn {
 	for range b.ReadyCount() {
-		t, ok := b.pick()
+		t, ok := b.nextTarget()
 		if !ok {
 			return nil
 		}
 		c, err := net.DialTimeout("tcp", t.Address, time.Second)
 		if err == nil {
 			b.mu.Lock()
-			b.used[caller] = t.Address
+			b.lastTargets[caller] = t.Address
 			b.mu.Unlock()
 			return c
 		}
@@ -186,7 +193,8 @@
 	return nil
 }
 
-func (b *Balancer) pick() (Target, bool) {
+// nextTarget returns the next ready target in round-robin order, if there is one.
+func (b *Balancer) nextTarget() (Target, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.ready) == 0 {
@@ -196,7 +204,9 @@
 	return b.ready[b.next%len(b.ready)], true
 }
 
-func (b *Balancer) keep(c net.Conn) bool {
+// track records an open connection so that Close can close it. It reports false
+// after Close.
+func (b *Balancer) track(c net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.conns == nil {
@@ -206,13 +216,16 @@
 	return true
 }
 
-func (b *Balancer) forget(c net.Conn) {
+// untrack removes a connection that its owner closes.
+func (b *Balancer) untrack(c net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.conns, c)
 }
 
-func pipe(dst, src net.Conn) {
+// copyHalf copies src to dst and then closes dst for writing, or as a whole after
+// an error.
+func copyHalf(dst, src net.Conn) {
 	_, err := io.Copy(dst, src)
 	if t, ok := dst.(*net.TCPConn); ok && err == nil {
 		_ = t.CloseWrite()
--- a/internal/standin/balancer/balancer_test.go
+++ b/internal/standin/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("Balancer", func() {
-	It("uses ready entry hosts in turn", func() {
+	It("forwards to ready entry hosts in turn", func() {
 		var down atomic.Bool
 		var targets []balancer.Target
 		for i := range 2 {
