--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -310,7 +310,7 @@
 	}
 	w.endLoad()
 	w.calls = caller.New(w.d, random(), rate)
-	w.calls.Work = work
+	w.calls.ServiceTime = work
 	ctx, stop := context.WithCancel(w.ctx)
 	stopped := make(chan struct{})
 	w.mu.Lock()
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -40,7 +40,7 @@
 
 // Generator is the callers of all failure domains.
 type Generator struct {
-	Work time.Duration // service time asked for; the worker's own if 0
+	ServiceTime time.Duration // service time asked for; the worker's own if 0
 
 	d    *deployer.Deployment
 	rate float64 // requests a second in each domain
@@ -116,7 +116,7 @@
 		Tenant: "owners",
 		Class:  "menu",
 		Size:   1 + l.random.IntN(maxAnswer),
-		Work:   l.Work,
+		Work:   l.ServiceTime,
 	}
 	if l.random.IntN(4) == 0 {
 		q.Tenant = "tourism"
