--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -116,7 +116,7 @@
 		Tenant: "owners",
 		Class:  "menu",
 		Size:   1 + l.random.IntN(maxAnswer),
-		Work:   l.ServiceTime,
+		ServiceTime:   l.ServiceTime,
 	}
 	if l.random.IntN(4) == 0 {
 		q.Tenant = "tourism"
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -22,7 +22,7 @@
 	Class  string
 	Body   string // of a charge
 	Size   int    // bytes of answer
-	Work   time.Duration
+	ServiceTime   time.Duration
 }
 
 // Outcome is what a caller knows after an attempt.
@@ -102,8 +102,8 @@
 	r.Header.Set("Dotterel-Deadline", callDeadline.String())
 	r.Header.Set(hoster.HeaderRequestID, q.ID)
 	r.Header.Set(hoster.HeaderResponseSize, fmt.Sprint(q.Size))
-	if q.Work > 0 {
-		r.Header.Set(hoster.HeaderServiceTime, q.Work.String())
+	if q.ServiceTime > 0 {
+		r.Header.Set(hoster.HeaderServiceTime, q.ServiceTime.String())
 	}
 	if q.Charge {
 		r.Header.Set(hoster.HeaderIdempotencyKey, q.ID)
