--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -260,7 +260,7 @@
 	if len(args) < 3 {
 		return eris.New("usage: call PLACE OUTCOME ID [charge]")
 	}
-	q := caller.Request{ID: args[2], Tenant: "owners", Class: "menu", Size: 100}
+	q := caller.Request{ID: args[2], Tenant: "owners", Class: "menu", ResponseSize: 100}
 	if len(args) > 3 {
 		q.Charge, q.Class, q.Body = true, "charge", args[2]
 	}
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -115,7 +115,7 @@
 		Charge: l.random.Float64() < chargeShare,
 		Tenant: "owners",
 		Class:  "menu",
-		Size:   1 + l.random.IntN(maxAnswer),
+		ResponseSize:   1 + l.random.IntN(maxAnswer),
 		ServiceTime:   l.ServiceTime,
 	}
 	if l.random.IntN(4) == 0 {
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -21,7 +21,7 @@
 	Tenant string
 	Class  string
 	Body   string // of a charge
-	Size   int    // bytes of answer
+	ResponseSize   int    // bytes of answer
 	ServiceTime   time.Duration
 }
 
@@ -101,7 +101,7 @@
 	r.Header.Set("Dotterel-Class", q.Class)
 	r.Header.Set("Dotterel-Deadline", callDeadline.String())
 	r.Header.Set(hoster.HeaderRequestID, q.ID)
-	r.Header.Set(hoster.HeaderResponseSize, fmt.Sprint(q.Size))
+	r.Header.Set(hoster.HeaderResponseSize, fmt.Sprint(q.ResponseSize))
 	if q.ServiceTime > 0 {
 		r.Header.Set(hoster.HeaderServiceTime, q.ServiceTime.String())
 	}
@@ -114,5 +114,5 @@
 // matches reports whether the answer is whole and the request's own.
 func (q Request) matches(answer *http.Response, data []byte) bool {
 	return answer.Header.Get(hoster.HeaderRequestID) == q.ID &&
-		bytes.Equal(data, hoster.ResponseBody(q.ID, []byte(q.Body), fmt.Sprint(q.Size)))
+		bytes.Equal(data, hoster.ResponseBody(q.ID, []byte(q.Body), fmt.Sprint(q.ResponseSize)))
 }
