--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -1,16 +1,19 @@
-// Package caller plays the interactive callers of a deployment and checks
-// what they get.
+// Package caller generates the load of a deployment's interactive callers and
+// checks the responses.
 //
 // # Model
 //
-// Callers send requests at random times to their domain's balancer. A third
-// are charges, which are not idempotent and carry a key. Each answer must be
-// whole and the request's own; a request that was said not to have run must
-// not have. A charge that may have run is sent once more with its key.
+// Callers send requests to the load balancer of their failure domain at random
+// times, as a Poisson process. Three in ten requests are charges, which aren't
+// idempotent and carry an idempotency key. A request that may have run is sent
+// once more, a charge under the same key.
 //
-//	l := caller.New(deployment, rand.New(rand.NewPCG(1, 1)), 60)
-//	l.Run(ctx)
-//	report := l.Report() // after all answers
+// Each response must be complete and belong to its request, and a request that
+// was refused as not run must not have been executed.
+//
+//	g := caller.New(deployment, rand.New(rand.NewPCG(1, 1)), 60)
+//	g.Run(ctx)
+//	report := g.Report() // after all responses
 package caller
 
 import (
@@ -30,229 +33,246 @@
 )
 
 const (
-	callDeadline  = 2 * time.Second
-	callTimeout   = 4 * time.Second
-	chargeShare   = 0.3 // of requests
-	maxAnswer     = 20_000
-	highestMicros = 60_000_000
-	idleHosts     = 16
+	callDeadline     = 2 * time.Second // sent with each request
+	callTimeout      = 4 * time.Second // of the HTTP client
+	chargeShare      = 0.3             // share of requests that are charges, 0 to 1
+	maxResponseSize  = 20_000          // bytes
+	maxLatencyMicros = 60_000_000      // highest latency that the histogram holds, in microseconds
+	idleConnsPerHost = 16
 )
 
-// Generator is the callers of all failure domains.
+// Generator sends the requests of the callers of all failure domains. It is safe
+// for concurrent use.
 type Generator struct {
-	ServiceTime time.Duration // service time asked for; the worker's own if 0
+	// ServiceTime is the time that workers are asked to spend on each request; 0
+	// leaves it to the worker.
+	ServiceTime time.Duration
 
-	d    *deployer.Deployment
-	rate float64 // requests a second in each domain
+	deployment *deployer.Deployment
+	rate       float64 // mean requests a second in each domain
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	latency *hdrhistogram.Histogram // microseconds
-	tries   map[string]*outcomes    // by request id
-	counts  Report
-	serial  int
+	mu       sync.Mutex
+	random   *rand.Rand
+	latency  *hdrhistogram.Histogram   // of answered requests, in microseconds
+	attempts map[string]*attemptCounts // by request id
+	counts   Report
+	serial   int // number of the latest request, part of its id
 }
 
-// Report holds the counts so far. Times are in milliseconds.
+// Report holds the counts since the generator was created. Times are in
+// milliseconds.
 type Report struct {
 	Requests         int64
-	Failed           int64 // without an answer of their own, refusals included
-	ConnectionErrors int64 // of these, connections that ended without a whole answer
-	Mismatched       int64 // answers that were not the request's own
-	CutByStop        int64 // in flight at an entry host when its planned stop cut them
-	FalseDenials     int64 // said not to have run, though they had
+	Failed           int64 // requests without a complete response of status 200, refusals included
+	ConnectionErrors int64 // attempts whose connection broke before a complete response
+	Mismatched       int64 // responses with status 200 that did not belong to their request
+	CutByStop        int64 // attempts cut off by the planned stop of an entry host
+	FalseDenials     int64 // requests that were refused as not run, though they had been executed
 	P50              float64
 	P99              float64
 	FailuresByCode   map[string]int // failed attempts by code and verdict
-	Violations       []string       // violations
+	Violations       []string       // descriptions of all violations
 }
 
-// New returns callers that are still silent.
+// New returns a generator for the deployment's callers that sends nothing until
+// Run or Call. The rate is the mean number of requests a second in each failure
+// domain.
 func New(d *deployer.Deployment, random *rand.Rand, rate float64) *Generator {
 	return &Generator{
-		d: d, rate: rate, random: random,
-		latency: hdrhistogram.New(1, highestMicros, 3),
-		tries:   make(map[string]*outcomes),
-		counts:  Report{FailuresByCode: make(map[string]int)},
+		deployment: d, rate: rate, random: random,
+		latency:  hdrhistogram.New(1, maxLatencyMicros, 3),
+		attempts: make(map[string]*attemptCounts),
+		counts:   Report{FailuresByCode: make(map[string]int)},
 	}
 }
 
-// Run sends requests until ctx ends, and returns when all have ended.
-func (l *Generator) Run(ctx context.Context) {
+// Run sends requests until ctx ends, and returns once all of them have ended.
+func (g *Generator) Run(ctx context.Context) {
 	var callers sync.WaitGroup
-	for _, m := range l.d.Domains {
+	for _, domain := range g.deployment.Domains {
 		client := NewClient()
 		callers.Go(func() {
 			defer client.CloseIdleConnections()
 			var calls sync.WaitGroup
 			defer calls.Wait()
-			for deployer.Sleep(ctx, l.gap()) {
-				q := l.next(m)
-				calls.Go(func() { l.Call(client, m, q) })
+			for deployer.Sleep(ctx, g.nextInterval()) {
+				q := g.nextRequest(domain)
+				calls.Go(func() { g.Call(client, domain, q) })
 			}
 		})
 	}
 	callers.Wait()
 }
 
-// NewClient returns the HTTP client of a domain's callers.
+// NewClient returns an HTTP client for the callers of one failure domain.
 func NewClient() *http.Client {
-	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleHosts}}
+	return &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerHost}}
 }
 
-func (l *Generator) gap() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return time.Duration(l.random.ExpFloat64() / l.rate * float64(time.Second))
+// nextInterval returns the time until the next request of a domain, which is
+// exponentially distributed.
+func (g *Generator) nextInterval() time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return time.Duration(g.random.ExpFloat64() / g.rate * float64(time.Second))
 }
 
-func (l *Generator) next(m *deployer.Domain) Request {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.serial++
+// nextRequest returns a random request of the domain's callers.
+func (g *Generator) nextRequest(domain *deployer.Domain) Request {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.serial++
 	q := Request{
-		ID:     fmt.Sprintf("%s-%d", m.Name, l.serial),
-		Charge: l.random.Float64() < chargeShare,
-		Tenant: "owners",
-		Class:  "menu",
-		ResponseSize:   1 + l.random.IntN(maxAnswer),
-		ServiceTime:   l.ServiceTime,
+		ID:           fmt.Sprintf("%s-%d", domain.Name, g.serial),
+		Charge:       g.random.Float64() < chargeShare,
+		Tenant:       "owners",
+		Class:        "menu",
+		ResponseSize: 1 + g.random.IntN(maxResponseSize),
+		ServiceTime:  g.ServiceTime,
 	}
-	if l.random.IntN(4) == 0 {
+	if g.random.IntN(4) == 0 {
 		q.Tenant = "tourism"
 	}
 	if q.Charge {
 		q.Class = "charge"
-		q.Body = strings.Repeat(q.ID+" ", 1+l.random.IntN(40))
+		q.Body = strings.Repeat(q.ID+" ", 1+g.random.IntN(40))
 	}
 	return q
 }
 
-// Call sends a request to the domain's balancer, and once more if it may have
-// run.
-func (l *Generator) Call(client *http.Client, m *deployer.Domain, q Request) Outcome {
+// Call sends a request to the domain's balancer, and once more if the first
+// attempt may have run.
+func (g *Generator) Call(client *http.Client, domain *deployer.Domain, q Request) Outcome {
 	began := time.Now()
-	outcome := l.try(client, m, q)
+	outcome := g.sendToBalancer(client, domain, q)
 	if outcome == Unclear {
-		outcome = l.try(client, m, q)
+		outcome = g.sendToBalancer(client, domain, q)
 		if outcome == Denied {
-			outcome = Unclear // what is denied is the second attempt only
+			outcome = Unclear // only the second attempt is known not to have run
 		}
 	}
-	l.count(q, outcome, time.Since(began))
+	g.recordOutcome(q, outcome, time.Since(began))
 	return outcome
 }
 
-// CallAt sends a request to an address, once. The text says why it failed.
-func (l *Generator) CallAt(client *http.Client, address string, q Request) (Outcome, string) {
+// CallAt sends a request to an address once. The string is the code and verdict
+// of a failed attempt.
+func (g *Generator) CallAt(client *http.Client, address string, q Request) (Outcome, string) {
 	began := time.Now()
 	a := q.send(client, address)
-	l.check(q, a)
-	l.count(q, a.outcome, time.Since(began))
+	g.recordAttempt(q, a)
+	g.recordOutcome(q, a.outcome, time.Since(began))
 	return a.outcome, a.code
 }
 
-func (l *Generator) count(q Request, outcome Outcome, took time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts.Requests++
+// recordOutcome counts the final outcome of a request and its latency.
+func (g *Generator) recordOutcome(q Request, outcome Outcome, took time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.counts.Requests++
 	switch outcome {
 	case Answered:
-		_ = l.latency.RecordValue(min(took.Microseconds(), highestMicros))
+		_ = g.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros))
 	case Denied:
-		l.counts.Failed++
+		g.counts.Failed++
 	case Unclear:
-		l.counts.Failed++
+		g.counts.Failed++
 	}
-	one := l.tries[q.ID]
-	if one == nil {
-		one = &outcomes{charge: q.Charge}
-		l.tries[q.ID] = one
+	counts := g.attempts[q.ID]
+	if counts == nil {
+		counts = &attemptCounts{charge: q.Charge}
+		g.attempts[q.ID] = counts
 	}
-	one.add(outcome)
+	counts.add(outcome)
 }
 
-// outcomes counts how the attempts of one request ended.
-type outcomes struct {
-	charge bool // runs once for each attempt at most
-	denied int  // said not to have run
-	others int  // answered or unclear
+// attemptCounts counts the attempts of one request by their outcome.
+type attemptCounts struct {
+	charge bool // the request is a charge, which runs at most once for each attempt
+	denied int  // attempts refused as not run
+	others int  // attempts that were answered or whose outcome is unclear
 }
 
-func (o *outcomes) add(outcome Outcome) {
+// add counts an attempt.
+func (c *attemptCounts) add(outcome Outcome) {
 	if outcome == Denied {
-		o.denied++
+		c.denied++
 		return
 	}
-	o.others++
+	c.others++
 }
 
-// isUntrue reports whether one of the denied attempts must have run, given
-// how often the request was executed. An attempt that is idempotent may run
-// more than once, so only a charge's executions can be set against attempts.
-func (o *outcomes) isUntrue(executions int) bool {
-	if o.denied == 0 {
+// hasFalseDenial reports whether an attempt that was refused as not run must have
+// run after all, given how often the request was executed. An idempotent attempt
+// may run more than once, so only a charge's executions can be compared with its
+// attempts.
+func (c *attemptCounts) hasFalseDenial(executions int) bool {
+	if c.denied == 0 {
 		return false
 	}
-	if o.charge {
-		return executions > o.others
+	if c.charge {
+		return executions > c.others
 	}
-	return o.others == 0 && executions > 0
+	return c.others == 0 && executions > 0
 }
 
-func (l *Generator) try(client *http.Client, m *deployer.Domain, q Request) Outcome {
-	a := q.send(client, m.Balancer.Address)
-	l.check(q, a)
-	if host := m.Balancer.LastTarget(a.local); a.err != nil && l.d.IsStoppingAt(host) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.counts.CutByStop++
-		l.say("request %s was cut by the planned stop of %s: %v", q.ID, host, a.err)
+// sendToBalancer sends a request to the domain's balancer once. A connection
+// error while its entry host is in a planned stop counts as a violation.
+func (g *Generator) sendToBalancer(client *http.Client, domain *deployer.Domain, q Request) Outcome {
+	a := q.send(client, domain.Balancer.Address)
+	g.recordAttempt(q, a)
+	if host := domain.Balancer.LastTarget(a.localAddress); a.err != nil && g.deployment.IsStoppingAt(host) {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.counts.CutByStop++
+		g.addViolation("request %s was cut by the planned stop of %s: %v", q.ID, host, a.err)
 	}
 	return a.outcome
 }
 
-func (l *Generator) check(q Request, a attempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// recordAttempt counts what was wrong with an attempt.
+func (g *Generator) recordAttempt(q Request, a attempt) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if a.code != "" {
-		l.counts.FailuresByCode[a.code]++
+		g.counts.FailuresByCode[a.code]++
 	}
 	if a.err != nil {
-		l.counts.ConnectionErrors++
+		g.counts.ConnectionErrors++
 	}
-	if a.wrong {
-		l.counts.Mismatched++
-		l.say("request %s had an answer that is not its own", q.ID)
+	if a.mismatched {
+		g.counts.Mismatched++
+		g.addViolation("request %s got a response that does not belong to it", q.ID)
 	}
 }
 
-func (l *Generator) say(format string, args ...any) {
-	l.counts.Violations = append(l.counts.Violations, fmt.Sprintf(format, args...))
+// addViolation keeps the description of a violation. The caller holds the lock.
+func (g *Generator) addViolation(format string, args ...any) {
+	g.counts.Violations = append(g.counts.Violations, fmt.Sprintf(format, args...))
 }
 
 // Counts returns how many requests were sent and how many failed.
-func (l *Generator) Counts() (requests, failed int64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.counts.Requests, l.counts.Failed
+func (g *Generator) Counts() (requests, failed int64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.counts.Requests, g.counts.Failed
 }
 
-// Report checks the requests that were said not to have run, and returns all
-// counts.
-func (l *Generator) Report() Report {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := l.counts
-	out.FailuresByCode = maps.Clone(l.counts.FailuresByCode)
-	out.Violations = append([]string{}, l.counts.Violations...)
-	for _, id := range slices.Sorted(maps.Keys(l.tries)) {
-		if l.tries[id].isUntrue(l.d.Audit.Executions(id)) {
+// Report compares the requests that were refused as not run with the executions
+// that the auditor recorded, and returns all counts.
+func (g *Generator) Report() Report {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	out := g.counts
+	out.FailuresByCode = maps.Clone(g.counts.FailuresByCode)
+	out.Violations = append([]string{}, g.counts.Violations...)
+	for _, id := range slices.Sorted(maps.Keys(g.attempts)) {
+		if g.attempts[id].hasFalseDenial(g.deployment.Audit.Executions(id)) {
 			out.FalseDenials++
-			out.Violations = append(out.Violations, "request "+id+" ran and was said not to have run")
+			out.Violations = append(out.Violations, "request "+id+" was refused as not run, but had been executed")
 		}
 	}
-	out.P50 = float64(l.latency.ValueAtQuantile(50)) / 1000
-	out.P99 = float64(l.latency.ValueAtQuantile(99)) / 1000
+	out.P50 = float64(g.latency.ValueAtQuantile(50)) / 1000
+	out.P99 = float64(g.latency.ValueAtQuantile(99)) / 1000
 	return out
 }
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -16,86 +16,90 @@
 
 // Request is one request of a caller.
 type Request struct {
-	ID     string
-	Charge bool // not idempotent; ID is its key
-	Tenant string
-	Class  string
-	Body   string // of a charge
-	ResponseSize   int    // bytes of answer
-	ServiceTime   time.Duration
+	ID           string
+	Charge       bool // not idempotent; sent with ID as its idempotency key
+	Tenant       string
+	Class        string
+	Body         string        // empty unless the request is a charge
+	ResponseSize int           // requested size of the response, in bytes
+	ServiceTime  time.Duration // time to spend on the request; 0 leaves it to the worker
 }
 
-// Outcome is what a caller knows after an attempt.
+// Outcome is what a caller knows about a request after an attempt.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of an attempt.
 const (
-	Unclear  Outcome = iota // it may have run
-	Answered                // with the whole answer
-	Denied                  // it has not run
+	Unclear  Outcome = iota // the request may have run
+	Answered                // a complete response with status 200 arrived
+	Denied                  // the response says that the request has not run
 )
 
 func (o Outcome) String() string { return [...]string{"unclear", "answered", "denied"}[o] }
 
-// attempt is one sending of a request.
+// attempt is the result of sending a request once.
 type attempt struct {
-	outcome Outcome
-	local   string // the caller's address
-	err     error  // the connection broke
-	wrong   bool   // the answer was not the request's own
-	code    string // of a failure
+	outcome      Outcome
+	localAddress string // caller's ip:port on the connection
+	err          error  // non-nil if the connection broke before a complete response
+	mismatched   bool   // the response did not belong to the request
+	code         string // code and verdict of a failure; empty if answered
 }
 
 // send sends the request to address once.
 func (q Request) send(client *http.Client, address string) attempt {
 	var out attempt
-	r := q.build(address)
-	sent := 0 // net/http by itself repeats an idempotent request on a connection that broke
+	r := q.httpRequest(address)
+	// A refusal is only conclusive for a request that was sent once: net/http itself
+	// repeats an idempotent request when its connection broke.
+	sent := 0
 	trace := &httptrace.ClientTrace{GotConn: func(c httptrace.GotConnInfo) {
-		out.local = c.Conn.LocalAddr().String()
+		out.localAddress = c.Conn.LocalAddr().String()
 		sent++
 	}}
-	answer, err := client.Do(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
+	response, err := client.Do(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
 	if err != nil {
 		out.err, out.code = err, "connection"
 		return out
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
 	switch {
 	case err != nil:
 		out.err, out.code = err, "cut"
-	case answer.StatusCode == http.StatusOK:
+	case response.StatusCode == http.StatusOK:
 		out.outcome = Answered
-		out.wrong = !q.matches(answer, data)
+		out.mismatched = !q.matches(response, data)
 	default:
-		out.code = codeOf(answer, data)
-		if answer.Header.Get(hoster.HeaderVerdict) == "not-run" && sent == 1 {
+		out.code = codeOf(response, data)
+		if response.Header.Get(hoster.HeaderVerdict) == "not-run" && sent == 1 {
 			out.outcome = Denied
 		}
 	}
 	return out
 }
 
-// codeOf returns a failure's code and verdict.
-func codeOf(answer *http.Response, data []byte) string {
+// codeOf returns the code and verdict of a failed request, from its body and
+// headers. The code is the HTTP status if the body holds none.
+func codeOf(response *http.Response, data []byte) string {
 	var failure struct {
 		Code string `json:"code"`
 	}
 	if json.Unmarshal(data, &failure) != nil || failure.Code == "" {
-		failure.Code = answer.Status
+		failure.Code = response.Status
 	}
-	return failure.Code + " " + answer.Header.Get(hoster.HeaderVerdict)
+	return failure.Code + " " + response.Header.Get(hoster.HeaderVerdict)
 }
 
-func (q Request) build(address string) *http.Request {
+// httpRequest builds the HTTP request for an entry host or balancer at address.
+func (q Request) httpRequest(address string) *http.Request {
 	method := http.MethodGet
 	if q.Charge {
 		method = http.MethodPost
 	}
 	r, err := http.NewRequest(method, "http://"+address+"/svc/"+deployer.Service+"/menus", strings.NewReader(q.Body))
 	if err != nil {
-		panic(err) // the address is of our own making
+		panic(err) // addresses come from the deployment and are valid
 	}
 	r.Header.Set("Dotterel-Tenant", q.Tenant)
 	r.Header.Set("Dotterel-Class", q.Class)
@@ -111,8 +115,8 @@
 	return r
 }
 
-// matches reports whether the answer is whole and the request's own.
-func (q Request) matches(answer *http.Response, data []byte) bool {
-	return answer.Header.Get(hoster.HeaderRequestID) == q.ID &&
+// matches reports whether the response is complete and belongs to the request.
+func (q Request) matches(response *http.Response, data []byte) bool {
+	return response.Header.Get(hoster.HeaderRequestID) == q.ID &&
 		bytes.Equal(data, hoster.ResponseBody(q.ID, []byte(q.Body), fmt.Sprint(q.ResponseSize)))
 }
