--- a/internal/standin/delayer/delayer.go
+++ b/internal/standin/delayer/delayer.go
@@ -1,15 +1,17 @@
-// Package delayer relays TCP connections over a link with a delay, a limited
-// rate and a switch, as between failure domains.
+// Package delayer emulates the network links between failure domains: it relays TCP
+// connections with a delay and a limited rate, and can cut them.
 //
 // # Model
 //
-// A [Link] has two directions; all relays that lead over it share its rate
-// and its cut. A [Relay] listens on a loopback port and forwards to one
-// address:
+// A [Link] has two directions, up and down, each with its own rate limit. All
+// relays over a link share its rates and are cut together. A [Relay] listens on a
+// loopback port and forwards connections to one address:
 //
 //	link := delayer.NewLink(30*time.Millisecond, 30e6/8)
 //	relay, err := delayer.New("127.0.0.1:0", target, link)
-//	link.Cut(delayer.Blackhole) // bytes wait until Heal, as TCP sends them again
+//	link.Cut(delayer.Blackhole) // data is held until Heal, as if TCP retransmitted it
+//
+// A [Hub] offers links and relays to other processes over HTTP.
 package delayer
 
 import (
@@ -18,76 +20,77 @@
 	"time"
 )
 
-// chunk is the most that is read at once, in bytes.
-const chunk = 16 << 10
+// chunkSize is the most that is read from a connection at once, in bytes.
+const chunkSize = 16 << 10
 
-// window bounds the bytes in flight in one direction of a connection, in chunks.
-const window = 256
+// maxChunksInFlight bounds the data on the link in one direction of a connection.
+const maxChunksInFlight = 256
 
-// dialTimeout bounds the connection to the target.
+// dialTimeout bounds how long connecting to the target may take.
 const dialTimeout = 5 * time.Second
 
-// Relay forwards one port to one address.
+// Relay forwards the connections to one port over a link to one address.
 type Relay struct {
 	Address string        // ip:port that it listens on
-	Done    chan struct{} // closed when it has ended
+	Done    chan struct{} // closed once the relay and its connections have ended
 
-	target string
-	link   *Link
-	inner  net.Listener
-	stop   chan struct{}
+	target   string
+	link     *Link
+	listener net.Listener
+	closing  chan struct{} // closed by Close
 
 	mu     sync.Mutex
-	conns  map[net.Conn]bool
+	conns  map[net.Conn]bool // open connections on both sides
 	closed bool
 }
 
-// New relays from address, such as 127.0.0.1:0, to target over the link.
+// New listens on address, such as 127.0.0.1:0, and relays to target over the link.
 func New(address, target string, link *Link) (*Relay, error) {
-	inner, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	r := &Relay{
-		Address: inner.Addr().String(),
-		Done:    make(chan struct{}),
-		target:  target,
-		link:    link,
-		inner:   inner,
-		stop:    make(chan struct{}),
-		conns:   make(map[net.Conn]bool),
+		Address:  listener.Addr().String(),
+		Done:     make(chan struct{}),
+		target:   target,
+		link:     link,
+		listener: listener,
+		closing:  make(chan struct{}),
+		conns:    make(map[net.Conn]bool),
 	}
-	link.add(r)
+	link.addRelay(r)
 	go func() {
 		defer close(r.Done)
-		var relays sync.WaitGroup
+		var handlers sync.WaitGroup
 		for {
-			c, err := inner.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				break
 			}
-			relays.Go(func() { r.relay(c) })
+			handlers.Go(func() { r.relay(c) })
 		}
-		relays.Wait()
+		handlers.Wait()
 	}()
 	return r, nil
 }
 
-// Close ends the relay and its connections.
+// Close stops listening, closes all connections and waits until they have ended.
 func (r *Relay) Close() error {
-	err := r.inner.Close()
+	err := r.listener.Close()
 	r.mu.Lock()
 	if !r.closed {
 		r.closed = true
-		close(r.stop)
+		close(r.closing)
 	}
 	r.mu.Unlock()
-	r.drop()
+	r.closeConns()
 	<-r.Done
 	return err
 }
 
-func (r *Relay) drop() {
+// closeConns closes all open connections.
+func (r *Relay) closeConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -95,8 +98,9 @@
 	}
 }
 
-// keep registers a connection, so that it can be dropped.
-func (r *Relay) keep(c net.Conn) bool {
+// track records an open connection so that the relay can close it. It reports
+// false after Close.
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -106,90 +110,97 @@
 	return true
 }
 
-func (r *Relay) forget(c net.Conn) {
+// closeConn closes a connection and removes it from the open ones.
+func (r *Relay) closeConn(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.conns, c)
 	c.Close()
 }
 
-func (r *Relay) relay(near net.Conn) {
-	defer r.forget(near)
-	if !r.keep(near) || !r.passes() {
-		reset(near)
+// relay connects a client to the target and copies both directions until both have
+// ended.
+func (r *Relay) relay(client net.Conn) {
+	defer r.closeConn(client)
+	if !r.track(client) || !r.crossLink() {
+		resetOnClose(client)
 		return
 	}
-	far, err := net.DialTimeout("tcp", r.target, dialTimeout)
+	upstream, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
-		reset(near)
+		resetOnClose(client)
 		return
 	}
-	defer r.forget(far)
-	if !r.keep(far) {
+	defer r.closeConn(upstream)
+	if !r.track(upstream) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { r.copy(far, near, r.link.up) })
-	both.Go(func() { r.copy(near, far, r.link.down) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyDirection(upstream, client, r.link.up) })
+	directions.Go(func() { r.copyDirection(client, upstream, r.link.down) })
+	directions.Wait()
 }
 
-// reset ends a connection so that its peer sees an error.
-func reset(c net.Conn) {
+// resetOnClose makes the Close of a TCP connection send a reset, so that its peer
+// sees an error in place of the end of the stream.
+func resetOnClose(c net.Conn) {
 	var t *net.TCPConn
 	if t, _ = c.(*net.TCPConn); t != nil {
 		_ = t.SetLinger(0)
 	}
 }
 
-// passes waits for a way over the link. It reports false if there is none.
-func (r *Relay) passes() bool {
-	if !r.await() {
+// crossLink models the delay of opening a connection: it waits until the link isn't
+// a blackhole and then for the one-way delay. It reports false if the link refuses
+// connections or the relay closes.
+func (r *Relay) crossLink() bool {
+	if !r.waitOpen() {
 		return false
 	}
 	time.Sleep(r.link.delay)
 	return true
 }
 
-// await waits while the link swallows everything. It reports false if the
-// link refuses or the relay ends.
-func (r *Relay) await() bool {
+// waitOpen waits while the link is a blackhole. It reports false if the link is cut
+// by Drop or the relay closes.
+func (r *Relay) waitOpen() bool {
 	for {
-		cut, changed := r.link.present()
-		if cut != Blackhole {
-			return cut == None
+		mode, changed := r.link.cutMode()
+		if mode != Blackhole {
+			return mode == None
 		}
 		select {
 		case <-changed:
-		case <-r.stop:
+		case <-r.closing:
 			return false
 		}
 	}
 }
 
-type packet struct {
+// chunk is data on its way over the link.
+type chunk struct {
 	data []byte
-	due  time.Time
+	due  time.Time // when the last byte reaches the other end
 }
 
-// copy moves bytes from src to dst over one direction of the link.
-func (r *Relay) copy(dst, src net.Conn, d *direction) {
-	packets := make(chan packet, window)
-	stop := make(chan struct{})
+// copyDirection copies src to dst over one direction of the link.
+func (r *Relay) copyDirection(dst, src net.Conn, d *direction) {
+	chunks := make(chan chunk, maxChunksInFlight)
+	failed := make(chan struct{}) // closed when no more chunks are written
 	var writer sync.WaitGroup
 	writer.Go(func() {
-		defer close(stop)
-		r.deliver(dst, packets)
+		defer close(failed)
+		r.writeChunks(dst, chunks)
 	})
 	defer writer.Wait()
-	defer close(packets)
+	defer close(chunks)
 	for {
-		data := make([]byte, chunk)
+		data := make([]byte, chunkSize)
 		n, err := src.Read(data)
 		if n > 0 {
 			select {
-			case packets <- packet{data[:n], d.reserve(n, r.link.rate).Add(r.link.delay)}:
-			case <-stop:
+			case chunks <- chunk{data[:n], d.reserve(n, r.link.rate).Add(r.link.delay)}:
+			case <-failed:
 				return
 			}
 		}
@@ -199,18 +210,18 @@
 	}
 }
 
-// deliver writes packets when they are due and closes the direction at the
-// end.
-func (r *Relay) deliver(dst net.Conn, packets <-chan packet) {
-	for p := range packets {
-		time.Sleep(time.Until(p.due))
-		ok := r.await()
+// writeChunks writes each chunk when it is due, and closes dst for writing once
+// chunks is closed.
+func (r *Relay) writeChunks(dst net.Conn, chunks <-chan chunk) {
+	for c := range chunks {
+		time.Sleep(time.Until(c.due))
+		ok := r.waitOpen()
 		if ok {
-			_, err := dst.Write(p.data)
+			_, err := dst.Write(c.data)
 			ok = err == nil
 		}
 		if !ok {
-			reset(dst)
+			resetOnClose(dst)
 			dst.Close()
 			return
 		}
--- a/internal/standin/delayer/delayer_test.go
+++ b/internal/standin/delayer/delayer_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Relay", func() {
-	// echo answers every byte.
+	// echo starts a server that returns every byte, and returns its address.
 	echo := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -51,7 +51,7 @@
 		return err
 	}
 
-	// try dials and asks; on a link that drops, either may be what is reset.
+	// try dials and asks. On a link cut by Drop, either step may fail.
 	try := func(r *delayer.Relay, text string) error {
 		c, err := net.Dial("tcp", r.Address)
 		if err != nil {
@@ -61,19 +61,19 @@
 		return ask(c, text)
 	}
 
-	It("delays, limits and counts", func() {
+	It("delays data, limits its rate and counts its bytes", func() {
 		link := delayer.NewLink(20*time.Millisecond, 10000)
 		c := dial(relay(link))
 		began := time.Now()
 		Expect(ask(c, string(make([]byte, 1000)))).To(Succeed())
-		// One delay to connect, one each way, and 100 ms of sending each way.
+		// One delay to connect, one each way, and 100 ms to send 1000 bytes each way.
 		Expect(time.Since(began)).To(BeNumerically(">=", 260*time.Millisecond))
 		up, down := link.Bytes()
 		Expect(up).To(BeEquivalentTo(1000))
 		Expect(down).To(BeEquivalentTo(1000))
 	})
 
-	It("resets connections when dropped, and takes new ones after healing", func() {
+	It("breaks connections while cut by Drop, and accepts new ones after healing", func() {
 		link := delayer.NewLink(0, 0)
 		r := relay(link)
 		c := dial(r)
@@ -85,7 +85,7 @@
 		Expect(ask(dial(r), "d")).To(Succeed())
 	})
 
-	It("holds bytes in a blackhole until it heals", func() {
+	It("holds data in a blackhole until the link heals", func() {
 		link := delayer.NewLink(0, 0)
 		c := dial(relay(link))
 		Expect(ask(c, "a")).To(Succeed())
@@ -97,7 +97,7 @@
 		Eventually(done).Should(Receive(Succeed()))
 	})
 
-	It("ends while connections wait in a blackhole", func() {
+	It("closes while connections wait in a blackhole", func() {
 		link := delayer.NewLink(0, 0)
 		r := relay(link)
 		link.Cut(delayer.Blackhole)
--- a/internal/standin/delayer/hub.go
+++ b/internal/standin/delayer/hub.go
@@ -8,45 +8,46 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// Hub holds named links with their relays, and makes and cuts them over HTTP.
+// Hub holds named links and their relays, and serves an HTTP interface to make and
+// cut them.
 type Hub struct {
 	Address string        // ip:port
-	Done    chan struct{} // closed when it has ended
+	Done    chan struct{} // closed once the hub and its relays have ended
 
 	server *listener.Listener
 
 	mu     sync.Mutex
-	links  map[string]*Link
+	links  map[string]*Link // by name
 	relays []*Relay
 }
 
 type linkRequest struct {
 	Name  string        `json:"name"`
-	Delay time.Duration `json:"delay"` // one way
-	Rate  float64       `json:"rate"`  // bytes a second each way, 0 is unlimited
+	Delay time.Duration `json:"delay"` // one-way delay
+	Rate  float64       `json:"rate"`  // bytes a second each way; 0 is unlimited
 }
 
 type relayRequest struct {
 	Link    string `json:"link"`
 	Target  string `json:"target"`  // ip:port
-	Reverse bool   `json:"reverse"` // the target is at the other end of the link
+	Reverse bool   `json:"reverse"` // see Hub.Relay
 }
 
-type relayAnswer struct {
+type relayResponse struct {
 	Address string `json:"address"`
 }
 
 type cutRequest struct {
 	Link string `json:"link"`
-	How  string `json:"how"` // none, drop or blackhole
+	How  string `json:"how"` // name of the cut mode: none, drop or blackhole
 }
 
-type bytesAnswer struct {
+type bytesResponse struct {
 	Up   int64 `json:"up"`
 	Down int64 `json:"down"`
 }
 
-// NewHub serves an empty hub on address.
+// NewHub serves a hub without links on address.
 func NewHub(address string) (*Hub, error) {
 	h := &Hub{links: make(map[string]*Link), Done: make(chan struct{})}
 	m := http.NewServeMux()
@@ -54,15 +55,15 @@
 		h.Link(in.Name, in.Delay, in.Rate)
 		return struct{}{}, nil
 	}))
-	m.Handle("POST /v1/relay", listener.Handle(func(_ *http.Request, in relayRequest) (relayAnswer, error) {
+	m.Handle("POST /v1/relay", listener.Handle(func(_ *http.Request, in relayRequest) (relayResponse, error) {
 		address, err := h.Relay(in.Link, in.Target, in.Reverse)
-		return relayAnswer{address}, err
+		return relayResponse{address}, err
 	}))
 	m.Handle("POST /v1/cut", listener.Handle(func(_ *http.Request, in cutRequest) (struct{}, error) {
 		return struct{}{}, h.Cut(in.Link, in.How)
 	}))
-	m.Handle("GET /v1/bytes", listener.Handle(func(*http.Request, struct{}) (map[string]bytesAnswer, error) {
-		return h.bytes(), nil
+	m.Handle("GET /v1/bytes", listener.Handle(func(*http.Request, struct{}) (map[string]bytesResponse, error) {
+		return h.bytesByLink(), nil
 	}))
 	server, err := listener.New(address, m)
 	if err != nil {
@@ -72,7 +73,7 @@
 	return h, nil
 }
 
-// Close ends the hub and its relays.
+// Close ends the HTTP interface and all relays.
 func (h *Hub) Close() error {
 	err := h.server.Close()
 	h.mu.Lock()
@@ -85,7 +86,8 @@
 	return err
 }
 
-// Link makes a link, or returns the one of that name.
+// Link returns the link of that name, which it makes if there is none. The rate is
+// in bytes a second; 0 is unlimited.
 func (h *Hub) Link(name string, delay time.Duration, rate float64) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,14 +97,14 @@
 	return h.links[name]
 }
 
-// Relay makes a relay over a link to target and returns its address. With
-// reverse, the target is at the end that the link's other relays start from.
+// Relay makes a relay over a link to target and returns its address. The target is
+// at the far end of the link or, if reverse is set, at the near end.
 func (h *Hub) Relay(link, target string, reverse bool) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l := h.links[link]
 	if l == nil {
-		return "", unknown(link)
+		return "", unknownLink(link)
 	}
 	if reverse {
 		l = l.Reverse()
@@ -115,34 +117,36 @@
 	return r.Address, nil
 }
 
-// Cut cuts a link in the way named how: none, drop or blackhole.
+// Cut cuts a link in the mode named by how: none, drop or blackhole.
 func (h *Hub) Cut(link, how string) error {
 	h.mu.Lock()
 	l := h.links[link]
 	h.mu.Unlock()
 	if l == nil {
-		return unknown(link)
+		return unknownLink(link)
 	}
-	for _, c := range []CutMode{None, Drop, Blackhole} {
-		if c.String() == how {
-			l.Cut(c)
+	for _, mode := range []CutMode{None, Drop, Blackhole} {
+		if mode.String() == how {
+			l.Cut(mode)
 			return nil
 		}
 	}
 	return listener.NewRefusal(http.StatusBadRequest, "malformed", "how must be none, drop or blackhole")
 }
 
-func (h *Hub) bytes() map[string]bytesAnswer {
+// bytesByLink returns the bytes of each link, see Link.Bytes.
+func (h *Hub) bytesByLink() map[string]bytesResponse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := make(map[string]bytesAnswer)
+	out := make(map[string]bytesResponse)
 	for name, l := range h.links {
 		up, down := l.Bytes()
-		out[name] = bytesAnswer{up, down}
+		out[name] = bytesResponse{up, down}
 	}
 	return out
 }
 
-func unknown(link string) error {
+// unknownLink returns the refusal of a request that names a link that doesn't exist.
+func unknownLink(link string) error {
 	return listener.NewRefusal(http.StatusNotFound, "unknown", "no link "+link)
 }
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// CutMode is how a link is cut.
+// CutMode says how a link is cut.
 type CutMode uint8
 
 // Ways to cut a link.
 const (
-	None      CutMode = iota
-	Drop              // connections are reset and new ones refused
-	Blackhole         // bytes wait for the link to heal, as TCP sends them again
+	None      CutMode = iota // the link passes data
+	Drop                     // open connections are closed and new ones reset
+	Blackhole                // data is held until the link heals, as if TCP retransmitted it
 )
 
-func (c CutMode) String() string { return [...]string{"none", "drop", "blackhole"}[c] }
+func (m CutMode) String() string { return [...]string{"none", "drop", "blackhole"}[m] }
 
-// Link joins two places. Its direction up leads towards the relays' targets.
+// Link is a network link between two failure domains, as seen from one of its
+// ends.
 type Link struct {
 	delay time.Duration // one way
 	rate  float64       // bytes a second each way; 0 is unlimited
-	up    *direction
-	down  *direction
-	state *state
+	up    *direction    // towards the relays' targets
+	down  *direction    // back to the clients
+	state *linkState
 }
 
-// state is what both views of a link share.
-type state struct {
+// linkState is shared by the views of a link from both its ends.
+type linkState struct {
 	mu      sync.Mutex
-	cut     CutMode
-	changed chan struct{} // closed at the next change
+	mode    CutMode
+	changed chan struct{} // closed and replaced when mode changes
 	relays  []*Relay
 }
 
-// direction is the queue and the count of one way.
+// direction limits the rate of one direction of a link and counts its bytes.
 type direction struct {
-	mu    sync.Mutex
-	free  time.Time // when the bytes reserved so far have been sent
-	bytes int64
+	mu     sync.Mutex
+	idleAt time.Time // when all bytes reserved so far have been sent
+	bytes  int64     // bytes reserved since the link was made
 }
 
 // NewLink returns a link with a one-way delay and a rate each way, in bytes a
@@ -48,52 +49,57 @@
 	return &Link{
 		delay: delay, rate: rate,
 		up: &direction{}, down: &direction{},
-		state: &state{changed: make(chan struct{})},
+		state: &linkState{changed: make(chan struct{})},
 	}
 }
 
-// Reverse returns the same link seen from its other end.
+// Reverse returns the same link as seen from its other end.
 func (l *Link) Reverse() *Link {
 	out := *l
 	out.up, out.down = l.down, l.up
 	return &out
 }
 
-// Cut cuts the link until Heal.
-func (l *Link) Cut(c CutMode) {
+// Cut cuts the link in the given mode until the next call of Cut or Heal.
+func (l *Link) Cut(m CutMode) {
 	s := l.state
 	s.mu.Lock()
-	s.cut = c
+	s.mode = m
 	close(s.changed)
 	s.changed = make(chan struct{})
 	relays := slices.Clone(s.relays)
 	s.mu.Unlock()
-	if c == Drop {
+	if m == Drop {
 		for _, r := range relays {
-			r.drop()
+			r.closeConns()
 		}
 	}
 }
 
-// Heal lets the link pass again.
+// Heal makes the link pass data again.
 func (l *Link) Heal() { l.Cut(None) }
 
-// Bytes returns the bytes carried towards the targets and back.
-func (l *Link) Bytes() (up, down int64) { return l.up.count(), l.down.count() }
+// Bytes returns the bytes taken for sending towards the targets and back since the
+// link was made, including any that a cut lost.
+func (l *Link) Bytes() (up, down int64) { return l.up.total(), l.down.total() }
 
-func (l *Link) add(r *Relay) {
+// addRelay records a relay whose connections Cut closes.
+func (l *Link) addRelay(r *Relay) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	l.state.relays = append(l.state.relays, r)
 }
 
-func (l *Link) present() (CutMode, <-chan struct{}) {
+// cutMode returns how the link is cut, and a channel that is closed at the next
+// change.
+func (l *Link) cutMode() (CutMode, <-chan struct{}) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
-	return l.state.cut, l.state.changed
+	return l.state.mode, l.state.changed
 }
 
-// reserve queues n bytes and returns when the last of them has been sent.
+// reserve takes the time to send n bytes at rate, after all bytes reserved before,
+// and returns when the last of them has been sent.
 func (d *direction) reserve(n int, rate float64) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,14 +108,15 @@
 	if rate <= 0 {
 		return now
 	}
-	if d.free.Before(now) {
-		d.free = now
+	if d.idleAt.Before(now) {
+		d.idleAt = now
 	}
-	d.free = d.free.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-	return d.free
+	d.idleAt = d.idleAt.Add(time.Duration(float64(n) / rate * float64(time.Second)))
+	return d.idleAt
 }
 
-func (d *direction) count() int64 {
+// total returns the bytes reserved since the link was made.
+func (d *direction) total() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bytes
