--- a/internal/standin/delayer/delayer_test.go
+++ b/internal/standin/delayer/delayer_test.go
@@ -43,7 +43,8 @@
 		DeferCleanup(func() { c.Close() })
 		return c
 	}
-	ask := func(c net.Conn, text string) error {
+	// roundTrip sends the text and reads as many bytes.
+	roundTrip := func(c net.Conn, text string) error {
 		if _, err := c.Write([]byte(text)); err != nil {
 			return err
 		}
@@ -51,21 +52,22 @@
 		return err
 	}
 
-	// try dials and asks. On a link cut by Drop, either step may fail.
-	try := func(r *delayer.Relay, text string) error {
+	// dialAndSend makes one round trip on a new connection. On a link cut by Drop,
+	// connecting or the round trip may fail.
+	dialAndSend := func(r *delayer.Relay, text string) error {
 		c, err := net.Dial("tcp", r.Address)
 		if err != nil {
 			return err
 		}
 		defer c.Close()
-		return ask(c, text)
+		return roundTrip(c, text)
 	}
 
 	It("delays data, limits its rate and counts its bytes", func() {
 		link := delayer.NewLink(20*time.Millisecond, 10000)
 		c := dial(relay(link))
 		began := time.Now()
-		Expect(ask(c, string(make([]byte, 1000)))).To(Succeed())
+		Expect(roundTrip(c, string(make([]byte, 1000)))).To(Succeed())
 		// One delay to connect, one each way, and 100 ms to send 1000 bytes each way.
 		Expect(time.Since(began)).To(BeNumerically(">=", 260*time.Millisecond))
 		up, down := link.Bytes()
@@ -77,21 +79,21 @@
 		link := delayer.NewLink(0, 0)
 		r := relay(link)
 		c := dial(r)
-		Expect(ask(c, "a")).To(Succeed())
+		Expect(roundTrip(c, "a")).To(Succeed())
 		link.Cut(delayer.Drop)
-		Expect(ask(c, "b")).NotTo(Succeed())
-		Expect(try(r, "c")).NotTo(Succeed())
+		Expect(roundTrip(c, "b")).NotTo(Succeed())
+		Expect(dialAndSend(r, "c")).NotTo(Succeed())
 		link.Heal()
-		Expect(ask(dial(r), "d")).To(Succeed())
+		Expect(roundTrip(dial(r), "d")).To(Succeed())
 	})
 
 	It("holds data in a blackhole until the link heals", func() {
 		link := delayer.NewLink(0, 0)
 		c := dial(relay(link))
-		Expect(ask(c, "a")).To(Succeed())
+		Expect(roundTrip(c, "a")).To(Succeed())
 		link.Cut(delayer.Blackhole)
 		done := make(chan error, 1)
-		go func() { done <- ask(c, "b") }()
+		go func() { done <- roundTrip(c, "b") }()
 		Consistently(done, "100ms").ShouldNot(Receive())
 		link.Heal()
 		Eventually(done).Should(Receive(Succeed()))
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -6,50 +6,52 @@
 	"time"
 )
 
-// faults are the switches.
+// faults are the faults that are injected now.
 type faults struct {
-	Outage      bool          `json:"outage"`      // connections are cut, nothing takes effect
-	Slow        time.Duration `json:"slow"`        // added before each effect
-	Lose        int           `json:"lose"`        // next writes that take effect without an answer
-	Probability float64       `json:"probability"` // of losing a write's answer, 0 to 1
-	Seed        uint64        `json:"seed"`        // for Probability
-	random      *rand.Rand
+	Outage          bool          `json:"outage"`      // connections are closed and nothing takes effect
+	Delay           time.Duration `json:"slow"`        // wait before each call takes effect
+	DropNext        int           `json:"lose"`        // number of next writes that take effect but aren't answered
+	DropProbability float64       `json:"probability"` // share of later writes that aren't answered, 0 to 1
+	Seed            uint64        `json:"seed"`        // seed of the random choice by DropProbability
+	random          *rand.Rand
 }
 
-// Counts are the calls that arrived, those during an outage included.
+// Counts holds the calls that arrived since the store was made, including those
+// during an outage.
 type Counts struct {
-	Calls            map[string]int64 `json:"calls"`   // by kind
-	DroppedResponses int64            `json:"lost"`    // writes that took effect and had no answer
-	WaitingWatches   int64            `json:"waiting"` // watches waiting now
-	PeakWatches      int64            `json:"watches"` // most that waited at once
-	PeakCalls        int64            `json:"peak"`    // most calls in one second
+	Calls            map[string]int64 `json:"calls"`   // by kind, such as get or swap
+	DroppedResponses int64            `json:"lost"`    // writes that took effect but weren't answered
+	WaitingWatches   int64            `json:"waiting"` // watches that wait now
+	PeakWatches      int64            `json:"watches"` // highest number of watches that waited at once
+	PeakCalls        int64            `json:"peak"`    // highest number of calls in one second
 }
 
-// SetOutage switches an outage on or off. Leases go on lapsing during it.
+// SetOutage starts or ends an outage. Leases also expire during an outage.
 func (k *Keeper) SetOutage(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.faults.Outage = on
 	if on {
-		close(k.changed) // waiting watches notice
+		close(k.changed) // wakes the waiting watches, which then fail
 		k.changed = make(chan struct{})
 	}
 }
 
-// SetDelay delays every call by d; a call whose caller gave up still takes effect.
+// SetDelay delays every call by d. A call whose client gave up meanwhile still takes
+// effect.
 func (k *Keeper) SetDelay(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.faults.Slow = d
+	k.faults.Delay = d
 }
 
-// DropResponses lets the next n writes, and later ones with the probability,
-// take effect without an answer.
+// DropResponses makes the next n writes take effect without a response, and later
+// ones with the given probability, 0 to 1.
 func (k *Keeper) DropResponses(n int, probability float64, seed uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.faults.Lose = n
-	k.faults.Probability = probability
+	k.faults.DropNext = n
+	k.faults.DropProbability = probability
 	k.faults.random = rand.New(rand.NewPCG(seed, 0))
 }
 
@@ -62,27 +64,29 @@
 	return out
 }
 
-// loses decides whether this write's answer is lost.
-func (k *Keeper) loses() bool {
-	lost := false
-	if k.faults.Lose > 0 {
-		k.faults.Lose--
-		lost = true
-	} else if k.faults.Probability > 0 {
-		lost = k.faults.random.Float64() < k.faults.Probability
+// dropsResponse decides whether the response to a write is dropped, and counts it if
+// so.
+func (k *Keeper) dropsResponse() bool {
+	drop := false
+	if k.faults.DropNext > 0 {
+		k.faults.DropNext--
+		drop = true
+	} else if k.faults.DropProbability > 0 {
+		drop = k.faults.random.Float64() < k.faults.DropProbability
 	}
-	if lost {
+	if drop {
 		k.counts.DroppedResponses++
 	}
-	return lost
+	return drop
 }
 
+// count counts a call of the kind.
 func (k *Keeper) count(kind string) {
 	k.counts.Calls[kind]++
 	second := time.Now().Truncate(time.Second)
-	if !second.Equal(k.second) {
-		k.second, k.calls = second, 0
+	if !second.Equal(k.countedSecond) {
+		k.countedSecond, k.callsInSecond = second, 0
 	}
-	k.calls++
-	k.counts.PeakCalls = max(k.counts.PeakCalls, k.calls)
+	k.callsInSecond++
+	k.counts.PeakCalls = max(k.counts.PeakCalls, k.callsInSecond)
 }
--- a/internal/standin/keeper/handler.go
+++ b/internal/standin/keeper/handler.go
@@ -9,27 +9,31 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-type ranged struct {
+// rangeRequest asks for the items below a prefix, or for changes to them.
+type rangeRequest struct {
 	Prefix   string        `json:"prefix"`
-	Revision int64         `json:"revision"`
-	Wait     time.Duration `json:"wait"`
+	Revision int64         `json:"revision"` // a watch returns changes after this revision
+	Wait     time.Duration `json:"wait"`     // longest wait of a watch, at most MaxWatchWait
 }
 
-type items struct {
+// itemsResponse holds the items found and the store's revision.
+type itemsResponse struct {
 	Items    []storer.Item `json:"items"`
 	Revision int64         `json:"revision"`
 }
 
-type leased struct {
-	Lease int64         `json:"lease,omitempty"`
+// leaseMessage is the request or response of a call about a lease.
+type leaseMessage struct {
+	Lease int64         `json:"lease,omitempty"` // lease id
 	TTL   time.Duration `json:"ttl,omitempty"`
 }
 
+// routes returns the handler of the HTTP interface.
 func (k *Keeper) routes() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("POST /v1/get", read(k, "get", func(in storer.Item) (storer.Item, error) { return k.get(in.Key) }))
-	m.Handle("POST /v1/list", read(k, "list", func(in ranged) (items, error) {
-		return items{k.list(in.Prefix, 0, false), k.revision}, nil
+	m.Handle("POST /v1/list", read(k, "list", func(in rangeRequest) (itemsResponse, error) {
+		return itemsResponse{k.list(in.Prefix, 0, false), k.revision}, nil
 	}))
 	m.Handle("POST /v1/swap", write(k, "swap", func(in storer.Item) (storer.Item, error) {
 		revision, err := k.swap(storer.Item{Key: in.Key, Value: in.Value, Lease: in.Lease}, in.Revision)
@@ -38,31 +42,31 @@
 	m.Handle("POST /v1/delete", write(k, "delete", func(in storer.Item) (struct{}, error) {
 		return struct{}{}, k.remove(in.Key, in.Revision)
 	}))
-	m.Handle("POST /v1/grant", write(k, "grant", func(in leased) (leased, error) {
+	m.Handle("POST /v1/grant", write(k, "grant", func(in leaseMessage) (leaseMessage, error) {
 		id, err := k.grant(in.TTL)
-		return leased{Lease: id}, err
+		return leaseMessage{Lease: id}, err
 	}))
-	m.Handle("POST /v1/renew", write(k, "renew", func(in leased) (struct{}, error) { return struct{}{}, k.renew(in.Lease) }))
-	m.Handle("POST /v1/revoke", write(k, "revoke", func(in leased) (struct{}, error) {
-		k.end(in.Lease)
+	m.Handle("POST /v1/renew", write(k, "renew", func(in leaseMessage) (struct{}, error) { return struct{}{}, k.renew(in.Lease) }))
+	m.Handle("POST /v1/revoke", write(k, "revoke", func(in leaseMessage) (struct{}, error) {
+		k.endLease(in.Lease)
 		return struct{}{}, nil
 	}))
 	m.Handle("POST /v1/watch", listener.Handle(k.watch))
 	m.Handle("GET /v1/counts", listener.Handle(func(*http.Request, struct{}) (Counts, error) { return k.Counts(), nil }))
 	m.Handle("POST /v1/faults", listener.Handle(func(_ *http.Request, in faults) (struct{}, error) {
-		k.SetDelay(in.Slow)
-		k.DropResponses(in.Lose, in.Probability, in.Seed)
+		k.SetDelay(in.Delay)
+		k.DropResponses(in.DropNext, in.DropProbability, in.Seed)
 		k.SetOutage(in.Outage)
 		return struct{}{}, nil
 	}))
 	return m
 }
 
-// read serves a call without effect.
+// read serves a call that changes nothing.
 func read[In, Out any](k *Keeper, kind string, call func(In) (Out, error)) http.Handler {
 	return listener.Handle(func(_ *http.Request, in In) (Out, error) {
 		defer k.mu.Unlock()
-		if err := k.enter(kind); err != nil {
+		if err := k.admit(kind); err != nil {
 			var none Out
 			return none, err
 		}
@@ -70,30 +74,32 @@
 	})
 }
 
-// write serves a call with an effect, whose answer may be lost.
+// write serves a call that changes the store and whose response may be dropped.
 func write[In, Out any](k *Keeper, kind string, call func(In) (Out, error)) http.Handler {
 	return listener.Handle(func(_ *http.Request, in In) (Out, error) {
 		defer k.mu.Unlock()
-		if err := k.enter(kind); err != nil {
+		if err := k.admit(kind); err != nil {
 			var none Out
 			return none, err
 		}
 		out, err := call(in)
-		if err == nil && k.loses() {
+		if err == nil && k.dropsResponse() {
 			err = listener.ErrDropResponse
 		}
 		return out, err
 	})
 }
 
-// enter counts a call and returns with the lock held.
-func (k *Keeper) enter(kind string) error {
+// admit locks the store, counts a call and waits for the injected delay. It fails
+// during an outage. The store stays locked in either case, and the caller unlocks
+// it.
+func (k *Keeper) admit(kind string) error {
 	k.mu.Lock()
 	k.count(kind)
-	slow := k.faults.Slow
-	if slow > 0 {
+	delay := k.faults.Delay
+	if delay > 0 {
 		k.mu.Unlock()
-		time.Sleep(slow)
+		time.Sleep(delay)
 		k.mu.Lock()
 	}
 	if k.faults.Outage {
@@ -102,11 +108,12 @@
 	return nil
 }
 
-// watch answers once something below the prefix has changed.
-func (k *Keeper) watch(r *http.Request, in ranged) (items, error) {
+// watch returns the changes below the prefix after the revision, once there are any
+// or the wait is over.
+func (k *Keeper) watch(r *http.Request, in rangeRequest) (itemsResponse, error) {
 	defer k.mu.Unlock()
-	if err := k.enter("watch"); err != nil {
-		return items{}, err
+	if err := k.admit("watch"); err != nil {
+		return itemsResponse{}, err
 	}
 	k.counts.WaitingWatches++
 	k.counts.PeakWatches = max(k.counts.PeakWatches, k.counts.WaitingWatches)
@@ -115,11 +122,11 @@
 	defer cancel()
 	for {
 		if k.faults.Outage {
-			return items{}, listener.ErrDropResponse
+			return itemsResponse{}, listener.ErrDropResponse
 		}
 		changes := k.list(in.Prefix, in.Revision, true)
 		if len(changes) > 0 || ctx.Err() != nil {
-			return items{changes, k.revision}, nil
+			return itemsResponse{changes, k.revision}, nil
 		}
 		changed := k.changed
 		k.mu.Unlock()
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -1,18 +1,18 @@
-// Package keeper is a stand-in for the platform's key-value store, for tests
-// and the demo.
+// Package keeper is a stand-in for the platform's key-value store, for tests and
+// the demo.
 //
 // # Model
 //
-// A [Keeper] holds all keys in memory under one lock. Every change takes the
-// next revision. A deleted key leaves a mark with its revision, so a watch can
-// be answered from the present state however long its client was away.
+// A [Keeper] holds all keys in memory under one lock. Every change takes the next
+// revision. A deleted key leaves a tombstone with its revision, so that a watch can
+// be answered from the current state however long its client was disconnected.
 //
-// Faults are switched by [Keeper.SetOutage], [Keeper.SetDelay] and
+// Faults are injected by [Keeper.SetOutage], [Keeper.SetDelay] and
 // [Keeper.DropResponses], or over HTTP, as docs/PLATFORM.md describes:
 //
 //	k, err := keeper.New("127.0.0.1:0")
 //	defer k.Close()
-//	k.LoseAnswers(1, 0, 0) // the next write takes effect and has no answer
+//	k.DropResponses(1, 0, 0) // the next write takes effect but is not answered
 package keeper
 
 import (
@@ -26,31 +26,33 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// MaxWatchWait is the longest a watch waits.
+// MaxWatchWait is the longest that a watch waits for a change.
 const MaxWatchWait = time.Minute
 
-// Keeper is the store.
+// Keeper is an in-memory key-value store with leases and watches, served over
+// HTTP. It is safe for concurrent use.
 type Keeper struct {
 	Address string        // ip:port
-	Done    chan struct{} // closed when it has ended
-
-	mu       sync.Mutex
-	revision int64
-	items    map[string]storer.Item // deleted ones included
-	changed  chan struct{}          // closed at the next change
-	leases   map[int64]*lease
-	next     int64 // lease id
-	faults   faults
-	counts   Counts
-	second   time.Time // start of the second that calls are counted for
-	calls    int64     // in that second
-	server   *listener.Listener
+	Done    chan struct{} // closed once the server has ended
+
+	mu            sync.Mutex
+	revision      int64                  // of the latest change
+	items         map[string]storer.Item // by key, with the tombstones of deleted ones
+	changed       chan struct{}          // closed and replaced at each change
+	leases        map[int64]*lease       // by lease id
+	lastLease     int64                  // id of the lease granted last
+	faults        faults
+	counts        Counts
+	countedSecond time.Time // start of the second that callsInSecond covers
+	callsInSecond int64
+	server        *listener.Listener
 }
 
+// lease is a lease in force.
 type lease struct {
 	ttl   time.Duration
-	ends  time.Time
-	timer *time.Timer
+	end   time.Time
+	timer *time.Timer // expires the lease at end
 }
 
 // New serves an empty store on address, such as 127.0.0.1:0.
@@ -69,7 +71,7 @@
 	return k, nil
 }
 
-// Close ends the store; its content is gone.
+// Close ends the server and the timers of all leases.
 func (k *Keeper) Close() error {
 	k.mu.Lock()
 	for _, l := range k.leases {
@@ -79,6 +81,7 @@
 	return k.server.Close()
 }
 
+// get returns the item, unless the key is missing or deleted.
 func (k *Keeper) get(key string) (storer.Item, error) {
 	item, ok := k.items[key]
 	if !ok || item.Deleted {
@@ -87,11 +90,12 @@
 	return item, nil
 }
 
-// list returns the items below prefix that changed after the revision.
-func (k *Keeper) list(prefix string, after int64, deleted bool) []storer.Item {
+// list returns the items whose key begins with prefix and that changed after the
+// revision, sorted by key, with or without the tombstones of deleted ones.
+func (k *Keeper) list(prefix string, after int64, tombstones bool) []storer.Item {
 	var out []storer.Item
 	for key, item := range k.items {
-		if !strings.HasPrefix(key, prefix) || item.Revision <= after || item.Deleted && !deleted {
+		if !strings.HasPrefix(key, prefix) || item.Revision <= after || item.Deleted && !tombstones {
 			continue
 		}
 		out = append(out, item)
@@ -100,11 +104,13 @@
 	return out
 }
 
+// swap writes item if the key is at the expected revision, 0 for a missing one, and
+// returns the new revision.
 func (k *Keeper) swap(item storer.Item, expected int64) (int64, error) {
 	if len(item.Value) > storer.MaxValue {
 		return 0, listener.NewRefusal(http.StatusRequestEntityTooLarge, "too-large", "value is over 1 MB")
 	}
-	if err := k.expect(item.Key, expected); err != nil {
+	if err := k.checkRevision(item.Key, expected); err != nil {
 		return 0, err
 	}
 	if item.Lease != 0 && k.leases[item.Lease] == nil {
@@ -113,29 +119,32 @@
 	return k.put(item), nil
 }
 
+// remove deletes the key if it is at the expected revision.
 func (k *Keeper) remove(key string, expected int64) error {
 	if _, err := k.get(key); err != nil {
 		return err
 	}
-	if err := k.expect(key, expected); err != nil {
+	if err := k.checkRevision(key, expected); err != nil {
 		return err
 	}
 	k.put(storer.Item{Key: key, Deleted: true})
 	return nil
 }
 
-func (k *Keeper) expect(key string, expected int64) error {
-	present := k.items[key]
-	if present.Deleted {
-		present.Revision = 0
+// checkRevision refuses a change unless the key is at the expected revision, which
+// is 0 for a missing or deleted key.
+func (k *Keeper) checkRevision(key string, expected int64) error {
+	current := k.items[key]
+	if current.Deleted {
+		current.Revision = 0
 	}
-	if present.Revision != expected {
+	if current.Revision != expected {
 		return listener.NewRefusal(http.StatusConflict, "conflict", "revision differs for "+key)
 	}
 	return nil
 }
 
-// put stores item under the next revision and wakes the watches.
+// put stores item under the next revision and wakes the waiting watches.
 func (k *Keeper) put(item storer.Item) int64 {
 	k.revision++
 	item.Revision = k.revision
@@ -145,40 +154,43 @@
 	return item.Revision
 }
 
+// grant makes a lease and returns its id.
 func (k *Keeper) grant(ttl time.Duration) (int64, error) {
 	if ttl <= 0 {
 		return 0, listener.NewRefusal(http.StatusBadRequest, "malformed", "ttl must be positive")
 	}
-	k.next++
-	id := k.next
-	l := &lease{ttl: ttl, ends: time.Now().Add(ttl)}
-	l.timer = time.AfterFunc(ttl, func() { k.lapse(id) })
+	k.lastLease++
+	id := k.lastLease
+	l := &lease{ttl: ttl, end: time.Now().Add(ttl)}
+	l.timer = time.AfterFunc(ttl, func() { k.expireLease(id) })
 	k.leases[id] = l
 	return id, nil
 }
 
+// renew extends the lease by its whole duration from now.
 func (k *Keeper) renew(id int64) error {
 	l := k.leases[id]
 	if l == nil {
 		return listener.NewRefusal(http.StatusGone, "no-lease", "lease unknown or expired")
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.end = time.Now().Add(l.ttl)
 	l.timer.Reset(l.ttl)
 	return nil
 }
 
-// lapse ends a lease unless it was renewed while the timer fired.
-func (k *Keeper) lapse(id int64) {
+// expireLease ends a lease, unless it was renewed while its timer fired.
+func (k *Keeper) expireLease(id int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l := k.leases[id]
-	if l == nil || time.Now().Before(l.ends) {
+	if l == nil || time.Now().Before(l.end) {
 		return
 	}
-	k.end(id)
+	k.endLease(id)
 }
 
-func (k *Keeper) end(id int64) {
+// endLease ends a lease and deletes the keys that are attached to it.
+func (k *Keeper) endLease(id int64) {
 	l := k.leases[id]
 	if l == nil {
 		return
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -43,14 +43,14 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("refuses values over 1 MB without running", func() {
+	It("refuses values over 1 MB as not run", func() {
 		_, err := c.Swap(ctx, "a", make([]byte, storer.MaxValue+1), 0, 0)
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 		_, err = c.Swap(ctx, "a", make([]byte, storer.MaxValue), 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("deletes the keys of a lease that ends, and shows that to watches", func() {
+	It("deletes the keys of an expired lease and reports that to watches", func() {
 		lease, err := c.Grant(ctx, time.Second) // long enough for the swap on a busy machine
 		Expect(err).NotTo(HaveOccurred())
 		revision, err := c.Swap(ctx, "owner/1", []byte("me"), 0, lease)
@@ -65,7 +65,7 @@
 		Expect(err).To(MatchError(storer.ErrNoLease))
 	})
 
-	It("takes a write whose answer it loses", func() {
+	It("applies a write whose response it drops", func() {
 		k.DropResponses(1, 0, 0)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
 		Expect(err).To(HaveOccurred())
@@ -76,7 +76,7 @@
 		Expect(k.Counts().DroppedResponses).To(BeEquivalentTo(1))
 	})
 
-	It("has no effect during an outage and counts the calls", func() {
+	It("applies no writes during an outage, but counts the calls", func() {
 		k.SetOutage(true)
 		_, err := c.Swap(ctx, "a", []byte("1"), 0, 0)
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.MayHaveRun))
@@ -86,13 +86,13 @@
 		Expect(k.Counts().Calls).To(HaveKeyWithValue("swap", int64(1)))
 	})
 
-	It("says not run when no connection was made", func() {
+	It("lets clients report not run when no connection was made", func() {
 		k.Close()
 		_, err := c.Get(ctx, "a")
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
 	})
 
-	It("counts waiting watches and wakes them in an outage", func() {
+	It("counts waiting watches and ends them in an outage", func() {
 		failed := make(chan error)
 		go func() {
 			_, _, err := c.Watch(ctx, "a", 0, time.Minute)
