--- a/internal/standin/listener/listener.go
+++ b/internal/standin/listener/listener.go
@@ -1,9 +1,9 @@
-// Package listener serves a stand-in's HTTP interface on a loopback port.
+// Package listener serves the HTTP interface of a stand-in on a loopback port.
 //
-// A [Listener] owns its port and one goroutine. Handlers are plain functions
-// over JSON values:
+// A [Listener] owns its port and one goroutine that serves it. Handlers are plain
+// functions from one JSON value to another:
 //
-//	mux.Handle("POST /v1/get", listener.Handle(k.Get))
+//	mux.Handle("POST /v1/get", listener.Handle(s.get))
 //	l, err := listener.New("127.0.0.1:0", mux)
 //	defer l.Close()
 package listener
@@ -18,56 +18,59 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// maxBody bounds a request, in bytes.
+// maxBody is the largest accepted request body, in bytes.
 const maxBody = 16 << 20
 
-// Listener is an HTTP server on its own port.
+// Listener is an HTTP server on a port of its own.
 type Listener struct {
 	Address string        // ip:port
-	Done    chan struct{} // closed when serving has ended
+	Done    chan struct{} // closed once serving has ended
 	server  *http.Server
 }
 
 // New listens on address, such as 127.0.0.1:0, and serves handler.
 func New(address string, handler http.Handler) (*Listener, error) {
-	inner, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	l := &Listener{
-		Address: inner.Addr().String(),
+		Address: listener.Addr().String(),
 		Done:    make(chan struct{}),
 		server:  &http.Server{Handler: handler},
 	}
 	go func() {
 		defer close(l.Done)
-		_ = l.server.Serve(inner)
+		_ = l.server.Serve(listener)
 	}()
 	return l, nil
 }
 
-// Close ends the server at once and cuts its connections.
+// Close ends the server and closes its connections at once, also those in use.
 func (l *Listener) Close() error {
 	err := l.server.Close()
 	<-l.Done
 	return err
 }
 
-type refusal struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	Verdict string `json:"verdict"`
+	Verdict string `json:"verdict"` // whether the call may have run; see package classifier
 }
 
-// ErrDropResponse makes a handler cut the connection in place of an answer.
-var ErrDropResponse = errors.New("listener: answer dropped")
+// ErrDropResponse makes a handler close the connection without a response.
+var ErrDropResponse = errors.New("listener: response dropped")
 
-// NewRefusal builds an error that says that the call did not run.
+// NewRefusal returns an error with the verdict that the call did not run. The status,
+// code and message are sent to the client.
 func NewRefusal(status int, code, message string) error {
 	return &classifier.Error{Verdict: classifier.NotRun, Status: status, Code: code, Message: message}
 }
 
-// Handle serves call: it decodes the request's JSON and encodes the answer.
+// Handle returns a handler that decodes the request body as JSON, passes it to call
+// and writes the result as JSON.
 func Handle[In, Out any](call func(*http.Request, In) (Out, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var in In
@@ -84,7 +87,8 @@
 	})
 }
 
-// WriteResponse writes out, or the refusal that err stands for.
+// WriteResponse writes out as JSON or, if err is not nil, the error response for it.
+// After ErrDropResponse it closes the connection.
 func WriteResponse(w http.ResponseWriter, out any, err error) {
 	if errors.Is(err, ErrDropResponse) {
 		panic(http.ErrAbortHandler)
@@ -101,5 +105,5 @@
 		status, code, message = e.Status, e.Code, e.Message
 	}
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal{code, message, classifier.VerdictOf(err).String()})
+	_ = json.NewEncoder(w).Encode(errorBody{code, message, classifier.VerdictOf(err).String()})
 }
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -1,13 +1,13 @@
-// Package registrar is a stand-in for the platform's host list, for tests and
-// the demo.
+// Package registrar is a stand-in for the platform's host list, for tests and the
+// demo.
 //
-// The list is read as it was a set time ago. A view rewrites it for readers
-// in one region or failure domain, so that addresses elsewhere lead through a
-// link with a delay:
+// Readers get the list as it was a set time ago. A view replaces addresses for the
+// readers in one region or failure domain, so that their connections to other
+// places lead through a link with a delay:
 //
 //	r, err := registrar.New("127.0.0.1:0", time.Second)
 //	r.Set(hosts)
-//	r.View("fnq-cns", map[string]string{real: relay}) // read at http://ADDRESS/fnq-cns
+//	r.SetView("fnq-cns", map[string]string{real: relay}) // read at http://ADDRESS/fnq-cns
 package registrar
 
 import (
@@ -20,29 +20,30 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// Registrar is the host list.
+// Registrar serves the host list over HTTP. It is safe for concurrent use.
 type Registrar struct {
 	Address string        // ip:port
-	Done    chan struct{} // closed when it has ended
+	Done    chan struct{} // closed once the server has ended
 
-	lag    time.Duration
+	delay  time.Duration // time until a change shows
 	server *listener.Listener
 
-	mu     sync.Mutex
-	past   []version                    // by time, the latest last
-	views  map[string]map[string]string // relays by address, by view
-	outage bool
-	calls  int64
+	mu       sync.Mutex
+	versions []version                    // oldest first; the first is the one that shows
+	views    map[string]map[string]string // by view name, the replacement of each address
+	outage   bool
+	reads    int64
 }
 
+// version is the list from a point in time until that of the next version.
 type version struct {
 	since time.Time
 	hosts []describer.Host
 }
 
-// New serves an empty list on address; changes show after lag.
-func New(address string, lag time.Duration) (*Registrar, error) {
-	r := &Registrar{lag: lag, views: make(map[string]map[string]string)}
+// New serves an empty list on address. Readers see a change after the delay.
+func New(address string, delay time.Duration) (*Registrar, error) {
+	r := &Registrar{delay: delay, views: make(map[string]map[string]string)}
 	m := http.NewServeMux()
 	m.Handle("GET /v1/hosts", listener.Handle(r.serve))
 	m.Handle("GET /{view}/v1/hosts", listener.Handle(r.serve))
@@ -50,11 +51,11 @@
 		r.Set(in)
 		return struct{}{}, nil
 	}))
-	m.Handle("POST /v1/change", listener.Handle(func(_ *http.Request, in change) (struct{}, error) {
+	m.Handle("POST /v1/change", listener.Handle(func(_ *http.Request, in stateChange) (struct{}, error) {
 		r.SetState(in.Name, in.State)
 		return struct{}{}, nil
 	}))
-	m.Handle("POST /v1/view", listener.Handle(func(_ *http.Request, in view) (struct{}, error) {
+	m.Handle("POST /v1/view", listener.Handle(func(_ *http.Request, in viewRequest) (struct{}, error) {
 		r.SetView(in.Name, in.Relays)
 		return struct{}{}, nil
 	}))
@@ -73,27 +74,29 @@
 	return r, nil
 }
 
-type change struct {
+// stateChange is the body of a request to change the state of a host.
+type stateChange struct {
 	Name  string              `json:"name"`
-	State describer.HostState `json:"state"` // empty removes the host
+	State describer.HostState `json:"state"` // empty to remove the host
 }
 
-type view struct {
+// viewRequest is the body of a request to set a view.
+type viewRequest struct {
 	Name   string            `json:"name"`
-	Relays map[string]string `json:"relays"` // by the address that each replaces
+	Relays map[string]string `json:"relays"` // the address to show in place of each key
 }
 
-// Close ends the host list.
+// Close ends the server.
 func (r *Registrar) Close() error { return r.server.Close() }
 
-// Set replaces the list. The first one shows at once.
+// Set replaces the list. The first list shows at once.
 func (r *Registrar) Set(hosts []describer.Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.set(slices.Clone(hosts))
+	r.addVersion(slices.Clone(hosts))
 }
 
-// SetState sets one host's state; an empty state removes the host.
+// SetState sets the state of the named host. An empty state removes the host.
 func (r *Registrar) SetState(name string, state describer.HostState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,58 +110,61 @@
 	default:
 		hosts[i].State = state
 	}
-	r.set(hosts)
+	r.addVersion(hosts)
 }
 
-// SetView registers a list under a name in which the addresses that are keys of
-// relays are replaced.
+// SetView defines a view of the list in which the addresses that are keys of relays
+// are replaced by their values. The caller must not change relays afterwards.
 func (r *Registrar) SetView(name string, relays map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.views[name] = relays
 }
 
-// SetOutage switches an outage on or off.
+// SetOutage starts or ends an outage, during which reads of the list fail.
 func (r *Registrar) SetOutage(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outage = on
 }
 
-// Calls returns how often the list was read.
+// Calls returns how often the list was read, reads during an outage included.
 func (r *Registrar) Calls() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.calls
+	return r.reads
 }
 
-func (r *Registrar) set(hosts []describer.Host) {
-	r.past = append(r.past, version{time.Now(), hosts})
+// addVersion makes hosts the latest list. The caller holds the lock.
+func (r *Registrar) addVersion(hosts []describer.Host) {
+	r.versions = append(r.versions, version{time.Now(), hosts})
 }
 
+// latest returns the latest list, whether it shows yet or not.
 func (r *Registrar) latest() []describer.Host {
-	if len(r.past) == 0 {
+	if len(r.versions) == 0 {
 		return nil
 	}
-	return r.past[len(r.past)-1].hosts
+	return r.versions[len(r.versions)-1].hosts
 }
 
-// visible returns the list as it was a lag ago and forgets older ones.
+// visible returns the list as it was a delay ago, and drops older versions.
 func (r *Registrar) visible() []describer.Host {
-	seen := time.Now().Add(-r.lag)
-	for len(r.past) > 1 && !r.past[1].since.After(seen) {
-		r.past = r.past[1:]
+	cutoff := time.Now().Add(-r.delay)
+	for len(r.versions) > 1 && !r.versions[1].since.After(cutoff) {
+		r.versions = r.versions[1:]
 	}
-	if len(r.past) == 0 {
+	if len(r.versions) == 0 {
 		return nil
 	}
-	return r.past[0].hosts
+	return r.versions[0].hosts
 }
 
-func (r *Registrar) serve(q *http.Request, _ struct{}) ([]describer.Host, error) {
+// serve answers a read of the list, with the replacements of the view in its path.
+func (r *Registrar) serve(req *http.Request, _ struct{}) ([]describer.Host, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls++
+	r.reads++
 	if r.outage {
 		return nil, listener.ErrDropResponse
 	}
@@ -166,17 +172,18 @@
 	if hosts == nil {
 		hosts = []describer.Host{}
 	}
-	relays := r.views[q.PathValue("view")]
+	replacements := r.views[req.PathValue("view")]
 	for i, h := range hosts {
-		hosts[i].Address = through(relays, h.Address)
-		hosts[i].Control = through(relays, h.Control)
+		hosts[i].Address = replace(replacements, h.Address)
+		hosts[i].Control = replace(replacements, h.Control)
 	}
 	return hosts, nil
 }
 
-func through(relays map[string]string, address string) string {
-	if relay, ok := relays[address]; ok {
-		return relay
+// replace returns the replacement of address, or address if there is none.
+func replace(replacements map[string]string, address string) string {
+	if replacement, ok := replacements[address]; ok {
+		return replacement
 	}
 	return address
 }
--- a/internal/standin/registrar/registrar_test.go
+++ b/internal/standin/registrar/registrar_test.go
@@ -15,15 +15,15 @@
 
 var _ = Describe("Registrar", func() {
 	ctx := context.Background()
-	start := func(lag time.Duration) *registrar.Registrar {
-		r, err := registrar.New("127.0.0.1:0", lag)
+	start := func(delay time.Duration) *registrar.Registrar {
+		r, err := registrar.New("127.0.0.1:0", delay)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { r.Close() })
 		r.Set([]describer.Host{{Name: "w1", State: describer.Live, Address: "10.0.0.1:80"}})
 		return r
 	}
 
-	It("shows a change only after the lag", func() {
+	It("shows a change only after the delay", func() {
 		r := start(time.Hour)
 		r.SetState("w1", describer.Leaving)
 		hosts, err := lister.New("http://"+r.Address, http.DefaultClient).Hosts(ctx)
@@ -31,7 +31,7 @@
 		Expect(hosts).To(HaveExactElements(HaveField("State", describer.Live)))
 	})
 
-	It("shows and removes changed hosts, rewritten in a view", func() {
+	It("shows and removes hosts, with replaced addresses in a view", func() {
 		r := start(0)
 		r.SetView("fnq", map[string]string{"10.0.0.1:80": "10.0.0.9:80"})
 		c := lister.New("http://"+r.Address+"/fnq", http.DefaultClient)
