--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -1,18 +1,18 @@
-// Package deployer builds a whole deployment on loopback: the platform's
-// stand-ins, failure domains with workers and a balancer, links with delays
-// between them, and the settings of the entry daemons.
+// Package deployer starts a whole deployment on loopback addresses, for tests and
+// the demo: the platform's stand-ins, failure domains with workers and a load
+// balancer, links with delays between them, and the entry daemons.
 //
 // # Model
 //
-// Three failure domains stand in two regions; store and host list are in the
-// first domain. Each domain has a view of the others in which every address
-// leads through a link. How a daemon is run, in this process or in one of its
-// own, is up to Options.Launch:
+// There are three failure domains in two regions. The store and the host list are
+// in the first domain. Each domain has its own view of the host list, in which
+// every address in another domain is that of a relay over a link. Options.Launch
+// decides whether an entry daemon runs in this process or in one of its own:
 //
 //	d, err := deployer.New(ctx, deployer.Options{Launch: launch})
 //	defer d.Close()
 //	err = d.Configure(ctx)
-//	d.Region.Cut(delayer.Blackhole)
+//	d.InterRegion.Cut(delayer.Blackhole)
 package deployer
 
 import (
@@ -31,42 +31,47 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/registrar"
 )
 
-// Service is the name of the one service.
+// Service is the name of the only service that the workers run.
 const Service = "menu-desk"
 
-// RackSize is the number of workers in a rack; each rack is a shard.
+// RackSize is the number of workers in a rack. Each rack is a shard.
 const RackSize = 3
 
 const (
-	loopback      = "127.0.0.1:0"
-	hostsLag      = time.Second
-	usageLag      = time.Second
-	serviceTime   = 8 * time.Millisecond
-	checkInterval = 200 * time.Millisecond
-
-	domainDelay = time.Millisecond
-	regionDelay = 30 * time.Millisecond
-	regionRate  = 30e6 / 8 // bytes a second
+	loopback      = "127.0.0.1:0"          // lets the system choose a free port
+	hostListDelay = time.Second            // time until a change of the host list shows
+	reportDelay   = time.Second            // time until workers report usage and latency
+	serviceTime   = 8 * time.Millisecond   // of a request on an otherwise idle worker
+	checkInterval = 200 * time.Millisecond // between readiness checks by the balancers
+
+	domainDelay = time.Millisecond      // one way, between failure domains of a region
+	regionDelay = 30 * time.Millisecond // one way, between regions
+	regionRate  = 30e6 / 8              // bytes a second each way between regions
 )
 
-// defaultTarget bounds the service's latency.
-const defaultTarget = 60 * time.Millisecond
+// defaultLatencyTarget is the latency target of the service if Options sets none.
+const defaultLatencyTarget = 60 * time.Millisecond
 
-// Options of a deployment.
+// Options describes a deployment.
 type Options struct {
-	EntryHosts    int           // in each failure domain
-	Workers       int           // in each failure domain
-	LatencyTarget time.Duration // of the service's latency, 0 is defaultTarget
-	Launch        func(context.Context, parser.Settings) (Daemon, error)
+	EntryHosts    int           // number in each failure domain
+	Workers       int           // number in each failure domain
+	LatencyTarget time.Duration // latency target of the service; 60 ms if 0
+
+	// Launch starts an entry daemon with the settings.
+	Launch func(context.Context, parser.Settings) (Daemon, error)
 }
 
 // Daemon is a running entry daemon.
 type Daemon interface {
-	Kill()                    // at once
-	Stop(ctx context.Context) // as planned
+	// Kill ends the daemon at once.
+	Kill()
+
+	// Stop ends the daemon as a planned stop does, in the time that ctx leaves.
+	Stop(ctx context.Context)
 }
 
-// Deployment is everything that runs.
+// Deployment is a running deployment.
 type Deployment struct {
 	Domains     []*Domain
 	Audit       *auditor.Auditor
@@ -77,10 +82,10 @@
 
 	options Options
 	relays  []*delayer.Relay
-	client  *http.Client // of operators
+	client  *http.Client // for calls to the operators' ports and probes
 }
 
-// Domain is one failure domain.
+// Domain is a failure domain with its hosts.
 type Domain struct {
 	Name     string
 	Region   string
@@ -89,10 +94,11 @@
 	Balancer *balancer.Balancer
 }
 
-// New starts a deployment.
+// New starts a deployment. Its entry hosts serve only after Configure. The caller
+// closes it.
 func New(ctx context.Context, o Options) (*Deployment, error) {
 	if o.LatencyTarget == 0 {
-		o.LatencyTarget = defaultTarget
+		o.LatencyTarget = defaultLatencyTarget
 	}
 	d := &Deployment{
 		options: o,
@@ -110,16 +116,16 @@
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			d.Close()
-			return nil, eris.Wrap(err, "deployer: start")
+			return nil, eris.Wrap(err, "deployer: start deployment")
 		}
 	}
 	return d, nil
 }
 
-// Close ends everything that was started.
+// Close ends all hosts and stand-ins of the deployment.
 func (d *Deployment) Close() {
-	for _, m := range d.Domains {
-		m.close()
+	for _, domain := range d.Domains {
+		domain.close()
 	}
 	for _, r := range d.relays {
 		_ = r.Close()
@@ -132,22 +138,22 @@
 	}
 }
 
-func (m *Domain) close() {
-	if m.Balancer != nil {
-		_ = m.Balancer.Close()
+func (d *Domain) close() {
+	if d.Balancer != nil {
+		_ = d.Balancer.Close()
 	}
-	for _, e := range m.Entries {
+	for _, e := range d.Entries {
 		e.Kill()
 	}
-	for _, w := range m.Workers {
+	for _, w := range d.Workers {
 		_ = w.Close()
 	}
 }
 
-// Worker returns the worker of that name, or nil.
+// Worker returns the worker of that name, or nil if there is none.
 func (d *Deployment) Worker(name string) *hoster.Worker {
-	for _, m := range d.Domains {
-		for _, w := range m.Workers {
+	for _, domain := range d.Domains {
+		for _, w := range domain.Workers {
 			if w.Host.Name == name {
 				return w
 			}
@@ -156,10 +162,10 @@
 	return nil
 }
 
-// Entry returns the entry host of that name, or nil.
+// Entry returns the entry host of that name, or nil if there is none.
 func (d *Deployment) Entry(name string) *Entry {
-	for _, m := range d.Domains {
-		for _, e := range m.Entries {
+	for _, domain := range d.Domains {
+		for _, e := range domain.Entries {
 			if e.Settings.Name == name {
 				return e
 			}
@@ -168,21 +174,21 @@
 	return nil
 }
 
-// Domain returns the failure domain of that name, or nil.
+// Domain returns the failure domain of that name, or nil if there is none.
 func (d *Deployment) Domain(name string) *Domain {
-	for _, m := range d.Domains {
-		if m.Name == name {
-			return m
+	for _, domain := range d.Domains {
+		if domain.Name == name {
+			return domain
 		}
 	}
 	return nil
 }
 
-// IsStoppingAt reports whether the entry host whose callers reach it at
-// address is in a planned stop, or has ended with one.
+// IsStoppingAt reports whether the entry host that serves callers at address is in
+// a planned stop or last ended with one.
 func (d *Deployment) IsStoppingAt(address string) bool {
-	for _, m := range d.Domains {
-		for _, e := range m.Entries {
+	for _, domain := range d.Domains {
+		for _, e := range domain.Entries {
 			if e.Settings.Listen.Callers == address {
 				return e.IsStopping()
 			}
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -14,7 +14,8 @@
 	"dotterelcart.dev/dotterelcart/internal/operator/parser"
 )
 
-// Entry is one entry host; its daemon can end and be replaced.
+// Entry is one entry host. Its daemon can be ended and started again with the same
+// settings.
 type Entry struct {
 	Settings parser.Settings
 
@@ -22,13 +23,15 @@
 
 	mu       sync.Mutex
 	daemon   Daemon // nil while none runs
-	stopping bool   // a planned stop is going on, or was the latest end
+	stopping bool   // a planned stop is in progress, or the daemon last ended with one
 }
 
-func newEntry(m *Domain, i int, launch func(context.Context, parser.Settings) (Daemon, error)) (*Entry, error) {
+// newEntry returns the entry host with index i in the domain, with free addresses
+// and with leases and timeouts of a few seconds at most.
+func newEntry(domain *Domain, i int, launch func(context.Context, parser.Settings) (Daemon, error)) (*Entry, error) {
 	s := parser.Defaults()
-	s.Name = fmt.Sprintf("%s-e%d", m.Name, i+1)
-	s.Domain, s.Region = m.Name, m.Region
+	s.Name = fmt.Sprintf("%s-e%d", domain.Name, i+1)
+	s.Domain, s.Region = domain.Name, domain.Region
 	for _, address := range []*string{&s.Listen.Callers, &s.Listen.Peers, &s.Listen.Operators} {
 		free, err := freeAddress()
 		if err != nil {
@@ -50,6 +53,7 @@
 	return &Entry{Settings: s, launch: launch}, nil
 }
 
+// host returns the entry host as the host list shows it.
 func (e *Entry) host() describer.Host {
 	return describer.Host{
 		Name: e.Settings.Name, Role: describer.Entry, State: describer.Live,
@@ -58,12 +62,11 @@
 	}
 }
 
-// freeAddress returns an address that nobody listens on, on a loopback address
-// that nobody else uses: a port of 127.0.0.1 that was free could be taken by an
-// outgoing connection before its daemon listens on it.
+// freeAddress returns an unused ip:port on a random loopback address. On 127.0.0.1
+// an outgoing connection could take the port before the daemon listens on it.
 func freeAddress() (string, error) {
-	host := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.N(254), rand.N(255), 1+rand.N(254))
-	l, err := net.Listen("tcp", host)
+	random := fmt.Sprintf("127.%d.%d.%d:0", 1+rand.N(254), rand.N(255), 1+rand.N(254))
+	l, err := net.Listen("tcp", random)
 	if err != nil {
 		return "", err
 	}
@@ -71,12 +74,12 @@
 	return l.Addr().String(), nil
 }
 
-// Start launches the daemon.
+// Start launches the daemon. It fails if one is running.
 func (e *Entry) Start(ctx context.Context) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.daemon != nil {
-		return eris.New("deployer: " + e.Settings.Name + " runs already")
+		return eris.New("deployer: entry host " + e.Settings.Name + " is already running")
 	}
 	daemon, err := e.launch(ctx, e.Settings)
 	if err != nil {
@@ -86,24 +89,26 @@
 	return nil
 }
 
-// Kill ends the daemon at once.
+// Kill ends the daemon at once, if one is running.
 func (e *Entry) Kill() {
-	if daemon := e.take(false); daemon != nil {
+	if daemon := e.removeDaemon(false); daemon != nil {
 		daemon.Kill()
 	}
 }
 
-// Stop ends the daemon as planned, in the time that its settings allow.
+// Stop ends the daemon in a planned stop, in the time that its settings allow for
+// draining.
 func (e *Entry) Stop(ctx context.Context) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainLimit))
+	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(e.Settings.Traffic.DrainLimit))
 	defer cancel()
-	if daemon := e.take(true); daemon != nil {
-		daemon.Stop(limited)
+	if daemon := e.removeDaemon(true); daemon != nil {
+		daemon.Stop(drainCtx)
 	}
 }
 
-// take leaves the entry host without its daemon, which is returned.
-func (e *Entry) take(stopping bool) Daemon {
+// removeDaemon returns the running daemon or nil, and leaves the entry host without
+// one.
+func (e *Entry) removeDaemon(stopping bool) Daemon {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	daemon := e.daemon
@@ -111,14 +116,14 @@
 	return daemon
 }
 
-// Daemon returns the running daemon, or nil.
+// Daemon returns the running daemon, or nil if there is none.
 func (e *Entry) Daemon() Daemon {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.daemon
 }
 
-// IsStopping reports whether a planned stop is going on or was the latest end.
+// IsStopping reports whether the daemon is in a planned stop or last ended with one.
 func (e *Entry) IsStopping() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/deployer/operator.go
+++ b/internal/standin/deployer/operator.go
@@ -14,21 +14,23 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-const retryPause = 100 * time.Millisecond
+// retryInterval is the time between the attempts of Retry.
+const retryInterval = 100 * time.Millisecond
 
-// Configure sets the first configuration and waits until every entry host
-// serves.
+// Configure sets the first configuration and waits until every entry host is ready
+// and serves requests.
 func (d *Deployment) Configure(ctx context.Context) error {
-	c := d.configuration()
+	c := d.firstConfiguration()
 	err := Retry(ctx, func() error { return d.CallOperators(ctx, http.MethodPut, "/v1/configuration", c, nil) })
 	if err != nil {
-		return eris.Wrap(err, "deployer: first configuration")
+		return eris.Wrap(err, "deployer: set first configuration")
 	}
 	err = Retry(ctx, d.Probe)
 	return eris.Wrap(err, "deployer: not all entry hosts became ready")
 }
 
-func (d *Deployment) configuration() describer.Configuration {
+// firstConfiguration has one service, three teams and a shard for each rack.
+func (d *Deployment) firstConfiguration() describer.Configuration {
 	c := describer.Configuration{
 		Services: []describer.Service{{Name: Service, Target: d.options.LatencyTarget}},
 		Teams: []describer.Team{
@@ -38,18 +40,19 @@
 		},
 		Weights: describer.Weights{Latency: 1, Throughput: 2, Evictions: 1},
 	}
-	for _, m := range d.Domains {
-		for _, rack := range m.racks() {
-			c.Shards = append(c.Shards, describer.Shard{ID: rack, Domain: m.Name, Racks: []string{rack}})
+	for _, domain := range d.Domains {
+		for _, rack := range domain.racks() {
+			c.Shards = append(c.Shards, describer.Shard{ID: rack, Domain: domain.Name, Racks: []string{rack}})
 		}
 	}
 	return c
 }
 
-func (m *Domain) racks() []string {
+// racks returns the names of the domain's racks.
+func (d *Domain) racks() []string {
 	var out []string
-	for i := 0; i*RackSize < len(m.Workers); i++ {
-		out = append(out, rackName(m, i))
+	for i := 0; i*RackSize < len(d.Workers); i++ {
+		out = append(out, rackName(d, i))
 	}
 	return out
 }
@@ -57,15 +60,16 @@
 // Shards returns the names of all shards.
 func (d *Deployment) Shards() []string {
 	var out []string
-	for _, m := range d.Domains {
-		out = append(out, m.racks()...)
+	for _, domain := range d.Domains {
+		out = append(out, domain.racks()...)
 	}
 	return out
 }
 
-func (m *Domain) running() []*Entry {
+// runningEntries returns the entry hosts of the domain whose daemon is running.
+func (d *Domain) runningEntries() []*Entry {
 	var out []*Entry
-	for _, e := range m.Entries {
+	for _, e := range d.Entries {
 		if e.Daemon() != nil {
 			out = append(out, e)
 		}
@@ -73,13 +77,13 @@
 	return out
 }
 
-// Probe asks every running entry host for one answer, and returns nil if all
-// gave one.
+// Probe sends a request to every running entry host, and returns nil if all are
+// ready and answered.
 func (d *Deployment) Probe() error {
-	for _, m := range d.Domains {
-		running := m.running()
-		if ready := m.Balancer.ReadyCount(); ready < len(running) {
-			return eris.Errorf("%d of %d entry hosts of %s are ready", ready, len(running), m.Name)
+	for _, domain := range d.Domains {
+		running := domain.runningEntries()
+		if ready := domain.Balancer.ReadyCount(); ready < len(running) {
+			return eris.Errorf("%d of %d entry hosts in %s are ready", ready, len(running), domain.Name)
 		}
 		for _, e := range running {
 			r, err := http.NewRequest(http.MethodGet, "http://"+e.Settings.Listen.Callers+"/svc/"+Service+"/", nil)
@@ -95,12 +99,13 @@
 	return nil
 }
 
-// CallOperators sends a call to the operators' port of the first entry host that
-// answers it without fault.
+// CallOperators sends a request to the operators' port of one entry host after the
+// other, until one answers with a status below 400. It encodes in as JSON and
+// decodes the response into out; both may be nil.
 func (d *Deployment) CallOperators(ctx context.Context, method, path string, in, out any) error {
 	var err error
-	for _, m := range d.Domains {
-		for _, e := range m.Entries {
+	for _, domain := range d.Domains {
+		for _, e := range domain.Entries {
 			err = CallJSON(ctx, d.client, method, "http://"+e.Settings.Listen.Operators+path, in, out)
 			if err == nil || ctx.Err() != nil {
 				return err
@@ -110,13 +115,13 @@
 	return err
 }
 
-// Drain states the intent to drain workers, and confirms its plan.
-func (d *Deployment) Drain(ctx context.Context, id string, workers []string, lasting time.Duration) error {
-	intent := describer.Intent{ID: id, Action: describer.DrainWorkers, Workers: workers, For: lasting}
+// Drain submits an intent to drain workers for a time, and confirms the plan for it.
+func (d *Deployment) Drain(ctx context.Context, id string, workers []string, duration time.Duration) error {
+	intent := describer.Intent{ID: id, Action: describer.DrainWorkers, Workers: workers, For: duration}
 	return d.ApplyIntent(ctx, intent)
 }
 
-// ApplyIntent states an intent, and confirms its plan.
+// ApplyIntent submits an intent and confirms the plan for it.
 func (d *Deployment) ApplyIntent(ctx context.Context, intent describer.Intent) error {
 	var plan describer.Plan
 	if err := d.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plan); err != nil {
@@ -132,7 +137,8 @@
 	return c.Drains, err
 }
 
-// CallJSON sends JSON and reads JSON; in and out may be nil.
+// CallJSON sends in as JSON and decodes the response into out; both may be nil. A
+// status of 400 or higher is an error.
 func CallJSON(ctx context.Context, c *http.Client, method, url string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -152,32 +158,32 @@
 	return json.Unmarshal(data, out)
 }
 
-// send returns the body of an answer without fault.
+// send returns the response body. A status of 400 or higher is an error.
 func send(c *http.Client, r *http.Request) ([]byte, error) {
-	answer, err := c.Do(r)
+	response, err := c.Do(r)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	data, err := io.ReadAll(answer.Body)
-	if err == nil && answer.StatusCode >= http.StatusBadRequest {
-		err = eris.Errorf("%s %s: status %d: %s", r.Method, r.URL, answer.StatusCode, data)
+	defer response.Body.Close()
+	data, err := io.ReadAll(response.Body)
+	if err == nil && response.StatusCode >= http.StatusBadRequest {
+		err = eris.Errorf("%s %s: status %d: %s", r.Method, r.URL, response.StatusCode, data)
 	}
 	return data, err
 }
 
-// Retry repeats a step until it succeeds, and returns its last error when ctx
-// ends first.
+// Retry repeats a step until it succeeds. If ctx ends first, it returns the step's
+// last error.
 func Retry(ctx context.Context, step func() error) error {
 	for {
 		err := step()
-		if err == nil || !Sleep(ctx, retryPause) {
+		if err == nil || !Sleep(ctx, retryInterval) {
 			return err
 		}
 	}
 }
 
-// Sleep waits, and reports whether ctx still holds.
+// Sleep waits for d and reports true, or false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/standin/deployer/start.go
+++ b/internal/standin/deployer/start.go
@@ -12,53 +12,57 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/registrar"
 )
 
+// startPlatform starts the store and the host list.
 func (d *Deployment) startPlatform(context.Context) (err error) {
 	if d.Store, err = keeper.New(loopback); err != nil {
 		return err
 	}
-	d.HostList, err = registrar.New(loopback, hostsLag)
+	d.HostList, err = registrar.New(loopback, hostListDelay)
 	return err
 }
 
+// startWorkers starts the workers of all domains.
 func (d *Deployment) startWorkers(context.Context) error {
-	for _, m := range d.Domains {
-		for i, o := range hoster.TypicalWorkers(m.Region, m.Name, Service, d.options.Workers) {
-			o.Host.Rack = rackName(m, i/RackSize)
-			o.ReportDelay, o.ServiceTime = usageLag, serviceTime
+	for _, domain := range d.Domains {
+		for i, o := range hoster.TypicalWorkers(domain.Region, domain.Name, Service, d.options.Workers) {
+			o.Host.Rack = rackName(domain, i/RackSize)
+			o.ReportDelay, o.ServiceTime = reportDelay, serviceTime
 			w, err := hoster.New(o, d.Audit)
 			if err != nil {
 				return err
 			}
-			m.Workers = append(m.Workers, w)
+			domain.Workers = append(domain.Workers, w)
 		}
 	}
 	return nil
 }
 
-func rackName(m *Domain, i int) string { return fmt.Sprintf("%s-r%d", m.Name, i+1) }
+// rackName returns the name of the domain's rack with index i.
+func rackName(domain *Domain, i int) string { return fmt.Sprintf("%s-r%d", domain.Name, i+1) }
 
-// startEntries chooses all addresses first, since each domain's view of the
-// others has to be complete when its daemons start.
+// startEntries starts the entry daemons of all domains. All addresses are chosen
+// first, because each domain's view of the host list must be complete when its
+// daemons start.
 func (d *Deployment) startEntries(ctx context.Context) error {
-	hosts, err := d.addresses()
+	hosts, err := d.addEntries()
 	if err != nil {
 		return err
 	}
 	d.HostList.Set(hosts)
-	for _, m := range d.Domains {
-		relays, err := d.view(m, hosts)
+	for _, domain := range d.Domains {
+		relays, err := d.relaysFor(domain, hosts)
 		if err != nil {
 			return err
 		}
-		d.HostList.SetView(m.Name, relays)
-		store, list, err := d.platform(m)
+		d.HostList.SetView(domain.Name, relays)
+		store, hostList, err := d.platformAddresses(domain)
 		if err != nil {
 			return err
 		}
-		for _, e := range m.Entries {
+		for _, e := range domain.Entries {
 			e.Settings.Platform.Store = "http://" + store
-			e.Settings.Platform.Hosts = "http://" + list + "/" + m.Name
-			e.Settings.Peers = seeds(e, hosts, relays)
+			e.Settings.Platform.Hosts = "http://" + hostList + "/" + domain.Name
+			e.Settings.Peers = peerAddresses(e, hosts, relays)
 			if err := e.Start(ctx); err != nil {
 				return err
 			}
@@ -67,41 +71,44 @@
 	return nil
 }
 
-// addresses gives every entry host its ports and returns the host list.
-func (d *Deployment) addresses() ([]describer.Host, error) {
+// addEntries creates the entry hosts, with their addresses but without daemons, and
+// returns the host list of the whole deployment.
+func (d *Deployment) addEntries() ([]describer.Host, error) {
 	var hosts []describer.Host
-	for _, m := range d.Domains {
+	for _, domain := range d.Domains {
 		for i := range d.options.EntryHosts {
-			e, err := newEntry(m, i, d.options.Launch)
+			e, err := newEntry(domain, i, d.options.Launch)
 			if err != nil {
 				return nil, err
 			}
-			m.Entries = append(m.Entries, e)
+			domain.Entries = append(domain.Entries, e)
 			hosts = append(hosts, e.host())
 		}
-		for _, w := range m.Workers {
+		for _, w := range domain.Workers {
 			hosts = append(hosts, w.Host)
 		}
 	}
 	return hosts, nil
 }
 
-// platform returns the addresses of store and host list as seen from m.
-func (d *Deployment) platform(m *Domain) (store, hosts string, err error) {
+// platformAddresses returns the addresses at which the domain reaches the store and
+// the host list.
+func (d *Deployment) platformAddresses(domain *Domain) (store, hostList string, err error) {
 	home := d.Domains[0]
-	if store, err = d.through(m, home.Name, home.Region, d.Store.Address); err != nil {
+	if store, err = d.addressFrom(domain, home.Name, home.Region, d.Store.Address); err != nil {
 		return "", "", err
 	}
-	hosts, err = d.through(m, home.Name, home.Region, d.HostList.Address)
-	return store, hosts, err
+	hostList, err = d.addressFrom(domain, home.Name, home.Region, d.HostList.Address)
+	return store, hostList, err
 }
 
-// view makes a relay to every address outside the domain.
-func (d *Deployment) view(m *Domain, hosts []describer.Host) (map[string]string, error) {
+// relaysFor returns the address at which the domain reaches each host, by the host's
+// own address. It makes a relay for every address outside the domain.
+func (d *Deployment) relaysFor(domain *Domain, hosts []describer.Host) (map[string]string, error) {
 	relays := make(map[string]string)
 	for _, h := range hosts {
 		for _, address := range []string{h.Address, h.Control} {
-			relay, err := d.through(m, h.Domain, h.Region, address)
+			relay, err := d.addressFrom(domain, h.Domain, h.Region, address)
 			if err != nil {
 				return nil, err
 			}
@@ -111,13 +118,14 @@
 	return relays, nil
 }
 
-// through returns the address at which the domain reaches target.
-func (d *Deployment) through(from *Domain, name, region, target string) (string, error) {
-	if from.Name == name {
+// addressFrom returns the address at which a domain reaches target. It makes a relay
+// unless target is in the same domain.
+func (d *Deployment) addressFrom(from *Domain, targetDomain, targetRegion, target string) (string, error) {
+	if from.Name == targetDomain {
 		return target, nil
 	}
 	link := d.IntraRegion
-	if from.Region != region {
+	if from.Region != targetRegion {
 		link = d.InterRegion
 	}
 	if from != d.Domains[0] {
@@ -131,7 +139,8 @@
 	return r.Address, nil
 }
 
-func seeds(e *Entry, hosts []describer.Host, relays map[string]string) []string {
+// peerAddresses returns the addresses at which an entry host reaches the others.
+func peerAddresses(e *Entry, hosts []describer.Host, relays map[string]string) []string {
 	var out []string
 	for _, h := range hosts {
 		if h.Role == describer.Entry && h.Name != e.Settings.Name {
@@ -141,10 +150,11 @@
 	return out
 }
 
+// startBalancers starts a balancer over the entry hosts of each domain.
 func (d *Deployment) startBalancers(context.Context) error {
-	for _, m := range d.Domains {
+	for _, domain := range d.Domains {
 		var targets []balancer.Target
-		for _, e := range m.Entries {
+		for _, e := range domain.Entries {
 			callers := e.Settings.Listen.Callers
 			targets = append(targets, balancer.Target{Address: callers, CheckURL: "http://" + callers + "/ready"})
 		}
@@ -152,7 +162,7 @@
 		if err != nil {
 			return err
 		}
-		m.Balancer = b
+		domain.Balancer = b
 	}
 	return nil
 }
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -128,8 +128,8 @@
 	r.outage = on
 }
 
-// Calls returns how often the list was read, reads during an outage included.
-func (r *Registrar) Calls() int64 {
+// Reads returns how often the list was read, reads during an outage included.
+func (r *Registrar) Reads() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reads
