--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -12,30 +12,31 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// Agent is the worker interface without its transport: runs, leases, grants
-// and fences. Its methods may be called from any goroutine.
+// Agent implements the worker interface without its transport: it runs tasks under
+// leases, refuses calls with an old epoch or token, and reports usage and latency.
+// It is safe for concurrent use.
 type Agent struct {
 	options Options
 	audit   *auditor.Auditor
 
-	mu       sync.Mutex
-	epoch    int64                                // highest seen
-	fences   map[describer.TaskID]describer.Token // highest seen
-	runs     map[describer.TaskID]*run
-	ended    map[runner.Run]runner.StopResult
-	finished map[runner.Run]runner.FinishedRun
-	timer    *time.Timer // fires at the next end of a run
-	paused   bool
-	dead     bool
-	failing  bool
-	meter    meter
+	mu          sync.Mutex
+	epoch       int64                                // highest epoch seen
+	tokens      map[describer.TaskID]describer.Token // highest token seen of each task
+	runs        map[describer.TaskID]*run            // runs in progress
+	stopResults map[runner.Run]runner.StopResult     // answers to a stop of each ended run
+	finished    map[runner.Run]runner.FinishedRun    // ends that haven't been acknowledged
+	timer       *time.Timer                          // fires when the next run ends
+	paused      bool
+	dead        bool // set by Kill
+	failing     bool // runs that start fail at once
+	latency     latencyMeter
 }
 
-// Payload is what the stand-in reads in a task's payload.
+// Payload is the part of a task's payload that the stand-in reads.
 type Payload struct {
-	Work string `json:"work"`           // duration text; the declared run time if empty
-	CPU  int64  `json:"cpu,omitempty"`  // millicores at full speed; those of the first grant if 0
-	Fail bool   `json:"fail,omitempty"` // fails at its end
+	Work string `json:"work"`           // run time at full speed, as duration text; the declared run time if empty
+	CPU  int64  `json:"cpu,omitempty"`  // grant needed for full speed, in millicores; that of the first grant if 0
+	Fail bool   `json:"fail,omitempty"` // the run fails at its end
 }
 
 // Result is the result of a completed task.
@@ -44,308 +45,322 @@
 	Worker string `json:"worker"`
 }
 
-// NewAgent returns an idle Agent.
-func NewAgent(o Options, a *auditor.Auditor) *Agent {
-	m := &Agent{
-		options:  o,
-		audit:    a,
-		fences:   make(map[describer.TaskID]describer.Token),
-		runs:     make(map[describer.TaskID]*run),
-		ended:    make(map[runner.Run]runner.StopResult),
-		finished: make(map[runner.Run]runner.FinishedRun),
-		meter:    meter{lag: o.ReportDelay, slots: o.Host.Slots},
-	}
-	m.timer = time.AfterFunc(time.Hour, m.wake)
-	return m
+// NewAgent returns an Agent without runs that reports to audit.
+func NewAgent(o Options, audit *auditor.Auditor) *Agent {
+	a := &Agent{
+		options:     o,
+		audit:       audit,
+		tokens:      make(map[describer.TaskID]describer.Token),
+		runs:        make(map[describer.TaskID]*run),
+		stopResults: make(map[runner.Run]runner.StopResult),
+		finished:    make(map[runner.Run]runner.FinishedRun),
+		latency:     latencyMeter{delay: o.ReportDelay, slots: o.Host.Slots},
+	}
+	a.timer = time.AfterFunc(time.Hour, a.onTimer)
+	return a
 }
 
-// Start begins a run. It reports whether one began, which a repetition does
-// not do.
-func (m *Agent) Start(s runner.StartRequest) (bool, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	if err := m.fence(s.Token.Epoch); err != nil {
+// Start starts a run and reports whether it did. Repeating a start is no error, but
+// starts nothing. A new token ends the task's run under an older one.
+func (a *Agent) Start(s runner.StartRequest) (bool, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	if err := a.checkEpoch(s.Token.Epoch); err != nil {
 		return false, err
 	}
 	id := runner.Run{Task: s.Task, Token: s.Token}
-	seen := m.fences[s.Task]
-	over, known := m.ended[id]
+	highest := a.tokens[s.Task]
+	result, known := a.stopResults[id]
 	switch {
-	case s.Token == seen && (!known || over.Ran):
-		return false, nil // a repetition
-	case s.Token.Less(seen), known:
-		return false, fenced("token is too old for " + s.Task.String())
+	case s.Token == highest && (!known || result.Ran):
+		return false, nil // repeats a start that was accepted before
+	case s.Token.Less(highest), known:
+		return false, newFencedError("token is too old for " + s.Task.String())
 	}
-	if r := m.runs[s.Task]; r != nil {
-		m.end(r, auditor.Stopped, r.checkpoint())
+	if r := a.runs[s.Task]; r != nil {
+		a.endRun(r, auditor.Stopped, r.checkpoint())
 	}
 	now := time.Now()
 	if !s.Until.IsZero() && now.After(s.Until) {
-		return false, fenced("the start is too late for " + s.Task.String())
+		return false, newFencedError("the start is too late for " + s.Task.String())
 	}
 	r, err := newRun(s, now)
 	if err != nil {
 		return false, listener.NewRefusal(http.StatusBadRequest, "malformed", err.Error())
 	}
-	if m.options.EnforceCapacity && !s.Granted.Fits(m.options.Host.Capacity.Sub(m.granted())) {
+	if a.options.EnforceCapacity && !s.Granted.Fits(a.options.Host.Capacity.Sub(a.totalGranted())) {
 		return false, listener.NewRefusal(http.StatusConflict, "full", "no room for "+s.Task.String())
 	}
-	m.fences[s.Task] = s.Token
-	if m.failing {
+	a.tokens[s.Task] = s.Token
+	if a.failing {
 		r.work = 0
 		r.payload.Fail = true
 	}
-	m.runs[s.Task] = r
-	m.audit.RunStarted(s.Task, m.options.Host.Name)
-	m.checkCapacity()
-	m.schedule()
+	a.runs[s.Task] = r
+	a.audit.RunStarted(s.Task, a.options.Host.Name)
+	a.auditCapacity()
+	a.resetTimer()
 	return true, nil
 }
 
-// Stop ends a run and fences its token.
-func (m *Agent) Stop(s runner.StopRequest) (runner.StopResult, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	if err := m.fence(max(s.Epoch, s.Token.Epoch)); err != nil {
+// Stop ends a run and refuses later starts of the task with its token or an older
+// one.
+func (a *Agent) Stop(s runner.StopRequest) (runner.StopResult, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	if err := a.checkEpoch(max(s.Epoch, s.Token.Epoch)); err != nil {
 		return runner.StopResult{}, err
 	}
-	if m.fences[s.Task].Less(s.Token) {
-		m.fences[s.Task] = s.Token
+	if a.tokens[s.Task].Less(s.Token) {
+		a.tokens[s.Task] = s.Token
 	}
 	id := runner.Run{Task: s.Task, Token: s.Token}
-	if r := m.runs[s.Task]; r != nil && !s.Token.Less(r.start.Token) {
+	if r := a.runs[s.Task]; r != nil && !s.Token.Less(r.start.Token) {
 		checkpoint := ""
 		if s.Checkpoint {
 			checkpoint = r.checkpoint()
 		}
-		m.ended[id] = m.end(r, auditor.Stopped, checkpoint)
+		a.stopResults[id] = a.endRun(r, auditor.Stopped, checkpoint)
 	}
-	if _, ok := m.ended[id]; !ok {
-		m.ended[id] = runner.StopResult{}
+	if _, ok := a.stopResults[id]; !ok {
+		a.stopResults[id] = runner.StopResult{}
 	}
-	m.schedule()
-	return m.ended[id], nil
+	a.resetTimer()
+	return a.stopResults[id], nil
 }
 
-// Throttle sets a run's processor grant.
-func (m *Agent) Throttle(t runner.ThrottleRequest) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	if err := m.fence(max(t.Epoch, t.Token.Epoch)); err != nil {
+// Throttle sets the CPU grant of a run, unless a newer call has set it.
+func (a *Agent) Throttle(t runner.ThrottleRequest) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	if err := a.checkEpoch(max(t.Epoch, t.Token.Epoch)); err != nil {
 		return err
 	}
-	r := m.runs[t.Task]
+	r := a.runs[t.Task]
 	if r == nil || r.start.Token != t.Token {
 		return listener.NewRefusal(http.StatusNotFound, "unknown", "no such run")
 	}
-	order := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
-	if order.Less(r.throttled) {
-		return fenced("a newer grant is in force")
+	token := describer.Token{Epoch: t.Epoch, Sequence: t.Sequence}
+	if token.Less(r.throttleToken) {
+		return newFencedError("a newer grant is in force")
 	}
-	r.throttled = order
+	r.throttleToken = token
 	r.start.Granted.CPU = t.CPU
-	m.checkCapacity()
-	m.schedule()
+	a.auditCapacity()
+	a.resetTimer()
 	return nil
 }
 
-// Sync renews leases, forgets acknowledged ends and returns the inventory.
-func (m *Agent) Sync(s runner.SyncRequest) (runner.SyncResult, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	if err := m.fence(s.Epoch); err != nil {
+// Sync renews leases, forgets the ends that the caller acknowledges and returns the
+// inventory.
+func (a *Agent) Sync(s runner.SyncRequest) (runner.SyncResult, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	if err := a.checkEpoch(s.Epoch); err != nil {
 		return runner.SyncResult{}, err
 	}
 	for _, id := range s.Ack {
-		delete(m.finished, id)
+		delete(a.finished, id)
 	}
 	now := time.Now()
 	for _, id := range s.Renew {
-		if r := m.runs[id.Task]; r != nil && r.start.Token == id.Token {
-			r.ends = later(r.ends, leaseEnd(now, s.Lease, s.Until))
+		if r := a.runs[id.Task]; r != nil && r.start.Token == id.Token {
+			r.leaseEnd = later(r.leaseEnd, newLeaseEnd(now, s.Lease, s.Until))
 		}
 	}
-	m.schedule()
-	return m.inventory(now), nil
+	a.resetTimer()
+	return a.inventory(now), nil
 }
 
-func (m *Agent) inventory(now time.Time) runner.SyncResult {
-	out := runner.SyncResult{Clock: now, Capacity: m.options.Host.Capacity, Latency: m.meter.take(now)}
-	for _, r := range m.runs {
-		out.Running = append(out.Running, r.report(now, m.options.ReportDelay))
+// inventory returns the state that a sync reports. The caller holds the lock.
+func (a *Agent) inventory(now time.Time) runner.SyncResult {
+	out := runner.SyncResult{Clock: now, Capacity: a.options.Host.Capacity, Latency: a.latency.takeReports(now)}
+	for _, r := range a.runs {
+		out.Running = append(out.Running, r.activeRun(now, a.options.ReportDelay))
 	}
-	for _, f := range m.finished {
+	for _, f := range a.finished {
 		out.Finished = append(out.Finished, f)
 	}
 	return out
 }
 
-// Grants returns the sum of the grants and the processor share of each class,
-// 0 to 1.
-func (m *Agent) Grants() (describer.Resources, map[string]float64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// Grants returns the sum of all grants and, for each class of tasks, the share of
+// the worker's CPU that is granted to it, 0 to 1.
+func (a *Agent) Grants() (describer.Resources, map[string]float64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	shares := make(map[string]float64)
-	for _, r := range m.runs {
-		shares[r.start.Class] += float64(r.start.Granted.CPU) / float64(max(1, m.options.Host.Capacity.CPU))
+	for _, r := range a.runs {
+		shares[r.start.Class] += float64(r.start.Granted.CPU) / float64(max(1, a.options.Host.Capacity.CPU))
 	}
-	return m.granted(), shares
+	return a.totalGranted(), shares
 }
 
 // Running returns the number of runs in progress.
-func (m *Agent) Running() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.runs)
+func (a *Agent) Running() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return len(a.runs)
 }
 
-// SetPaused freezes all runs, or lets them go on. A lease that ended meanwhile
-// has lapsed.
-func (m *Agent) SetPaused(on bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	if m.paused && !on {
-		for _, r := range m.runs {
-			r.since = time.Now()
+// SetPaused freezes all runs, or resumes them. Leases also expire during a pause.
+func (a *Agent) SetPaused(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	if a.paused && !on {
+		for _, r := range a.runs {
+			r.updatedAt = time.Now()
 		}
 	}
-	m.paused = on
-	m.advance()
-	m.schedule()
+	a.paused = on
+	a.advanceRuns()
+	a.resetTimer()
 }
 
-// SetFailing lets every later run fail at once, or ends that.
-func (m *Agent) SetFailing(on bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.failing = on
+// SetFailing sets whether runs that start from now on fail at once.
+func (a *Agent) SetFailing(on bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.failing = on
 }
 
-// Kill ends all runs with their worker. The Agent is of no use afterwards.
-func (m *Agent) Kill() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	m.dead = true
-	m.timer.Stop()
-	for task, r := range m.runs {
-		delete(m.runs, task)
-		m.audit.RunEnded(r.start.Task, m.options.Host.Name, auditor.WorkerDied)
-	}
-	for _, f := range m.finished {
+// Kill ends all runs because their worker died. The Agent must not be used
+// afterwards.
+func (a *Agent) Kill() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	a.dead = true
+	a.timer.Stop()
+	for task, r := range a.runs {
+		delete(a.runs, task)
+		a.audit.RunEnded(r.start.Task, a.options.Host.Name, auditor.WorkerDied)
+	}
+	for _, f := range a.finished {
 		if f.OK {
-			m.audit.CompletionLost(f.Task)
+			a.audit.CompletionLost(f.Task)
 		}
 	}
-	m.finished = nil
+	a.finished = nil
 }
 
-func (m *Agent) wake() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.advance()
-	m.schedule()
+// onTimer ends the runs that are over.
+func (a *Agent) onTimer() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.advanceRuns()
+	a.resetTimer()
 }
 
-// advance brings all runs to the present and ends those that are over.
-func (m *Agent) advance() {
-	if m.dead {
+// advanceRuns updates the progress of all runs, and ends those that have completed or
+// whose lease has expired. The caller holds the lock.
+func (a *Agent) advanceRuns() {
+	if a.dead {
 		return
 	}
 	now := time.Now()
-	for _, r := range m.runs {
-		if m.paused {
-			if !r.ends.After(now) {
-				m.lapse(r)
+	for _, r := range a.runs {
+		if a.paused {
+			if !r.leaseEnd.After(now) {
+				a.expireRun(r)
 			}
 			continue
 		}
-		done := r.completion()
+		completion := r.completionTime()
 		switch {
-		case !done.After(now) && !done.After(r.ends):
-			m.complete(r)
-		case !r.ends.After(now):
-			r.progress(r.ends)
-			m.lapse(r)
+		case !completion.After(now) && !completion.After(r.leaseEnd):
+			a.completeRun(r)
+		case !r.leaseEnd.After(now):
+			r.advance(r.leaseEnd)
+			a.expireRun(r)
 		default:
-			r.progress(now)
+			r.advance(now)
 		}
 	}
 }
 
-func (m *Agent) complete(r *run) {
+// completeRun ends a run that has done all its work, with success or a failure as its
+// payload says.
+func (a *Agent) completeRun(r *run) {
 	f := runner.FinishedRun{Run: r.id(), OK: !r.payload.Fail}
 	if !f.OK {
 		f.Reason = "task failed"
-		m.end(r, auditor.Failed, "")
-		m.finished[f.Run] = f
+		a.endRun(r, auditor.Failed, "")
+		a.finished[f.Run] = f
 		return
 	}
-	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: m.options.Host.Name})
-	m.end(r, auditor.Completed, "")
-	m.ended[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
-	m.finished[f.Run] = f
+	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: a.options.Host.Name})
+	a.endRun(r, auditor.Completed, "")
+	a.stopResults[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
+	a.finished[f.Run] = f
 }
 
-func (m *Agent) lapse(r *run) {
+// expireRun ends a run whose lease has expired. Its checkpoint is kept for the
+// owner.
+func (a *Agent) expireRun(r *run) {
 	f := runner.FinishedRun{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
-	m.end(r, auditor.LeaseExpired, f.Checkpoint)
-	m.finished[f.Run] = f
+	a.endRun(r, auditor.LeaseExpired, f.Checkpoint)
+	a.finished[f.Run] = f
 }
 
-// end takes a run out and remembers the answer for repeated stops.
-func (m *Agent) end(r *run, e auditor.Outcome, checkpoint string) runner.StopResult {
-	delete(m.runs, r.start.Task)
-	m.audit.RunEnded(r.start.Task, m.options.Host.Name, e)
+// endRun removes a run, and keeps the result for stops of it that come later.
+func (a *Agent) endRun(r *run, o auditor.Outcome, checkpoint string) runner.StopResult {
+	delete(a.runs, r.start.Task)
+	a.audit.RunEnded(r.start.Task, a.options.Host.Name, o)
 	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
-	m.ended[r.id()] = out
+	a.stopResults[r.id()] = out
 	return out
 }
 
-// schedule sets the timer to the next end of a run.
-func (m *Agent) schedule() {
-	if m.dead {
+// resetTimer sets the timer to when the next run completes or its lease expires. The
+// caller holds the lock.
+func (a *Agent) resetTimer() {
+	if a.dead {
 		return
 	}
 	next := time.Now().Add(time.Hour)
-	for _, r := range m.runs {
-		if r.ends.Before(next) {
-			next = r.ends
+	for _, r := range a.runs {
+		if r.leaseEnd.Before(next) {
+			next = r.leaseEnd
 		}
-		if done := r.completion(); !m.paused && done.Before(next) {
-			next = done
+		if completion := r.completionTime(); !a.paused && completion.Before(next) {
+			next = completion
 		}
 	}
-	m.timer.Reset(time.Until(next))
+	a.timer.Reset(time.Until(next))
 }
 
-func (m *Agent) fence(epoch int64) error {
-	if epoch < m.epoch {
-		return fenced("epoch is too old")
+// checkEpoch refuses an epoch below the highest one seen, and remembers a higher one.
+func (a *Agent) checkEpoch(epoch int64) error {
+	if epoch < a.epoch {
+		return newFencedError("epoch is too old")
 	}
-	m.epoch = epoch
+	a.epoch = epoch
 	return nil
 }
 
-func (m *Agent) granted() describer.Resources {
+// totalGranted returns the sum of the grants of all runs.
+func (a *Agent) totalGranted() describer.Resources {
 	var sum describer.Resources
-	for _, r := range m.runs {
+	for _, r := range a.runs {
 		sum = sum.Add(r.start.Granted)
 	}
 	return sum
 }
 
-func (m *Agent) checkCapacity() {
-	if sum := m.granted(); !sum.Fits(m.options.Host.Capacity) {
-		m.audit.CapacityExceeded(m.options.Host.Name, sum, m.options.Host.Capacity)
+// auditCapacity reports grants that exceed the worker's capacity to the auditor.
+func (a *Agent) auditCapacity() {
+	if sum := a.totalGranted(); !sum.Fits(a.options.Host.Capacity) {
+		a.audit.CapacityExceeded(a.options.Host.Name, sum, a.options.Host.Capacity)
 	}
 }
 
-func fenced(message string) error {
+// newFencedError returns the refusal of a call with an old epoch or token.
+func newFencedError(message string) error {
 	return listener.NewRefusal(http.StatusConflict, "fenced", message)
 }
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -11,33 +11,35 @@
 	"time"
 )
 
-// Headers that the backend server reads and writes.
+// Headers of requests to the backend server and of its responses.
 const (
-	HeaderRequestID      = "Dotterel-Request"     // the caller's id of the request, echoed
-	HeaderServiceTime    = "Dotterel-Work"        // service time, duration text
-	HeaderResponseSize   = "Dotterel-Answer-Size" // bytes of answer
-	HeaderVerdict        = "Dotterel-Verdict"
-	HeaderWorker         = "Dotterel-Worker" // that answered
-	HeaderIdempotencyKey = "Idempotency-Key"
-	HeaderIdempotent     = "Dotterel-Idempotent" // true: a POST or PATCH that may be repeated
+	HeaderRequestID      = "Dotterel-Request"     // request id set by the caller; copied to the response
+	HeaderServiceTime    = "Dotterel-Work"        // service time of the request, as duration text
+	HeaderResponseSize   = "Dotterel-Answer-Size" // size of the response body, in bytes
+	HeaderVerdict        = "Dotterel-Verdict"     // whether a refused request has run
+	HeaderWorker         = "Dotterel-Worker"      // name of the worker that responded
+	HeaderIdempotencyKey = "Idempotency-Key"      // key shared by the attempts of one request that isn't idempotent
+	HeaderIdempotent     = "Dotterel-Idempotent"  // "true" if a POST or PATCH may be repeated
 )
 
-// leaveGrace is how long a leaving worker may still get requests.
+// leaveGrace is how long a leaving worker may still receive requests.
 const leaveGrace = 5 * time.Second
 
-// backend is the worker's backend server.
+// backend is the backend server of a worker.
 type backend struct {
-	worker *Worker
-	slots  chan struct{}
-	open   atomic.Int64
-	cut    atomic.Int64 // next answers that end half way
+	worker      *Worker
+	slots       chan struct{} // holds a value for each request being served
+	openConns   atomic.Int64
+	truncations atomic.Int64 // number of next responses to end half way
 
 	mu    sync.Mutex
-	conns map[*conn]bool
+	conns map[*conn]bool // open connections
 }
 
+// overLimit is the context key that marks the connections beyond the worker's limit.
 type overLimit struct{}
 
+// newBackend returns the backend server of the worker, which doesn't listen yet.
 func newBackend(w *Worker) *backend {
 	return &backend{
 		worker: w,
@@ -46,24 +48,27 @@
 	}
 }
 
-// server builds the HTTP server that serves one listener.
+// server returns an HTTP server for one listener. It counts open connections and
+// marks those beyond the worker's limit, so that their requests are refused.
 func (b *backend) server() *http.Server {
 	return &http.Server{
 		Handler: http.HandlerFunc(b.serve),
 		ConnContext: func(ctx context.Context, _ net.Conn) context.Context {
-			if b.open.Add(1) > int64(b.worker.options.Host.Connections) {
+			if b.openConns.Add(1) > int64(b.worker.options.Host.Connections) {
 				return context.WithValue(ctx, overLimit{}, true)
 			}
 			return ctx
 		},
 		ConnState: func(_ net.Conn, s http.ConnState) {
 			if s == http.StateClosed || s == http.StateHijacked {
-				b.open.Add(-1)
+				b.openConns.Add(-1)
 			}
 		},
 	}
 }
 
+// serve executes a request, or refuses it if the worker has no free connection or
+// slot.
 func (b *backend) serve(w http.ResponseWriter, r *http.Request) {
 	b.worker.waitResumed(r.Context())
 	if r.Context().Value(overLimit{}) != nil {
@@ -72,7 +77,7 @@
 		return
 	}
 	if r.Method == http.MethodHead {
-		w.WriteHeader(http.StatusNoContent) // a probe is no work and takes no slot
+		w.WriteHeader(http.StatusNoContent) // a probe, which takes no slot
 		return
 	}
 	select {
@@ -85,6 +90,7 @@
 	b.execute(w, r)
 }
 
+// refuse responds that the request has not run, and increments count.
 func (b *backend) refuse(w http.ResponseWriter, count *atomic.Int64) {
 	count.Add(1)
 	w.Header().Set(HeaderVerdict, "not-run")
@@ -93,26 +99,28 @@
 	_, _ = io.WriteString(w, `{"code":"full","message":"no free slot or connection","verdict":"not-run"}`)
 }
 
+// execute runs a request and responds to it.
 func (b *backend) execute(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the request never arrived whole
+		return // the connection broke before the whole request arrived
 	}
 	id := r.Header.Get(HeaderRequestID)
 	key := r.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		key = id
 	}
-	b.worker.executed(key, isIdempotent(r))
-	took := b.serviceTime(r)
-	time.Sleep(took)
-	b.worker.agent.Load().meter.add(b.service(), began, time.Since(began))
+	b.worker.recordRequest(key, isIdempotent(r))
+	duration := b.serviceTime(r)
+	time.Sleep(duration)
+	b.worker.agent.Load().latency.add(b.serviceName(), began, time.Since(began))
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderWorker, b.worker.options.Host.Name)
-	b.answer(w, ResponseBody(id, body, r.Header.Get(HeaderResponseSize)))
+	b.respond(w, ResponseBody(id, body, r.Header.Get(HeaderResponseSize)))
 }
 
+// isIdempotent reports whether the request may be executed more than once.
 func isIdempotent(r *http.Request) bool {
 	switch r.Method {
 	case http.MethodPost, http.MethodPatch:
@@ -121,8 +129,9 @@
 	return true
 }
 
-// ResponseBody is the body that a request's answer must have: the request's body,
-// or its id if it has none, repeated up to the size.
+// ResponseBody returns the response body that a request must get: its own body, or
+// its id if that is empty, repeated up to the size in bytes. If size is not a
+// number, it is not repeated.
 func ResponseBody(id string, body []byte, size string) []byte {
 	unit := body
 	if len(unit) == 0 {
@@ -139,9 +148,11 @@
 	return out
 }
 
-func (b *backend) answer(w http.ResponseWriter, data []byte) {
+// respond writes the response, or half of it and breaks the connection if it is to be
+// truncated.
+func (b *backend) respond(w http.ResponseWriter, data []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if b.cut.Load() > 0 && b.cut.Add(-1) >= 0 {
+	if b.truncations.Load() > 0 && b.truncations.Add(-1) >= 0 {
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -149,29 +160,31 @@
 	_, _ = w.Write(data)
 }
 
-// serviceTime grows with the processor share of batch runs.
+// serviceTime returns the time to spend on the request. It grows with the CPU shares
+// of the runs on the worker, by the interference of their classes.
 func (b *backend) serviceTime(r *http.Request) time.Duration {
 	base := b.worker.options.ServiceTime
 	if d, err := time.ParseDuration(r.Header.Get(HeaderServiceTime)); err == nil {
 		base = d
 	}
 	_, shares := b.worker.agent.Load().Grants()
-	slow := 1.0
+	slowdown := 1.0
 	for class, share := range shares {
-		slow += b.worker.options.Interference[class] * share
+		slowdown += b.worker.options.Interference[class] * share
 	}
-	return time.Duration(float64(base) * slow)
+	return time.Duration(float64(base) * slowdown)
 }
 
-func (b *backend) service() string {
+// serviceName returns the name of the worker's first service, if it has any.
+func (b *backend) serviceName() string {
 	if s := b.worker.options.Host.Services; len(s) > 0 {
 		return s[0]
 	}
 	return ""
 }
 
-// silence lets every open connection go silent for good.
-func (b *backend) silence() {
+// silenceConns makes all open connections silent until they are closed.
+func (b *backend) silenceConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.conns {
@@ -179,31 +192,34 @@
 	}
 }
 
-// tracked is a net.Listener whose connections can go silent.
-type tracked struct {
+// trackingListener records the accepted connections in the backend.
+type trackingListener struct {
 	net.Listener
 	backend *backend
 }
 
-func (t tracked) Accept() (net.Conn, error) {
-	inner, err := t.Listener.Accept()
+// Accept implements net.Listener.
+func (l trackingListener) Accept() (net.Conn, error) {
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: inner, backend: t.backend}
-	t.backend.mu.Lock()
-	defer t.backend.mu.Unlock()
-	t.backend.conns[c] = true
+	c := &conn{Conn: inner, backend: l.backend}
+	l.backend.mu.Lock()
+	defer l.backend.mu.Unlock()
+	l.backend.conns[c] = true
 	return c, nil
 }
 
-// conn loses all bytes both ways once it is silent.
+// conn is a connection that loses all data in both directions once it is silent.
 type conn struct {
 	net.Conn
 	backend *backend
 	silent  atomic.Bool
 }
 
+// Read implements net.Conn. On a silent connection it discards all data until an
+// error.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -213,6 +229,7 @@
 	}
 }
 
+// Write implements net.Conn. On a silent connection it discards the data.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.silent.Load() {
 		return len(p), nil
@@ -220,6 +237,7 @@
 	return c.Conn.Write(p)
 }
 
+// Close implements net.Conn.
 func (c *conn) Close() error {
 	c.backend.mu.Lock()
 	delete(c.backend.conns, c)
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -10,63 +10,68 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// Fleet is a set of workers with one auditor and one port for its switches.
+// Fleet is a set of workers that share an auditor, with an HTTP interface that
+// injects faults into them.
 type Fleet struct {
-	Address string        // ip:port of the switches
-	Done    chan struct{} // closed when it has ended
+	Address string        // ip:port of the HTTP interface
+	Done    chan struct{} // closed once Close has ended the interface and all workers
 	Audit   *auditor.Auditor
 	Workers map[string]*Worker // by name
 
 	server *listener.Listener
 }
 
-// change is one use of a switch.
-type change struct {
-	Worker string `json:"worker"` // name
-	Action string `json:"action"` // see apply
-	Count  int    `json:"count"`  // for cut and lose
+// faultRequest injects a fault into a worker, or ends one.
+type faultRequest struct {
+	Worker string `json:"worker"` // name of the worker
+	Action string `json:"action"` // one of the actions that Fleet.apply knows
+	Count  int    `json:"count"`  // number of responses that cut truncates or lose drops
 }
 
-type executions struct {
+// executionsMessage is the request and the response of a query for how often a
+// request was executed.
+type executionsMessage struct {
 	ID    string `json:"id"`
 	Count int    `json:"count"`
 }
 
-// NewFleet starts the workers and serves their switches on address.
+// NewFleet starts a worker for each of the options and serves the HTTP interface on
+// address.
 func NewFleet(address string, workers []Options) (*Fleet, error) {
 	f := &Fleet{Audit: auditor.New(), Workers: make(map[string]*Worker), Done: make(chan struct{})}
 	for _, o := range workers {
 		w, err := New(o, f.Audit)
 		if err != nil {
-			f.stop()
+			f.closeWorkers()
 			return nil, err
 		}
 		f.Workers[w.Host.Name] = w
 	}
 	server, err := listener.New(address, f.routes())
 	if err != nil {
-		f.stop()
+		f.closeWorkers()
 		return nil, err
 	}
 	f.server, f.Address = server, server.Address
 	return f, nil
 }
 
-// Close ends all workers.
+// Close ends the HTTP interface and all workers.
 func (f *Fleet) Close() error {
 	err := f.server.Close()
-	f.stop()
+	f.closeWorkers()
 	close(f.Done)
 	return err
 }
 
-func (f *Fleet) stop() {
+// closeWorkers closes all workers.
+func (f *Fleet) closeWorkers() {
 	for _, w := range f.Workers {
 		_ = w.Close()
 	}
 }
 
-// Hosts returns the workers' lines for the host list.
+// Hosts returns the entries of the workers in the host list, in no particular order.
 func (f *Fleet) Hosts() []describer.Host {
 	var out []describer.Host
 	for _, w := range f.Workers {
@@ -75,6 +80,7 @@
 	return out
 }
 
+// routes returns the handler of the HTTP interface.
 func (f *Fleet) routes() http.Handler {
 	m := http.NewServeMux()
 	m.Handle("GET /v1/hosts", listener.Handle(func(*http.Request, struct{}) ([]describer.Host, error) {
@@ -83,23 +89,23 @@
 	m.Handle("GET /v1/audit", listener.Handle(func(*http.Request, struct{}) (auditor.Report, error) {
 		return f.Audit.Report(), nil
 	}))
-	m.Handle("POST /v1/executions", listener.Handle(func(_ *http.Request, in executions) (executions, error) {
+	m.Handle("POST /v1/executions", listener.Handle(func(_ *http.Request, in executionsMessage) (executionsMessage, error) {
 		in.Count = f.Audit.Executions(in.ID)
 		return in, nil
 	}))
-	m.Handle("POST /v1/switch", listener.Handle(func(_ *http.Request, in change) (struct{}, error) {
+	m.Handle("POST /v1/switch", listener.Handle(func(_ *http.Request, in faultRequest) (struct{}, error) {
 		return struct{}{}, f.apply(in)
 	}))
 	return m
 }
 
-// apply uses a switch of one worker.
-func (f *Fleet) apply(c change) error {
-	w := f.Workers[c.Worker]
+// apply carries out the action on the worker that the request names.
+func (f *Fleet) apply(r faultRequest) error {
+	w := f.Workers[r.Worker]
 	if w == nil {
-		return listener.NewRefusal(http.StatusNotFound, "unknown", "no worker "+c.Worker)
+		return listener.NewRefusal(http.StatusNotFound, "unknown", "no worker "+r.Worker)
 	}
-	switch c.Action {
+	switch r.Action {
 	case "kill":
 		w.Kill()
 	case "restart":
@@ -117,16 +123,16 @@
 	case "recover":
 		w.SetFailing(false)
 	case "cut":
-		w.TruncateResponses(c.Count)
+		w.TruncateResponses(r.Count)
 	case "lose":
-		w.DropResponses(c.Count)
+		w.DropResponses(r.Count)
 	default:
-		return listener.NewRefusal(http.StatusBadRequest, "malformed", "no action "+c.Action)
+		return listener.NewRefusal(http.StatusBadRequest, "malformed", "no action "+r.Action)
 	}
 	return nil
 }
 
-// TypicalWorkers returns the options of n workers of a domain, 8 to a rack.
+// TypicalWorkers returns the options of n workers in a failure domain, 8 to a rack.
 func TypicalWorkers(region, domain, service string, n int) []Options {
 	out := make([]Options, n)
 	for i := range out {
@@ -148,6 +154,8 @@
 	return out
 }
 
+// workerName returns the name of the domain's worker with index i.
 func workerName(domain string, i int) string { return fmt.Sprintf("%s-w%d", domain, i+1) }
 
+// rackName returns the name of the rack of the domain's worker with index i.
 func rackName(domain string, i int) string { return fmt.Sprintf("%s-r%d", domain, i/8+1) }
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -1,20 +1,19 @@
-// Package hoster is a stand-in for the platform's workers, for tests and the
-// demo.
+// Package hoster is a stand-in for the platform's workers, for tests and the demo.
 //
 // # Model
 //
-// A [Worker] has two ports. On Control it answers the worker interface of
-// package runner, carried out by its [Agent]: runs under leases and fences,
-// whose grants are added up. On Address its backend server answers requests,
-// at most one for each slot, slower while batch tasks run beside it. What
-// happens is reported to an [auditor.Auditor] that all workers share; the
-// stand-in does not refuse an overfull grant but counts it.
+// A [Worker] listens on two ports. At Host.Control it serves the worker interface of
+// package runner, which its [Agent] implements: runs of tasks under leases and
+// fencing tokens. At Host.Address its backend server serves requests, at most one
+// for each slot, and more slowly while tasks run on the worker. Runs and requests
+// are reported to an [auditor.Auditor] that all workers share. By default a start
+// that exceeds the worker's capacity is not refused but reported.
 //
 //	w, err := hoster.New(hoster.Options{Host: host}, audit)
 //	defer w.Close()
-//	w.Silence() // its open connections get no more bytes
+//	w.SilenceConnections() // data on its open connections is lost from now on
 //
-// A [Fleet] holds the workers of a deployment and is switched over HTTP.
+// A [Fleet] holds several workers and injects faults into them over HTTP.
 package hoster
 
 import (
@@ -32,19 +31,23 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/listener"
 )
 
-// Options of a worker.
+// Options describes a worker.
 type Options struct {
-	Host            describer.Host     // empty addresses mean loopback ports of its own
-	ServiceTime     time.Duration      // service time of a request that states none
-	ReportDelay     time.Duration      // of usage and latency reports
-	Interference    map[string]float64 // slow-down by a class at full processor share; 1 doubles
-	EnforceCapacity bool               // refuse overfull starts in place of counting them
+	Host        describer.Host // an empty address is replaced by one on a free loopback port
+	ServiceTime time.Duration  // service time of a request that doesn't set its own
+	ReportDelay time.Duration  // time until usage and latency are reported
+
+	// Interference is the slow-down of requests by each class of tasks, if such tasks
+	// hold the whole CPU. A value of 1 doubles the service time.
+	Interference map[string]float64
+
+	EnforceCapacity bool // refuse starts that exceed the capacity
 }
 
 // Worker is one stand-in worker.
 type Worker struct {
-	Host describer.Host // with its addresses
-	Done chan struct{}  // closed when it has ended for good
+	Host describer.Host // entry in the host list, with the addresses in use
+	Done chan struct{}  // closed once Close has ended the worker
 
 	Counts Counts
 
@@ -53,71 +56,73 @@
 	agent   atomic.Pointer[Agent]
 	backend *backend
 
-	mu      sync.Mutex
-	control *listener.Listener // nil while dead
-	server  *http.Server
-	served  chan struct{}
-	closed  bool
-	lose    int
-	paused  chan struct{} // nil unless paused; closed on resumption
-	leaving time.Time
+	mu           sync.Mutex
+	control      *listener.Listener // server of the worker interface; nil while the worker is dead
+	server       *http.Server       // server of the backend
+	served       chan struct{}      // closed once server has ended
+	closed       bool
+	dropNext     int           // number of next calls to the worker interface that get no response
+	paused       chan struct{} // nil unless paused; closed when the pause ends
+	leavingSince time.Time     // zero unless leaving
 }
 
-// Counts of a worker's lifetime, restarts included.
+// Counts holds the counts since the worker was made, across restarts.
 type Counts struct {
-	RefusedForSlots       atomic.Int64 // requests refused for want of a slot
-	RefusedForConnections atomic.Int64 // requests refused for want of a connection
-	Requests              atomic.Int64 // executed
-	Runs                  atomic.Int64 // begun
+	RefusedForSlots       atomic.Int64 // requests refused because no slot was free
+	RefusedForConnections atomic.Int64 // requests refused because too many connections were open
+	Requests              atomic.Int64 // requests executed
+	Runs                  atomic.Int64 // runs of tasks started
 }
 
-// New starts a worker.
-func New(o Options, a *auditor.Auditor) (*Worker, error) {
+// New starts a worker. Slots default to 8 and connections to 64.
+func New(o Options, audit *auditor.Auditor) (*Worker, error) {
 	if o.Host.Slots == 0 {
 		o.Host.Slots = 8
 	}
 	if o.Host.Connections == 0 {
 		o.Host.Connections = 64
 	}
-	w := &Worker{options: o, audit: a, Done: make(chan struct{})}
+	w := &Worker{options: o, audit: audit, Done: make(chan struct{})}
 	if err := w.Restart(); err != nil {
 		return nil, err
 	}
 	return w, nil
 }
 
-// Restart starts a killed worker, which remembers nothing, on its addresses.
+// Restart starts a killed worker again on the same addresses. It has no memory of its
+// earlier runs.
 func (w *Worker) Restart() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.control != nil || w.closed {
-		return errors.New("hoster: worker is not dead")
+		return errors.New("hoster: worker is still running or closed")
 	}
 	h := &w.options.Host
-	inner, err := net.Listen("tcp", orLoopback(h.Address))
+	backendListener, err := net.Listen("tcp", orLoopback(h.Address))
 	if err != nil {
 		return err
 	}
 	w.agent.Store(NewAgent(w.options, w.audit))
 	control, err := listener.New(orLoopback(h.Control), w.routes())
 	if err != nil {
-		inner.Close()
+		backendListener.Close()
 		return err
 	}
-	h.Address, h.Control = inner.Addr().String(), control.Address
+	h.Address, h.Control = backendListener.Addr().String(), control.Address
 	w.Host = *h
 	w.control = control
 	w.backend = newBackend(w)
 	server, served := w.backend.server(), make(chan struct{})
 	w.server, w.served = server, served
-	tracker := tracked{inner, w.backend}
+	tracking := trackingListener{backendListener, w.backend}
 	go func() {
 		defer close(served)
-		_ = server.Serve(tracker)
+		_ = server.Serve(tracking)
 	}()
 	return nil
 }
 
+// orLoopback returns address, or that of a free loopback port if it is empty.
 func orLoopback(address string) string {
 	if address == "" {
 		return "127.0.0.1:0"
@@ -125,7 +130,7 @@
 	return address
 }
 
-// Kill ends the worker as a power failure does.
+// Kill ends the worker abruptly, as a power failure does.
 func (w *Worker) Kill() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,14 +138,14 @@
 		return
 	}
 	w.agent.Load().Kill()
-	w.resume()
+	w.resumeLocked()
 	_ = w.control.Close()
 	_ = w.server.Close()
 	<-w.served
 	w.control = nil
 }
 
-// Close ends the worker for good.
+// Close kills the worker, which can't be restarted afterwards.
 func (w *Worker) Close() error {
 	w.Kill()
 	w.mu.Lock()
@@ -152,7 +157,7 @@
 	return nil
 }
 
-// Pause freezes the whole worker until Resume.
+// Pause freezes the worker until Resume: neither its runs nor its responses proceed.
 func (w *Worker) Pause() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,14 +167,15 @@
 	}
 }
 
-// Resume ends a Pause.
+// Resume ends a pause.
 func (w *Worker) Resume() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.resume()
+	w.resumeLocked()
 }
 
-func (w *Worker) resume() {
+// resumeLocked ends a pause. The caller holds the lock.
+func (w *Worker) resumeLocked() {
 	if w.paused != nil {
 		close(w.paused)
 		w.paused = nil
@@ -177,44 +183,49 @@
 	}
 }
 
-// SilenceConnections lets the backend server's open connections go silent for good.
-func (w *Worker) SilenceConnections() { w.backend.silence() }
+// SilenceConnections makes the backend server's open connections lose all data from
+// now on. New connections work.
+func (w *Worker) SilenceConnections() { w.backend.silenceConns() }
 
-// TruncateResponses ends the next n answers half way.
-func (w *Worker) TruncateResponses(n int) { w.backend.cut.Store(int64(n)) }
+// TruncateResponses makes the backend server end the next n responses half way.
+func (w *Worker) TruncateResponses(n int) { w.backend.truncations.Store(int64(n)) }
 
-// SetFailing lets every later run fail at once, or ends that.
+// SetFailing sets whether runs that start from now on fail at once.
 func (w *Worker) SetFailing(on bool) { w.agent.Load().SetFailing(on) }
 
-// DropResponses lets the next n calls of the worker interface take effect
-// without an answer.
+// DropResponses makes the next n calls of the worker interface take effect without a
+// response.
 func (w *Worker) DropResponses(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lose = n
+	w.dropNext = n
 }
 
-// MarkLeaving marks the time after which requests to the worker are counted as late.
+// MarkLeaving records that the worker begins to leave. Requests that it receives more
+// than leaveGrace later are reported as late.
 func (w *Worker) MarkLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.leaving = time.Now()
+	w.leavingSince = time.Now()
 }
 
 // Running returns the number of runs in progress.
 func (w *Worker) Running() int { return w.agent.Load().Running() }
 
-func (w *Worker) executed(id string, idempotent bool) {
+// recordRequest reports the execution of a request to the auditor. The id is the
+// idempotency key, if the request has one.
+func (w *Worker) recordRequest(id string, idempotent bool) {
 	w.Counts.Requests.Add(1)
 	w.audit.RequestExecuted(id, w.options.Host.Name, idempotent)
 	w.mu.Lock()
-	late := !w.leaving.IsZero() && time.Since(w.leaving) > leaveGrace
+	late := !w.leavingSince.IsZero() && time.Since(w.leavingSince) > leaveGrace
 	w.mu.Unlock()
 	if late {
 		w.audit.LateRequest(w.options.Host.Name)
 	}
 }
 
+// waitResumed returns once the worker isn't paused or ctx ends.
 func (w *Worker) waitResumed(ctx context.Context) {
 	w.mu.Lock()
 	paused := w.paused
@@ -228,39 +239,43 @@
 	}
 }
 
-func (w *Worker) loses() bool {
+// dropsResponse decides whether the response to a call of the worker interface is
+// dropped.
+func (w *Worker) dropsResponse() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lose == 0 {
+	if w.dropNext == 0 {
 		return false
 	}
-	w.lose--
+	w.dropNext--
 	return true
 }
 
+// routes returns the handler of the worker interface.
 func (w *Worker) routes() http.Handler {
-	m := w.agent.Load()
+	a := w.agent.Load()
 	start := func(in runner.StartRequest) (struct{}, error) {
-		began, err := m.Start(in)
-		if began {
+		started, err := a.Start(in)
+		if started {
 			w.Counts.Runs.Add(1)
 		}
 		return struct{}{}, err
 	}
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/start", serve(w, start))
-	mux.Handle("POST /v1/stop", serve(w, m.Stop))
-	mux.Handle("POST /v1/throttle", serve(w, func(in runner.ThrottleRequest) (struct{}, error) { return struct{}{}, m.Throttle(in) }))
-	mux.Handle("POST /v1/sync", serve(w, m.Sync))
+	mux.Handle("POST /v1/stop", serve(w, a.Stop))
+	mux.Handle("POST /v1/throttle", serve(w, func(in runner.ThrottleRequest) (struct{}, error) { return struct{}{}, a.Throttle(in) }))
+	mux.Handle("POST /v1/sync", serve(w, a.Sync))
 	return mux
 }
 
-// serve waits while the worker is paused, and loses answers.
+// serve returns a handler for one call of the worker interface. It waits while the
+// worker is paused, and drops responses as DropResponses says.
 func serve[In, Out any](w *Worker, call func(In) (Out, error)) http.Handler {
 	return listener.Handle(func(r *http.Request, in In) (Out, error) {
 		w.waitResumed(r.Context())
 		out, err := call(in)
-		if err == nil && w.loses() {
+		if err == nil && w.dropsResponse() {
 			err = listener.ErrDropResponse
 		}
 		return out, err
--- a/internal/standin/hoster/meter.go
+++ b/internal/standin/hoster/meter.go
@@ -8,67 +8,72 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/runner"
 )
 
-// interval is the time that one latency report covers.
-const interval = time.Second
+// reportInterval is the time that one latency report covers.
+const reportInterval = time.Second
 
-// meter collects the latency of requests and reports it with a lag.
-type meter struct {
-	lag   time.Duration
-	slots int
+// latencyMeter collects the service times of requests and reports them by interval,
+// with a delay. It is safe for concurrent use.
+type latencyMeter struct {
+	delay time.Duration // time from the end of an interval until its report shows
+	slots int           // number of requests that the worker serves at once
 
-	mu      sync.Mutex
-	service string
-	from    time.Time
-	taken   []time.Duration
-	ready   []runner.LatencyReport
+	mu        sync.Mutex
+	service   string                 // service of the latest request
+	from      time.Time              // start of the current interval
+	durations []time.Duration        // service times in the current interval
+	reports   []runner.LatencyReport // reports not taken yet, oldest first
 }
 
-func (m *meter) add(service string, now time.Time, took time.Duration) {
+// add records the service time of a request to the service.
+func (m *latencyMeter) add(service string, now time.Time, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.close(now)
+	m.closeInterval(now)
 	m.service = service
-	m.taken = append(m.taken, took)
+	m.durations = append(m.durations, took)
 }
 
-// close ends the interval if it is over.
-func (m *meter) close(now time.Time) {
-	from := now.Truncate(interval)
+// closeInterval makes the report of the current interval if now is in another one,
+// and begins that. The caller holds the lock.
+func (m *latencyMeter) closeInterval(now time.Time) {
+	from := now.Truncate(reportInterval)
 	if from.Equal(m.from) {
 		return
 	}
-	if len(m.taken) > 0 {
-		m.ready = append(m.ready, m.summary())
+	if len(m.durations) > 0 {
+		m.reports = append(m.reports, m.currentReport())
 	}
-	m.from, m.taken = from, nil
+	m.from, m.durations = from, nil
 }
 
-func (m *meter) summary() runner.LatencyReport {
-	slices.Sort(m.taken)
+// currentReport returns the report of the current interval, which has at least one
+// request.
+func (m *latencyMeter) currentReport() runner.LatencyReport {
+	slices.Sort(m.durations)
 	var busy time.Duration
-	for _, t := range m.taken {
-		busy += t
+	for _, d := range m.durations {
+		busy += d
 	}
 	return runner.LatencyReport{
 		Service: m.service,
 		From:    m.from,
-		To:      m.from.Add(interval),
-		P99:     m.taken[(len(m.taken)*99-1)/100],
-		Count:   int64(len(m.taken)),
-		Load:    min(1, float64(busy)/float64(interval)/float64(max(1, m.slots))),
+		To:      m.from.Add(reportInterval),
+		P99:     m.durations[(len(m.durations)*99-1)/100],
+		Count:   int64(len(m.durations)),
+		Load:    min(1, float64(busy)/float64(reportInterval)/float64(max(1, m.slots))),
 	}
 }
 
-// take returns the reports whose lag has passed, once.
-func (m *meter) take(now time.Time) []runner.LatencyReport {
+// takeReports returns and removes the reports whose delay has passed.
+func (m *latencyMeter) takeReports(now time.Time) []runner.LatencyReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.close(now)
+	m.closeInterval(now)
 	n := 0
-	for n < len(m.ready) && !m.ready[n].To.Add(m.lag).After(now) {
+	for n < len(m.reports) && !m.reports[n].To.Add(m.delay).After(now) {
 		n++
 	}
-	out := slices.Clone(m.ready[:n])
-	m.ready = m.ready[n:]
+	out := slices.Clone(m.reports[:n])
+	m.reports = m.reports[n:]
 	return out
 }
