--- a/internal/standin/balancer/balancer.go
+++ b/internal/standin/balancer/balancer.go
@@ -143,12 +143,12 @@
 	if err != nil {
 		return false
 	}
-	answer, err := client.Do(r)
+	response, err := client.Do(r)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
 // relay forwards a client's connection to an entry host until both directions
--- a/internal/standin/balancer/balancer_test.go
+++ b/internal/standin/balancer/balancer_test.go
@@ -37,10 +37,10 @@
 		Eventually(b.ReadyCount).Should(Equal(2))
 		ask := func() string {
 			c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			answer, err := c.Get("http://" + b.Address)
+			response, err := c.Get("http://" + b.Address)
 			Expect(err).NotTo(HaveOccurred())
-			defer answer.Body.Close()
-			body, _ := io.ReadAll(answer.Body)
+			defer response.Body.Close()
+			body, _ := io.ReadAll(response.Body)
 			return string(body)
 		}
 		Expect([]string{ask(), ask()}).To(ConsistOf("0", "1"))
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -143,7 +143,7 @@
 // Call sends a request to the domain's balancer, and once more if the first
 // attempt may have run.
 func (g *Generator) Call(client *http.Client, domain *deployer.Domain, q Request) Outcome {
-	began := time.Now()
+	start := time.Now()
 	outcome := g.sendToBalancer(client, domain, q)
 	if outcome == Unclear {
 		outcome = g.sendToBalancer(client, domain, q)
@@ -151,17 +151,17 @@
 			outcome = Unclear // only the second attempt is known not to have run
 		}
 	}
-	g.recordOutcome(q, outcome, time.Since(began))
+	g.recordOutcome(q, outcome, time.Since(start))
 	return outcome
 }
 
 // CallAt sends a request to an address once. The string is the code and verdict
 // of a failed attempt.
 func (g *Generator) CallAt(client *http.Client, address string, q Request) (Outcome, string) {
-	began := time.Now()
+	start := time.Now()
 	a := q.send(client, address)
 	g.recordAttempt(q, a)
-	g.recordOutcome(q, a.outcome, time.Since(began))
+	g.recordOutcome(q, a.outcome, time.Since(start))
 	return a.outcome, a.code
 }
 
--- a/internal/standin/delayer/delayer_test.go
+++ b/internal/standin/delayer/delayer_test.go
@@ -66,10 +66,10 @@
 	It("delays data, limits its rate and counts its bytes", func() {
 		link := delayer.NewLink(20*time.Millisecond, 10000)
 		c := dial(relay(link))
-		began := time.Now()
+		start := time.Now()
 		Expect(roundTrip(c, string(make([]byte, 1000)))).To(Succeed())
 		// One delay to connect, one each way, and 100 ms to send 1000 bytes each way.
-		Expect(time.Since(began)).To(BeNumerically(">=", 260*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically(">=", 260*time.Millisecond))
 		up, down := link.Bytes()
 		Expect(up).To(BeEquivalentTo(1000))
 		Expect(down).To(BeEquivalentTo(1000))
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -39,7 +39,7 @@
 
 const (
 	loopback      = "127.0.0.1:0"          // lets the system choose a free port
-	hostListDelay = time.Second            // time until a change of the host list shows
+	hostListDelay = time.Second            // time until readers of the host list see a change
 	reportDelay   = time.Second            // time until workers report usage and latency
 	serviceTime   = 8 * time.Millisecond   // of a request on an otherwise idle worker
 	checkInterval = 200 * time.Millisecond // between readiness checks by the balancers
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -53,7 +53,7 @@
 	return &Entry{Settings: s, launch: launch}, nil
 }
 
-// host returns the entry host as the host list shows it.
+// host returns the entry of the entry host in the host list.
 func (e *Entry) host() describer.Host {
 	return describer.Host{
 		Name: e.Settings.Name, Role: describer.Entry, State: describer.Live,
--- a/internal/standin/hoster/backend.go
+++ b/internal/standin/hoster/backend.go
@@ -101,7 +101,7 @@
 
 // execute runs a request and responds to it.
 func (b *backend) execute(w http.ResponseWriter, r *http.Request) {
-	began := time.Now()
+	start := time.Now()
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // the connection broke before the whole request arrived
@@ -114,7 +114,7 @@
 	b.worker.recordRequest(key, isIdempotent(r))
 	duration := b.serviceTime(r)
 	time.Sleep(duration)
-	b.worker.agent.Load().latency.add(b.serviceName(), began, time.Since(began))
+	b.worker.agent.Load().latency.add(b.serviceName(), start, time.Since(start))
 	w.Header().Set(HeaderRequestID, id)
 	w.Header().Set(HeaderWorker, b.worker.options.Host.Name)
 	b.respond(w, ResponseBody(id, body, r.Header.Get(HeaderResponseSize)))
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -161,13 +161,13 @@
 		r, _ := http.NewRequest(http.MethodPost, "http://"+w.Host.Address+"/", bytes.NewReader([]byte("menu")))
 		r.Header.Set(hoster.HeaderRequestID, id)
 		r.Header.Set(hoster.HeaderServiceTime, work)
-		answer, err := c.Do(r)
+		response, err := c.Do(r)
 		if err != nil {
 			return 0, "", err
 		}
-		defer answer.Body.Close()
-		body, err := io.ReadAll(answer.Body)
-		return answer.StatusCode, string(body), err
+		defer response.Body.Close()
+		body, err := io.ReadAll(response.Body)
+		return response.StatusCode, string(body), err
 	}
 	// newClient returns a client without open connections.
 	newClient := func() *http.Client { return &http.Client{Transport: &http.Transport{}} }
--- a/internal/standin/hoster/meter.go
+++ b/internal/standin/hoster/meter.go
@@ -14,7 +14,7 @@
 // latencyMeter collects the service times of requests and reports them by interval,
 // with a delay. It is safe for concurrent use.
 type latencyMeter struct {
-	delay time.Duration // time from the end of an interval until its report shows
+	delay time.Duration // time from the end of an interval until its report is returned
 	slots int           // number of requests that the worker serves at once
 
 	mu        sync.Mutex
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -25,11 +25,11 @@
 	Address string        // ip:port
 	Done    chan struct{} // closed once the server has ended
 
-	delay  time.Duration // time until a change shows
+	delay  time.Duration // time until readers see a change
 	server *listener.Listener
 
 	mu       sync.Mutex
-	versions []version                    // oldest first; the first is the one that shows
+	versions []version                    // oldest first; readers get the first
 	views    map[string]map[string]string // by view name, the replacement of each address
 	outage   bool
 	reads    int64
@@ -89,7 +89,7 @@
 // Close ends the server.
 func (r *Registrar) Close() error { return r.server.Close() }
 
-// Set replaces the list. The first list shows at once.
+// Set replaces the list. Readers see the first list at once.
 func (r *Registrar) Set(hosts []describer.Host) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +140,7 @@
 	r.versions = append(r.versions, version{time.Now(), hosts})
 }
 
-// latest returns the latest list, whether it shows yet or not.
+// latest returns the latest list, whether readers see it yet or not.
 func (r *Registrar) latest() []describer.Host {
 	if len(r.versions) == 0 {
 		return nil
