--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -67,7 +67,7 @@
 	out := admitter.Shard{
 		Name: name, SameDomain: s.Load.Domain == "" || s.Load.Domain == r.options.Domain, Age: time.Since(s.LoadReceived),
 		Workers: s.Load.Workers, Free: s.Load.Free, LongRunningCPU: s.Load.LongRunningCPU, LongRunningLimit: s.Load.LongRunningLimit,
-		ReclaimableCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
+		FiniteCPU: s.Load.FiniteCPU, UnusedCPU: s.Load.UnusedCPU, FillerCPU: s.Load.FillerCPU, HasLabel: true,
 	}
 	if !out.SameDomain {
 		out.RoundTrip = remoteRoundTrip
@@ -77,7 +77,7 @@
 		out.HasRack = out.HasRack || step.PreferredRack != "" && slices.Contains(s.Load.Labels, step.PreferredRack)
 	}
 	for _, b := range s.Load.Backlog {
-		if b.Priority <= queue.Priority {
+		if b.Priority <= queue.Priority { // as urgent as the job, or more
 			out.ReservedBacklog += b.ReservedWork
 			out.FillerBacklog += b.FillerWork
 		}
--- a/internal/operator/parser/checker.go
+++ b/internal/operator/parser/checker.go
@@ -9,40 +9,40 @@
 	"github.com/rs/zerolog"
 )
 
-// Defaults returns the settings that hold where a file is silent.
+// Defaults returns the settings that apply where a file has no value.
 func Defaults() Settings {
 	return Settings{
 		Platform: Platform{Timeout: Duration(2 * time.Second)},
 		Lease: Lease{
-			Shard:  Duration(6 * time.Second),
-			Task:   Duration(20 * time.Second),
-			Margin: Duration(2 * time.Second),
-			Sync:   Duration(2 * time.Second),
+			Shard:        Duration(6 * time.Second),
+			Task:         Duration(20 * time.Second),
+			ClockMargin:  Duration(2 * time.Second),
+			SyncInterval: Duration(2 * time.Second),
 		},
 		Restore: Restore{
-			Settle:   Duration(time.Minute),
-			Patience: Duration(5 * time.Minute),
+			MinStep: Duration(time.Minute),
+			MaxStep: Duration(5 * time.Minute),
 		},
 		Traffic: Traffic{
-			Queue:      256,
-			Body:       16 << 20,
-			Deadline:   Duration(10 * time.Second),
-			Silence:    Duration(3 * time.Second),
-			Budget:     0.1,
-			Link:       2_500_000,
-			DrainLimit: Duration(30 * time.Second),
+			MaxQueue:        256,
+			MaxBody:         16 << 20,
+			DefaultDeadline: Duration(10 * time.Second),
+			StallTimeout:    Duration(3 * time.Second),
+			RetryRatio:      0.1,
+			LinkBandwidth:   2_500_000,
+			DrainTimeout:    Duration(30 * time.Second),
 		},
 		Log: Log{Level: "info"},
 	}
 }
 
-// Read decodes and checks a daemon's settings. The error is of type FaultErrors and
-// lists everything that is wrong.
+// Read decodes and checks a daemon's settings. The error is of type Errors and
+// holds everything that is wrong.
 func Read(source []byte) (Settings, error) {
 	s := Defaults()
 	d := Decode(source, &s)
-	if len(d.Faults) == 1 && len(d.places) == 0 {
-		return s, d.Faults // not even JSON; checks of missing keys would be noise
+	if len(d.Errors) == 1 && len(d.offsets) == 0 {
+		return s, d.Errors // syntax error; missing keys would follow from it
 	}
 	d.checkIdentity(s)
 	d.checkAddresses(s)
@@ -51,17 +51,17 @@
 	d.checkRestore(s.Restore)
 	d.checkTraffic(s.Traffic)
 	if _, err := zerolog.ParseLevel(s.Log.Level); err != nil || s.Log.Level == "" {
-		d.Fault("log.level", "must be debug, info, warn or error, is %q", s.Log.Level)
+		d.AddError("log.level", "must be debug, info, warn or error, is %q", s.Log.Level)
 	}
-	return s, d.Faults.sorted()
+	return s, d.Errors.sorted()
 }
 
 func (d *Document) checkIdentity(s Settings) {
 	for _, f := range []struct{ path, value string }{
 		{"name", s.Name}, {"domain", s.Domain}, {"region", s.Region},
 	} {
-		if f.value == "" && !d.hasFault(f.path) {
-			d.Fault(f.path, "is missing")
+		if f.value == "" && !d.hasError(f.path) {
+			d.AddError(f.path, "is missing")
 		}
 	}
 }
@@ -69,19 +69,19 @@
 func (d *Document) checkAddresses(s Settings) {
 	seen := make(map[string]string)
 	check := func(path, address string) {
-		if d.hasFault(path) {
+		if d.hasError(path) {
 			return
 		}
 		if address == "" {
-			d.Fault(path, "is missing")
+			d.AddError(path, "is missing")
 			return
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			d.Fault(path, "must be an IP number and port such as 10.0.0.1:7000, is %q", address)
+			d.AddError(path, "must be an IP number and port such as 10.0.0.1:7000, is %q", address)
 			return
 		}
-		if first, ok := seen[address]; ok {
-			d.Fault(path, "%s stands at %s already", address, first)
+		if other, ok := seen[address]; ok {
+			d.AddError(path, "%s stands at %s already", address, other)
 			return
 		}
 		seen[address] = path
@@ -100,58 +100,60 @@
 	} {
 		u, err := url.Parse(f.value)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			d.Fault(f.path, "must be a URL such as http://10.0.0.1:7000, is %q", f.value)
+			d.AddError(f.path, "must be a URL such as http://10.0.0.1:7000, is %q", f.value)
 		}
 	}
-	d.between("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
+	d.checkRange("platform.timeout", p.Timeout, 10*time.Millisecond, time.Minute)
 }
 
 func (d *Document) checkLease(l Lease) {
-	d.between("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
-	d.between("lease.task", l.Task, 100*time.Millisecond, time.Hour)
-	d.between("lease.margin", l.Margin, 0, time.Minute)
-	d.between("lease.sync", l.Sync, 10*time.Millisecond, time.Minute)
-	if l.Sync*3 > l.Task {
-		d.Fault("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.Sync)
+	d.checkRange("lease.shard", l.Shard, 100*time.Millisecond, 5*time.Minute)
+	d.checkRange("lease.task", l.Task, 100*time.Millisecond, time.Hour)
+	d.checkRange("lease.margin", l.ClockMargin, 0, time.Minute)
+	d.checkRange("lease.sync", l.SyncInterval, 10*time.Millisecond, time.Minute)
+	if l.SyncInterval*3 > l.Task {
+		d.AddError("lease.sync", "must be at most a third of lease.task (%s), is %s", l.Task, l.SyncInterval)
 	}
 }
 
 func (d *Document) checkRestore(r Restore) {
-	d.between("restore.settle", r.Settle, 10*time.Millisecond, time.Hour)
-	d.between("restore.patience", r.Patience, time.Duration(r.Settle), 24*time.Hour)
+	d.checkRange("restore.settle", r.MinStep, 10*time.Millisecond, time.Hour)
+	d.checkRange("restore.patience", r.MaxStep, time.Duration(r.MinStep), 24*time.Hour)
 }
 
 func (d *Document) checkTraffic(t Traffic) {
-	if t.Queue < 1 || t.Queue > 100_000 {
-		d.Fault("traffic.queue", "must be 1 to 100000 requests, is %d", t.Queue)
+	if t.MaxQueue < 1 || t.MaxQueue > 100_000 {
+		d.AddError("traffic.queue", "must be 1 to 100000 requests, is %d", t.MaxQueue)
 	}
-	if t.Body < 1 || t.Body > 1<<40 {
-		d.Fault("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.Body)
+	if t.MaxBody < 1 || t.MaxBody > 1<<40 {
+		d.AddError("traffic.body", "must be 1 to %d bytes, is %d", int64(1)<<40, t.MaxBody)
 	}
-	if t.Budget < 0 || t.Budget > 1 {
-		d.Fault("traffic.budget", "must be a share from 0 to 1, is %g", t.Budget)
+	if t.RetryRatio < 0 || t.RetryRatio > 1 {
+		d.AddError("traffic.budget", "must be a share from 0 to 1, is %g", t.RetryRatio)
 	}
-	if t.Link < 0 {
-		d.Fault("traffic.link", "must not be negative, is %d bytes a second", t.Link)
+	if t.LinkBandwidth < 0 {
+		d.AddError("traffic.link", "must not be negative, is %d bytes a second", t.LinkBandwidth)
 	}
-	d.between("traffic.deadline", t.Deadline, time.Millisecond, time.Hour)
-	d.between("traffic.silence", t.Silence, 10*time.Millisecond, time.Hour)
-	d.between("traffic.drainlimit", t.DrainLimit, 0, time.Hour)
+	d.checkRange("traffic.deadline", t.DefaultDeadline, time.Millisecond, time.Hour)
+	d.checkRange("traffic.silence", t.StallTimeout, 10*time.Millisecond, time.Hour)
+	d.checkRange("traffic.drainlimit", t.DrainTimeout, 0, time.Hour)
 }
 
-// between checks a range unless the value could not be read at all.
-func (d *Document) between(path string, value Duration, low, high time.Duration) {
-	if d.hasFault(path) {
+// checkRange adds an error if the value is out of range, unless it could not be
+// decoded at all.
+func (d *Document) checkRange(path string, value Duration, low, high time.Duration) {
+	if d.hasError(path) {
 		return
 	}
 	if time.Duration(value) < low || time.Duration(value) > high {
-		d.Fault(path, "must be %s to %s, is %s", low, high, value)
+		d.AddError(path, "must be %s to %s, is %s", low, high, value)
 	}
 }
 
-func (d *Document) hasFault(path string) bool {
-	for _, f := range d.Faults {
-		if f.Path == path {
+// hasError reports whether the value at path has an error already.
+func (d *Document) hasError(path string) bool {
+	for _, e := range d.Errors {
+		if e.Path == path {
 			return true
 		}
 	}
