--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -35,6 +35,7 @@
 	Denied                  // the response says that the request has not run
 )
 
+// String returns the name of the outcome as scenarios write it.
 func (o Outcome) String() string { return [...]string{"unclear", "answered", "denied"}[o] }
 
 // attempt is the result of sending a request once.
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -16,6 +16,7 @@
 	Blackhole                // data is held until the link heals, as if TCP retransmitted it
 )
 
+// String returns the name of the mode as requests to a Hub write it.
 func (m CutMode) String() string { return [...]string{"none", "drop", "blackhole"}[m] }
 
 // Link is a network link between two failure domains, as seen from one of its
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -89,8 +89,8 @@
 	return w, nil
 }
 
-// Restart starts a killed worker again on the same addresses. It has no memory of its
-// earlier runs.
+// Restart starts a killed worker again on the same addresses, without any state of
+// its earlier life. New uses it for the first start.
 func (w *Worker) Restart() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
