--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -88,10 +88,10 @@
 	a.report.Runs++
 	r.running++
 	if r.running > 1 {
-		a.addDuplicate(r, "task %s started on %s while another run was in progress", task, worker)
+		a.addDuplicate(r, "%s runs in two places, the later is %s", task, worker)
 	}
 	if r.completed > r.lostCompletions {
-		a.addDuplicate(r, "task %s started on %s after it had completed", task, worker)
+		a.addDuplicate(r, "%s begins on %s after it completed", task, worker)
 	}
 }
 
@@ -106,7 +106,7 @@
 		a.report.Completed++
 		r.completed++
 		if r.completed > 1+r.lostCompletions {
-			a.addDuplicate(r, "task %s completed again on %s", task, worker)
+			a.addDuplicate(r, "%s completes again on %s", task, worker)
 		}
 	case Stopped:
 		a.report.Stopped++
@@ -132,7 +132,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.CapacityExceeded++
-	a.addViolation("worker %s has granted %+v, which exceeds its capacity %+v", worker, granted, capacity)
+	a.addViolation("%s has granted %+v of %+v", worker, granted, capacity)
 }
 
 // RequestExecuted records that the worker executed the request with this id. A
@@ -148,7 +148,7 @@
 	a.executions[id]++
 	if a.executions[id] > 1 && !idempotent {
 		a.report.RepeatedRequests++
-		a.addViolation("request %s was executed again on %s", id, worker)
+		a.addViolation("request %s executes again on %s", id, worker)
 	}
 }
 
@@ -158,7 +158,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.report.LateRequests++
-	a.addViolation("worker %s received a request after it began to leave", worker)
+	a.addViolation("%s got a request after it began to leave", worker)
 }
 
 // Executions returns how often the request with this id was executed.
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -95,7 +95,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.control != nil || w.closed {
-		return errors.New("hoster: worker is still running or closed")
+		return errors.New("hoster: worker is not dead")
 	}
 	h := &w.options.Host
 	backendListener, err := net.Listen("tcp", orLoopback(h.Address))
