--- a/internal/operator/commander/standin.go
+++ b/internal/operator/commander/standin.go
@@ -118,7 +118,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			targets := make([]balancer.Target, len(entries))
 			for i, address := range entries {
-				targets[i] = balancer.Target{Address: address, Check: "http://" + address + "/ready"}
+				targets[i] = balancer.Target{Address: address, CheckURL: "http://" + address + "/ready"}
 			}
 			b, err := balancer.New(listen, targets, check)
 			if err != nil {
@@ -170,8 +170,8 @@
 				Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10},
 				Services: []string{service},
 			},
-			Service: 5 * time.Millisecond,
-			Lag:     time.Second,
+			ServiceTime: 5 * time.Millisecond,
+			ReportDelay: time.Second,
 		}
 	}
 	return options
--- a/internal/operator/demonstrator/batch.go
+++ b/internal/operator/demonstrator/batch.go
@@ -53,13 +53,13 @@
 // run submits jobs between jobsStart and jobsEnd of the load, and waits until they are done or runCtx ends.
 func (b *batchLoad) run(loadCtx, runCtx context.Context) {
 	length := time.Duration(b.options.Seconds) * time.Second
-	if !deployer.Pause(loadCtx, time.Duration(float64(length)*jobsStart)) {
+	if !deployer.Sleep(loadCtx, time.Duration(float64(length)*jobsStart)) {
 		return
 	}
 	end := time.Now().Add(time.Duration(float64(length) * (jobsEnd - jobsStart)))
 	var jobs sync.WaitGroup
 	for n := 0; time.Now().Before(end); n++ {
-		if n >= initialJobs && !deployer.Pause(loadCtx, time.Second/jobRate) {
+		if n >= initialJobs && !deployer.Sleep(loadCtx, time.Second/jobRate) {
 			break
 		}
 		domain, job := b.next(n)
@@ -94,16 +94,16 @@
 // until it is done.
 func (b *batchLoad) follow(ctx context.Context, domain *deployer.Domain, job describer.Job) {
 	url := "http://" + domain.Balancer.Address + "/v1/jobs"
-	err := deployer.Until(ctx, func() error { return deployer.Exchange(ctx, b.client, http.MethodPost, url, job, nil) })
+	err := deployer.Retry(ctx, func() error { return deployer.CallJSON(ctx, b.client, http.MethodPost, url, job, nil) })
 	if err != nil {
 		return
 	}
 	b.mu.Lock()
 	b.accepted[job.ID] = job.Tasks
 	b.mu.Unlock()
-	for deployer.Pause(ctx, statusInterval) {
+	for deployer.Sleep(ctx, statusInterval) {
 		var status reducer.JobStatus
-		if deployer.Exchange(ctx, b.client, http.MethodGet, url+"/"+job.ID, nil, &status) != nil {
+		if deployer.CallJSON(ctx, b.client, http.MethodGet, url+"/"+job.ID, nil, &status) != nil {
 			continue
 		}
 		b.mu.Lock()
--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -179,23 +179,23 @@
 }
 
 // report collects the counts of the stand-ins, the callers, the jobs and the drain.
-func report(o Options, d *deployer.Deployment, calls *caller.Load, jobs *batchLoad, drain *drainRun) Report {
+func report(o Options, d *deployer.Deployment, calls *caller.Generator, jobs *batchLoad, drain *drainRun) Report {
 	audit := d.Audit.Report()
 	out := Report{
 		Seed: o.Seed, Fault: o.Fault, Seconds: o.Seconds,
-		Duplicated:    int64(audit.Duplicated + audit.Repeated),
-		Overcommitted: audit.Overfilled,
-		LateRequests:  audit.Late,
-		Evicted:       audit.Stopped + audit.Lapsed,
+		Duplicated:    int64(audit.Duplicated + audit.RepeatedRequests),
+		Overcommitted: audit.CapacityExceeded,
+		LateRequests:  audit.LateRequests,
+		Evicted:       audit.Stopped + audit.LeaseExpired,
 		Restored:      drain.restored(),
-		Violations:    audit.Faults,
+		Violations:    audit.Violations,
 	}
 	seen := calls.Report()
-	out.Requests, out.FailedRequests, out.WrongResponses = seen.Requests, seen.Failed, seen.Wrong
-	out.CutRequests, out.FalseNotRun = seen.Cut, seen.Untrue
-	out.Failures = seen.Codes
+	out.Requests, out.FailedRequests, out.WrongResponses = seen.Requests, seen.Failed, seen.Mismatched
+	out.CutRequests, out.FalseNotRun = seen.CutByStop, seen.FalseDenials
+	out.Failures = seen.FailuresByCode
 	out.P50, out.P99 = seen.P50, seen.P99
-	out.Violations = append(out.Violations, seen.Words...)
+	out.Violations = append(out.Violations, seen.Violations...)
 	jobs.addTo(&out)
 	if violation := drain.violation(); violation != "" {
 		out.Violations = append(out.Violations, violation)
--- a/internal/operator/demonstrator/drain.go
+++ b/internal/operator/demonstrator/drain.go
@@ -49,7 +49,7 @@
 	if !r.drainUntilServing(ctx) {
 		return
 	}
-	if err := deployer.Until(ctx, func() error { return r.checkEnded(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.checkEnded(ctx) }); err != nil {
 		return
 	}
 	r.mu.Lock()
@@ -62,10 +62,10 @@
 // served requests again. It reports whether they have.
 func (r *drainRun) drainUntilServing(ctx context.Context) bool {
 	defer close(r.served)
-	if !deployer.Pause(ctx, time.Duration(float64(r.length())*drainStart)) {
+	if !deployer.Sleep(ctx, time.Duration(float64(r.length())*drainStart)) {
 		return false
 	}
-	if err := deployer.Until(ctx, func() error { return r.confirm(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.confirm(ctx) }); err != nil {
 		r.setState("not confirmed: " + err.Error())
 		return false
 	}
@@ -74,7 +74,7 @@
 		return false
 	}
 	r.setState("drained")
-	if err := deployer.Until(ctx, func() error { return r.checkRestoring(ctx) }); err != nil {
+	if err := deployer.Retry(ctx, func() error { return r.checkRestoring(ctx) }); err != nil {
 		return false
 	}
 	r.setState("restoring")
@@ -148,7 +148,7 @@
 		if all {
 			return true
 		}
-		if !deployer.Pause(ctx, pollInterval) {
+		if !deployer.Sleep(ctx, pollInterval) {
 			return false
 		}
 	}
--- a/internal/operator/demonstrator/fault.go
+++ b/internal/operator/demonstrator/fault.go
@@ -18,7 +18,7 @@
 
 // run waits for the event's time and lets it happen, unless ctx ends before.
 func (e event) run(ctx context.Context, length time.Duration) {
-	if !deployer.Pause(ctx, time.Duration(float64(length)*e.at)) {
+	if !deployer.Sleep(ctx, time.Duration(float64(length)*e.at)) {
 		return
 	}
 	e.progress.showEvent(e.name)
@@ -57,7 +57,7 @@
 // start starts a daemon. It retries until ctx ends, since the ports may still be in
 // use.
 func start(ctx context.Context, e *deployer.Entry) {
-	_ = deployer.Until(ctx, func() error { return e.Start(ctx) })
+	_ = deployer.Retry(ctx, func() error { return e.Start(ctx) })
 }
 
 // kills kills an entry host and a worker and replaces them later.
@@ -67,17 +67,17 @@
 		{at: 0.35, name: "kill an entry host", do: func(context.Context) { first.Entries[0].Kill() }},
 		{at: 0.4, name: "kill a worker", do: func(context.Context) { last.Workers[0].Kill() }},
 		{at: 0.5, name: "replace the entry host", do: func(ctx context.Context) { start(ctx, first.Entries[0]) }},
-		{at: 0.55, name: "replace the worker", do: func(ctx context.Context) { _ = deployer.Until(ctx, last.Workers[0].Restart) }},
+		{at: 0.55, name: "replace the worker", do: func(ctx context.Context) { _ = deployer.Retry(ctx, last.Workers[0].Restart) }},
 	}
 }
 
 // outage makes the store unavailable, and lets it lose some responses afterwards.
 func outage(d *deployer.Deployment) []event {
 	return []event{
-		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.Outage(true) }},
+		{at: 0.35, name: "store outage", do: func(context.Context) { d.Store.SetOutage(true) }},
 		{at: 0.55, name: "store back, answers lost", do: func(context.Context) {
-			d.Store.Outage(false)
-			d.Store.LoseAnswers(5, 0, 0)
+			d.Store.SetOutage(false)
+			d.Store.DropResponses(5, 0, 0)
 		}},
 	}
 }
@@ -85,8 +85,8 @@
 // partition cuts the links between the regions for some time.
 func partition(d *deployer.Deployment) []event {
 	return []event{
-		{at: 0.35, name: "regions cut off", do: func(context.Context) { d.Region.Cut(delayer.Blackhole) }},
-		{at: 0.55, name: "regions joined", do: func(context.Context) { d.Region.Heal() }},
+		{at: 0.35, name: "regions cut off", do: func(context.Context) { d.InterRegion.Cut(delayer.Blackhole) }},
+		{at: 0.55, name: "regions joined", do: func(context.Context) { d.InterRegion.Heal() }},
 	}
 }
 
@@ -95,7 +95,7 @@
 	silenceHalf := func(context.Context) {
 		for _, domain := range d.Domains {
 			for _, w := range domain.Workers[:workers/2] {
-				w.Silence()
+				w.SilenceConnections()
 			}
 		}
 	}
@@ -112,7 +112,7 @@
 		{at: 0.35, name: "freeze a worker", do: func(ctx context.Context) {
 			frozen.Pause()
 			lease := time.Duration(d.Domains[0].Entries[0].Settings.Lease.Task)
-			deployer.Pause(ctx, lease+time.Second)
+			deployer.Sleep(ctx, lease+time.Second)
 			frozen.Resume()
 		}},
 	}
--- a/internal/operator/demonstrator/screen.go
+++ b/internal/operator/demonstrator/screen.go
@@ -22,7 +22,7 @@
 type screen struct {
 	out      io.Writer
 	terminal bool
-	calls    *caller.Load
+	calls    *caller.Generator
 	jobs     *batchLoad
 	drain    *drainRun
 	start    time.Time
@@ -31,14 +31,14 @@
 	lastEvent string
 }
 
-func newScreen(out io.Writer, terminal bool, calls *caller.Load, jobs *batchLoad, drain *drainRun) *screen {
+func newScreen(out io.Writer, terminal bool, calls *caller.Generator, jobs *batchLoad, drain *drainRun) *screen {
 	return &screen{out: out, terminal: terminal, calls: calls, jobs: jobs, drain: drain, start: time.Now()}
 }
 
 // draw shows the progress until ctx ends.
 func (s *screen) draw(ctx context.Context) {
 	last := ""
-	for deployer.Pause(ctx, drawInterval) {
+	for deployer.Sleep(ctx, drawInterval) {
 		if s.terminal {
 			fmt.Fprintf(s.out, "\r%-*s", lineWidth, s.statusLine())
 			continue
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -50,7 +50,7 @@
 	if s.deployment != nil && len(args) == 1 {
 		return s.startOne(args[0])
 	}
-	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, Target: lenientTarget, Launch: s.launch}
+	o := deployer.Options{EntryHosts: defaultEntries, Workers: defaultWorkers, LatencyTarget: lenientTarget, Launch: s.launch}
 	for _, arg := range args {
 		name, value, _ := strings.Cut(arg, "=")
 		n, err := strconv.Atoi(value)
@@ -90,7 +90,7 @@
 	}
 	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return e.Start(ctx) })
+	return deployer.Retry(ctx, func() error { return e.Start(ctx) })
 }
 
 // forEach calls onEntry for every named entry host whose daemon runs, and onWorker
@@ -133,8 +133,8 @@
 
 func leave(s *scenario, args []string) error {
 	return forEach(s, args, func(e *deployer.Entry) { e.Stop(s.ctx) }, func(worker *hoster.Worker) {
-		s.deployment.Hosts.Change(worker.Host.Name, describer.Leaving)
-		worker.Leave()
+		s.deployment.HostList.SetState(worker.Host.Name, describer.Leaving)
+		worker.MarkLeaving()
 	})
 }
 
@@ -142,7 +142,7 @@
 	for _, domain := range s.deployment.Domains {
 		for _, worker := range domain.Workers {
 			if args[0] == "all" || args[0] == worker.Host.Name {
-				worker.Silence()
+				worker.SilenceConnections()
 			}
 		}
 	}
@@ -158,9 +158,9 @@
 		return err
 	}
 	if args[1] == "cut" {
-		s.deployment.Worker(args[0]).CutAnswers(n)
+		s.deployment.Worker(args[0]).TruncateResponses(n)
 	} else {
-		s.deployment.Worker(args[0]).LoseAnswers(n)
+		s.deployment.Worker(args[0]).DropResponses(n)
 	}
 	return nil
 }
@@ -169,9 +169,9 @@
 func (s *scenario) link(name string) (*delayer.Link, error) {
 	switch name {
 	case "region":
-		return s.deployment.Region, nil
+		return s.deployment.InterRegion, nil
 	case "local":
-		return s.deployment.Local, nil
+		return s.deployment.IntraRegion, nil
 	}
 	return nil, eris.Errorf("no link %q, use region or local", name)
 }
@@ -200,19 +200,19 @@
 func outage(s *scenario, args []string) error {
 	switch args[0] {
 	case "on", "off":
-		s.deployment.Store.Outage(args[0] == "on")
+		s.deployment.Store.SetOutage(args[0] == "on")
 	case "slow":
 		slow, err := time.ParseDuration(args[1])
 		if err != nil {
 			return err
 		}
-		s.deployment.Store.Slow(slow)
+		s.deployment.Store.SetDelay(slow)
 	case "lose":
 		n, err := strconv.Atoi(args[1])
 		if err != nil {
 			return err
 		}
-		s.deployment.Store.LoseAnswers(n, 0, 0)
+		s.deployment.Store.DropResponses(n, 0, 0)
 	default:
 		return eris.New("usage: outage on|off|slow D|lose N")
 	}
@@ -258,14 +258,14 @@
 	ctx, cancel := s.withTimeout()
 	defer cancel()
 	url := "http://" + s.deployment.Domain(domain).Balancer.Address + path
-	return deployer.Until(ctx, func() error { return deployer.Exchange(ctx, client, method, url, in, nil) })
+	return deployer.Retry(ctx, func() error { return deployer.CallJSON(ctx, client, method, url, in, nil) })
 }
 
 func call(s *scenario, args []string) error {
 	if len(args) < 3 {
 		return eris.New("usage: call PLACE OUTCOME ID [charge]")
 	}
-	q := caller.Request{ID: args[2], Tenant: "owners", Class: "menu", Size: 100}
+	q := caller.Request{ID: args[2], Tenant: "owners", Class: "menu", ResponseSize: 100}
 	if len(args) > 3 {
 		q.Charge, q.Class, q.Body = true, "charge", args[2]
 	}
@@ -279,7 +279,7 @@
 	defer c.CloseIdleConnections()
 	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return deployer.Until(ctx, func() error {
+	return deployer.Retry(ctx, func() error {
 		outcome, code := s.calls.CallAt(c, address, q)
 		if outcome == caller.Denied && args[1] != outcome.String() {
 			return eris.Errorf("call %s was denied, want %s: %s", q.ID, args[1], code)
@@ -315,7 +315,7 @@
 	}
 	s.endLoad()
 	s.calls = caller.New(s.deployment, random(), rate)
-	s.calls.Work = work
+	s.calls.ServiceTime = work
 	ctx, stop := context.WithCancel(s.ctx)
 	done := make(chan struct{})
 	s.mu.Lock()
@@ -343,7 +343,7 @@
 
 func invariant(s *scenario, _ []string) error {
 	audit, calls := s.deployment.Audit.Report(), s.calls.Report()
-	violations := append(audit.Faults, calls.Words...)
+	violations := append(audit.Violations, calls.Violations...)
 	violations = append(violations, s.watcher.violations()...)
 	s.mu.Lock()
 	for _, err := range s.violations {
--- a/internal/operator/rehearser/conditions.go
+++ b/internal/operator/rehearser/conditions.go
@@ -59,7 +59,7 @@
 	}
 	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return check(ctx) })
+	return deployer.Retry(ctx, func() error { return check(ctx) })
 }
 
 // atLeast returns a check that the count has reached the number in text.
@@ -121,7 +121,7 @@
 func (s *scenario) status(ctx context.Context, job string) (status reducer.JobStatus, err error) {
 	for _, domain := range s.deployment.Domains {
 		url := "http://" + domain.Balancer.Address + "/v1/jobs/" + job
-		if err = deployer.Exchange(ctx, client, http.MethodGet, url, nil, &status); err == nil {
+		if err = deployer.CallJSON(ctx, client, http.MethodGet, url, nil, &status); err == nil {
 			return status, nil
 		}
 	}
@@ -193,7 +193,7 @@
 		for _, e := range s.daemons() {
 			var reports []reducer.Status
 			url := "http://" + e.Settings.Listen.Operators + "/v1/status"
-			if err := deployer.Exchange(ctx, client, http.MethodGet, url, nil, &reports); err != nil {
+			if err := deployer.CallJSON(ctx, client, http.MethodGet, url, nil, &reports); err != nil {
 				return err
 			}
 			for _, report := range reports {
@@ -238,6 +238,6 @@
 // revisionOf asks a daemon for the revision of its configuration.
 func revisionOf(ctx context.Context, e *deployer.Entry) (int64, error) {
 	var c describer.Configuration
-	err := deployer.Exchange(ctx, client, http.MethodGet, "http://"+e.Settings.Listen.Operators+"/v1/configuration", nil, &c)
+	err := deployer.CallJSON(ctx, client, http.MethodGet, "http://"+e.Settings.Listen.Operators+"/v1/configuration", nil, &c)
 	return c.Revision, err
 }
--- a/internal/operator/rehearser/operators.go
+++ b/internal/operator/rehearser/operators.go
@@ -23,7 +23,7 @@
 	}
 	ctx, cancel := s.withTimeout()
 	defer cancel()
-	return deployer.Until(ctx, func() error { return s.deployment.Drain(ctx, args[0], args[2:], duration) })
+	return deployer.Retry(ctx, func() error { return s.deployment.Drain(ctx, args[0], args[2:], duration) })
 }
 
 // planDrain asks for the plan of a drain and remembers it for confirm.
@@ -39,7 +39,7 @@
 	defer cancel()
 	intent := describer.Intent{ID: args[0], Action: describer.DrainWorkers, Workers: args[2:], For: duration}
 	var plan describer.Plan
-	err = deployer.Until(ctx, func() error { return s.deployment.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plan) })
+	err = deployer.Retry(ctx, func() error { return s.deployment.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plan) })
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 	ctx, cancel := s.withTimeout()
 	defer cancel()
 	path := "/v1/plans/" + s.plans[args[0]] + "/confirm"
-	return deployer.Until(ctx, func() error { return s.deployment.Operate(ctx, http.MethodPost, path, nil, nil) })
+	return deployer.Retry(ctx, func() error { return s.deployment.CallOperators(ctx, http.MethodPost, path, nil, nil) })
 }
 
 // race plans two drains of the same workers and confirms both concurrently at two
@@ -73,8 +73,8 @@
 	var plans [2]describer.Plan
 	for i := range plans {
 		intent := describer.Intent{ID: args[i], Action: describer.DrainWorkers, Workers: args[3:], For: duration}
-		err := deployer.Until(ctx, func() error {
-			return s.deployment.Operate(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
+		err := deployer.Retry(ctx, func() error {
+			return s.deployment.CallOperators(ctx, http.MethodPost, "/v1/intents", intent, &plans[i])
 		})
 		if err != nil {
 			return err
@@ -86,7 +86,7 @@
 		entry := s.deployment.Domains[i].Entries[0]
 		operators.Go(func() {
 			url := "http://" + entry.Settings.Listen.Operators + "/v1/plans/" + p.ID + "/confirm"
-			if deployer.Exchange(ctx, client, http.MethodPost, url, nil, nil) == nil {
+			if deployer.CallJSON(ctx, client, http.MethodPost, url, nil, nil) == nil {
 				confirmed.Add(1)
 			}
 		})
--- a/internal/operator/rehearser/rehearser.go
+++ b/internal/operator/rehearser/rehearser.go
@@ -78,7 +78,7 @@
 	dir        string          // working directory
 	deployment *deployer.Deployment
 	watcher    *watcher
-	calls      *caller.Load
+	calls      *caller.Generator
 	plans      map[string]string // ids of plans, by the intent's id
 
 	mu         sync.Mutex
--- a/internal/operator/rehearser/watcher.go
+++ b/internal/operator/rehearser/watcher.go
@@ -33,7 +33,7 @@
 	for _, domain := range d.Domains {
 		for _, entry := range domain.Entries {
 			polls.Go(func() {
-				for deployer.Pause(ctx, watchInterval) {
+				for deployer.Sleep(ctx, watchInterval) {
 					w.poll(ctx, entry)
 				}
 			})
--- a/internal/standin/auditor/auditor_test.go
+++ b/internal/standin/auditor/auditor_test.go
@@ -13,39 +13,39 @@
 	var a *auditor.Auditor
 	BeforeEach(func() { a = auditor.New() })
 
-	It("accepts runs one after the other", func() {
-		a.Began(task, "w1")
-		a.Ended(task, "w1", auditor.Stopped)
-		a.Began(task, "w2")
-		a.Ended(task, "w2", auditor.Completed)
-		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Faults", BeEmpty())))
+	It("accepts runs that follow each other", func() {
+		a.RunStarted(task, "w1")
+		a.RunEnded(task, "w1", auditor.Stopped)
+		a.RunStarted(task, "w2")
+		a.RunEnded(task, "w2", auditor.Completed)
+		Expect(a.Report()).To(And(HaveField("Duplicated", 0), HaveField("Finished", 1), HaveField("Violations", BeEmpty())))
 	})
 
-	It("counts a task that is in two places once", func() {
-		a.Began(task, "w1")
-		a.Began(task, "w2")
-		a.Ended(task, "w1", auditor.Completed)
-		a.Ended(task, "w2", auditor.Completed)
+	It("counts a task that runs on two workers once", func() {
+		a.RunStarted(task, "w1")
+		a.RunStarted(task, "w2")
+		a.RunEnded(task, "w1", auditor.Completed)
+		a.RunEnded(task, "w2", auditor.Completed)
 		Expect(a.Report().Duplicated).To(Equal(1))
 	})
 
-	It("counts a task that begins after it completed, unless that is lost", func() {
-		a.Began(task, "w1")
-		a.Ended(task, "w1", auditor.Completed)
-		a.Forgot(task)
-		a.Began(task, "w2")
+	It("counts a task that starts after it completed, unless the completion was lost", func() {
+		a.RunStarted(task, "w1")
+		a.RunEnded(task, "w1", auditor.Completed)
+		a.CompletionLost(task)
+		a.RunStarted(task, "w2")
 		Expect(a.Report().Duplicated).To(BeZero())
-		a.Ended(task, "w2", auditor.Completed)
-		a.Began(task, "w3")
+		a.RunEnded(task, "w2", auditor.Completed)
+		a.RunStarted(task, "w3")
 		Expect(a.Report().Duplicated).To(Equal(1))
 	})
 
 	It("counts repeated requests unless they are idempotent", func() {
-		a.Executed("r", "w1", true)
-		a.Executed("r", "w1", true)
-		Expect(a.Report().Repeated).To(BeZero())
-		a.Executed("r", "w1", false)
-		Expect(a.Report().Repeated).To(Equal(1))
+		a.RequestExecuted("r", "w1", true)
+		a.RequestExecuted("r", "w1", true)
+		Expect(a.Report().RepeatedRequests).To(BeZero())
+		a.RequestExecuted("r", "w1", false)
+		Expect(a.Report().RepeatedRequests).To(Equal(1))
 		Expect(a.Executions("r")).To(Equal(3))
 	})
 })
--- a/internal/standin/balancer/balancer_test.go
+++ b/internal/standin/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("Balancer", func() {
-	It("uses ready entry hosts in turn", func() {
+	It("forwards to ready entry hosts in turn", func() {
 		var down atomic.Bool
 		var targets []balancer.Target
 		for i := range 2 {
@@ -28,24 +28,24 @@
 			}))
 			DeferCleanup(s.Close)
 			targets = append(targets, balancer.Target{
-				Address: strings.TrimPrefix(s.URL, "http://"), Check: s.URL + "/ready",
+				Address: strings.TrimPrefix(s.URL, "http://"), CheckURL: s.URL + "/ready",
 			})
 		}
 		b, err := balancer.New("127.0.0.1:0", targets, 10*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { b.Close() })
-		Eventually(b.Ready).Should(Equal(2))
+		Eventually(b.ReadyCount).Should(Equal(2))
 		ask := func() string {
 			c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			answer, err := c.Get("http://" + b.Address)
+			response, err := c.Get("http://" + b.Address)
 			Expect(err).NotTo(HaveOccurred())
-			defer answer.Body.Close()
-			body, _ := io.ReadAll(answer.Body)
+			defer response.Body.Close()
+			body, _ := io.ReadAll(response.Body)
 			return string(body)
 		}
 		Expect([]string{ask(), ask()}).To(ConsistOf("0", "1"))
 		down.Store(true)
-		Eventually(b.Ready).Should(Equal(1))
+		Eventually(b.ReadyCount).Should(Equal(1))
 		Expect([]string{ask(), ask()}).To(Equal([]string{"1", "1"}))
 	})
 })
