--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -85,15 +85,15 @@
 	}
 	s := w.choose(candidates, random)
 	if s == nil {
-		return Decision{Shard: candidates[0].Name, Age: candidates[0].Age, Reason: "limit of long-running tasks reached", RetryAfter: jitter(maxRetryAfter, random)}
+		return Decision{Shard: candidates[0].Name, Age: candidates[0].Age, Reason: "the limit of lasting tasks is reached", RetryAfter: jitter(maxRetryAfter, random)}
 	}
-	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end meets the objective"}
+	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end is within reach"}
 	limit := time.Duration(objectiveTolerance * float64(w.Objective))
 	if best.Predicted <= limit {
 		best.Accepted = true
 		return best
 	}
-	best.Reason = "predicted end misses the objective"
+	best.Reason = "predicted end is out of reach"
 	best.RetryAfter = jitter(min(max(best.Predicted-limit, minRetryAfter), maxRetryAfter), random)
 	return best
 }
--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -137,7 +137,7 @@
 	case e.inbox <- newEvent(id):
 	case <-ctx.Done():
 		return reducer.Reply{}, &classifier.Error{
-			Verdict: classifier.NotRun, Status: 503, Code: "busy", Message: "control plane is busy", RetryAfter: time.Second, Err: ctx.Err(),
+			Verdict: classifier.NotRun, Status: 503, Code: "busy", Message: "control is busy", RetryAfter: time.Second, Err: ctx.Err(),
 		}
 	case <-e.Done:
 		return reducer.Reply{}, &classifier.Error{
@@ -154,7 +154,7 @@
 	case <-e.Done:
 	}
 	return reducer.Reply{}, &classifier.Error{
-		Verdict: classifier.MayHaveRun, Status: 504, Code: "timeout", Message: "no reply from the control plane in time", RetryAfter: time.Second, Err: ctx.Err(),
+		Verdict: classifier.MayHaveRun, Status: 504, Code: "timeout", Message: "no answer from control in time", RetryAfter: time.Second, Err: ctx.Err(),
 	}
 }
 
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -115,11 +115,11 @@
 func (r refusal) String() string {
 	switch r.kind {
 	case blocked:
-		return "batch placement is blocked while services recover"
+		return "kept off while services recover"
 	case tooSlow:
 		return fmt.Sprintf("would slow %s by up to %.0f %%", r.service, 100*r.upper)
 	case nearTarget:
-		return fmt.Sprintf("would bring the latency of %s too close to its target", r.service)
+		return fmt.Sprintf("would bring %s too close to its target", r.service)
 	}
 	return ""
 }
--- a/internal/control/placer/preempt.go
+++ b/internal/control/placer/preempt.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if elapsed+p.Wait > UrgentStartLimit {
-			reason = fmt.Sprintf("preemption takes %s, more than is left of %s", p.Wait, UrgentStartLimit)
+			reason = fmt.Sprintf("making room takes %s, more than is left of %s", p.Wait, UrgentStartLimit)
 			continue
 		}
 		if best.Worker == "" || cheaper(p, best) {
--- a/internal/control/planner/apply.go
+++ b/internal/control/planner/apply.go
@@ -19,7 +19,7 @@
 	cfg.Services = slices.Clone(cfg.Services)
 	cfg.Drains = slices.Clone(cfg.Drains)
 	if intent.ID == "" {
-		return cfg, invalid("id", "intent has no id")
+		return cfg, invalid("id", "an intent needs an id")
 	}
 	switch intent.Action {
 	case describer.SetTarget:
@@ -39,7 +39,7 @@
 // setTarget sets the latency target of a service.
 func setTarget(cfg describer.Configuration, intent describer.Intent) (describer.Configuration, error) {
 	if intent.Target <= 0 {
-		return cfg, invalid("target", "latency target must be positive")
+		return cfg, invalid("target", "a latency target must be positive")
 	}
 	for i := range cfg.Services {
 		if cfg.Services[i].Name == intent.Service {
@@ -55,13 +55,13 @@
 func checkJob(cfg describer.Configuration, job *describer.Job) error {
 	switch {
 	case job == nil:
-		return invalid("job", "intent has no job to run")
+		return invalid("job", "run needs a job")
 	case job.ID == "":
-		return invalid("job.id", "job has no id")
+		return invalid("job.id", "a job needs an id")
 	case job.Tasks < 1:
-		return invalid("job.tasks", "job must have at least 1 task")
+		return invalid("job.tasks", "a job has at least 1 task")
 	case !job.Declared.IsValid():
-		return invalid("job.declared", "declared resources must not be negative or all zero")
+		return invalid("job.declared", "a task must declare what it needs")
 	}
 	isTeam := func(t describer.Team) bool { return t.Name == job.Team }
 	if !slices.ContainsFunc(cfg.Teams, isTeam) {
@@ -73,10 +73,10 @@
 // addDrain adds a drain of the intent's workers.
 func addDrain(cfg describer.Configuration, intent describer.Intent, now time.Time) (describer.Configuration, error) {
 	if len(intent.Workers) == 0 {
-		return cfg, invalid("workers", "drain names no workers")
+		return cfg, invalid("workers", "a drain needs workers")
 	}
 	if intent.For < 0 {
-		return cfg, invalid("for", "time of the drain must not be negative")
+		return cfg, invalid("for", "the time of a drain must not be negative")
 	}
 	if findDrain(cfg, intent.ID) != nil {
 		return cfg, nil
@@ -85,7 +85,7 @@
 	for i := range cfg.Drains {
 		for _, worker := range unrestored(&cfg.Drains[i]) {
 			if slices.Contains(workers, worker) {
-				return cfg, conflict("workers", worker+" is already in drain "+cfg.Drains[i].ID)
+				return cfg, conflict("workers", worker+" is in drain "+cfg.Drains[i].ID)
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 func cancel(cfg describer.Configuration, intent describer.Intent) (describer.Configuration, error) {
 	if intent.Drain == "" {
 		if intent.Job == nil || intent.Job.ID == "" {
-			return cfg, invalid("drain", "intent names no drain or job to cancel")
+			return cfg, invalid("drain", "cancel needs a drain or a job")
 		}
 		return cfg, nil
 	}
--- a/internal/control/planner/merge.go
+++ b/internal/control/planner/merge.go
@@ -13,14 +13,14 @@
 // that the intent names.
 func Merge(parts []describer.Plan) (describer.Plan, error) {
 	if len(parts) == 0 {
-		return describer.Plan{}, conflict("", "no shard owner replied")
+		return describer.Plan{}, conflict("", "no owner of a shard answered")
 	}
 	out := parts[0]
 	out.Steps = nil
 	out.Expected = describer.Expectation{}
 	for _, part := range parts {
 		if part.Revision != out.Revision {
-			return describer.Plan{}, conflict("", "the shard owners have different configurations; plan again")
+			return describer.Plan{}, conflict("", "the owners know different configurations; plan again")
 		}
 		out.Steps = append(out.Steps, part.Steps...)
 		out.Expected.Latency += part.Expected.Latency / float64(len(parts))
@@ -30,7 +30,7 @@
 	out.Steps = unique(out.Steps)
 	for _, worker := range out.Intent.Workers {
 		if !mentions(out.Steps, worker) {
-			return describer.Plan{}, unknown("workers", "unknown worker "+worker+", or its shard has no owner")
+			return describer.Plan{}, unknown("workers", "unknown worker "+worker+", or its shard has no owner now")
 		}
 	}
 	return out, nil
--- a/internal/control/planner/step.go
+++ b/internal/control/planner/step.go
@@ -148,7 +148,7 @@
 	}
 	if waiting > 0 {
 		d.add(describer.Step{
-			Verb: describer.Stop, Task: taskCount(d.intent.Job.ID, waiting), Reason: "waits to run and will not start",
+			Verb: describer.Stop, Task: taskCount(d.intent.Job.ID, waiting), Reason: "waits to run, and will not",
 		})
 	}
 }
--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -135,7 +135,7 @@
 		return
 	}
 	if pending > 0 && w.listed {
-		w.restoreHold = fmt.Sprintf("%d drained tasks are pending", pending)
+		w.restoreHold = fmt.Sprintf("%d drained tasks wait for a place", pending)
 		return
 	}
 	w.restoredBatch = sh.journal.nextBatch()
--- a/internal/control/reducer/journal.go
+++ b/internal/control/reducer/journal.go
@@ -213,7 +213,7 @@
 		}
 		s.refuse(f.request, refusal{
 			code: "owner-lost", verdict: verdict, retry: ownerLostRetry,
-			message: "this daemon no longer owns the shard; retry the request",
+			message: "the shard has a new owner; ask again",
 		})
 	}
 }
--- a/internal/control/reducer/place.go
+++ b/internal/control/reducer/place.go
@@ -82,7 +82,7 @@
 	}
 	after := c.team.used.Add(sh.wantedGrant(c.task))
 	if !isWithinQuota(after, sh.shardQuota(c.config)) && !c.team.used.IsZero() {
-		c.task.pendingReason = "team quota exhausted"
+		c.task.pendingReason = "the team's quota is used up"
 		c.task = nil
 		return
 	}
--- a/internal/control/reducer/reservation.go
+++ b/internal/control/reducer/reservation.go
@@ -35,7 +35,7 @@
 		t.pendingReason = r.Reason
 		return
 	}
-	t.pendingReason = "freeing capacity on " + w.name
+	t.pendingReason = "room is being made on " + w.name
 	for _, s := range r.Throttle {
 		if victim := sh.view.task(s.Task); victim.startPhase == startConfirmed && victim.stop == nil {
 			sh.shrink(victim, s.To)
--- a/internal/control/reducer/submit.go
+++ b/internal/control/reducer/submit.go
@@ -59,14 +59,14 @@
 func notOwner() refusal {
 	return refusal{
 		code: "not-owner", verdict: classifier.NotRun, retry: ownerRetry,
-		message: "this daemon does not own the shard",
+		message: "this daemon doesn't own the shard",
 	}
 }
 
 func storeUnavailable() refusal {
 	return refusal{
 		code: "store-unavailable", verdict: classifier.NotRun, retry: storeRetry,
-		message: "the store is unreachable; nothing was recorded",
+		message: "the store doesn't answer and nothing was recorded",
 	}
 }
 
@@ -82,7 +82,7 @@
 	case sh.journal.isFull():
 		s.refuse(request, refusal{
 			code: "overloaded", verdict: classifier.NotRun, retry: overloadRetry,
-			message: "too many records are waiting to be written to the store",
+			message: "too many records wait for the store",
 		})
 	default:
 		return sh
@@ -119,7 +119,7 @@
 	if !isSameJob(&e.Job, j.Job) {
 		sh.state.refuse(e.Request, refusal{
 			status: http.StatusConflict, code: "conflict", field: "id",
-			verdict: classifier.NotRun, message: "a different job with this id exists",
+			verdict: classifier.NotRun, message: "another job has this id",
 		})
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 	s.refuse(request, refusal{
 		status: http.StatusNotFound, code: "unknown-job", field: "id",
-		verdict: classifier.NotRun, message: "unknown job id",
+		verdict: classifier.NotRun, message: "no job has this id",
 	})
 	return nil, nil
 }
@@ -215,28 +215,28 @@
 	var field, message string
 	switch {
 	case j.ID == "" || len(j.ID) > maxID:
-		field, message = "id", "the id must be 1 to 200 bytes long"
+		field, message = "id", "the id must have 1 to 200 bytes"
 	case j.Team == "":
-		field, message = "team", "the team must not be empty"
+		field, message = "team", "a team is needed"
 	case s.config.Revision == 0:
 		return refusal{
 			code: "not-ready", verdict: classifier.NotRun, retry: ownerRetry,
-			message: "the daemon has no configuration yet",
+			message: "no configuration is known yet",
 		}, false
 	case !s.hasTeam(j.Team):
-		field, message = "team", "the team is not in the configuration"
+		field, message = "team", "the team is unknown"
 	case j.Kind > describer.LatencyCritical:
-		field, message = "kind", "unknown kind of job"
+		field, message = "kind", "the kind is unknown"
 	case j.Priority > describer.Urgent:
-		field, message = "priority", "unknown priority"
+		field, message = "priority", "the priority is unknown"
 	case j.Tasks < 1 || j.Tasks > maxTasks:
-		field, message = "tasks", "a job must have 1 to 10000 tasks"
+		field, message = "tasks", "a job has 1 to 10000 tasks"
 	case !j.Declared.IsValid():
-		field, message = "declared", "the declared resources must not be negative or all zero"
+		field, message = "declared", "the declared resources must be positive"
 	case j.RunTime < 0:
-		field, message = "runtime", "the run time must not be negative"
+		field, message = "runtime", "the run time can't be negative"
 	case len(j.Payload) > maxPayload:
-		field, message = "payload", "the payload must not exceed 64 KiB"
+		field, message = "payload", "the payload is larger than 64 KiB"
 	default:
 		return refusal{}, true
 	}
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -180,13 +180,13 @@
 	case drained && d.state == describer.Draining:
 		return "draining for " + d.id
 	case !w.synced:
-		return "not synced yet"
+		return "no inventory yet"
 	case w.missedSyncs >= maxMissedSyncs:
-		return "not answering"
+		return "no answer"
 	case sh.view.quarantined[w.name] != "" && !w.probeAllowed:
 		return sh.view.quarantined[w.name]
 	case sh.state.now.Before(w.pausedUntil):
-		return "recently refused a start"
+		return "refused a start"
 	}
 	return ""
 }
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -98,7 +98,7 @@
 	}
 	if silence := in.Now.Sub(in.Worker.LastInventory); silence > o.SilenceTimeout {
 		in.State.StepSince = in.Now // the step's time does not pass while the worker does not respond
-		return Decision{BlockedBy: fmt.Sprintf("no response from the worker for %s", silence.Round(time.Second))}
+		return Decision{BlockedBy: fmt.Sprintf("no answer from the worker for %s", silence.Round(time.Second))}
 	}
 	if in.State.StepSince.IsZero() {
 		in.State.StepSince = in.Now
@@ -128,7 +128,7 @@
 			service, 100*ratio, 100*o.ResumeBelow)
 	}
 	if s.Step == len(o.Steps)-1 && in.Returning > 0 {
-		return fmt.Sprintf("%d drained tasks have not returned yet", in.Returning)
+		return fmt.Sprintf("%d tasks wait to come back", in.Returning)
 	}
 	return ""
 }
