--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -49,7 +49,7 @@
 	}
 	o.state = dispatcher.New(dispatcher.Options{
 		Name: spec.name, Service: spec.service, Domain: spec.domain,
-		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.Leftovers,
+		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.WorkerLeases,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
 		PollWait:    pollWait,
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -68,10 +68,10 @@
 	Workers []string
 
 	// Released reports whether the previous owner released the shard in a
-	// planned stop. Leftovers then says how long leases may still be valid on
+	// planned stop. WorkerLeases then says how long leases may still be valid on
 	// each of Workers.
-	Released  bool
-	Leftovers []recorder.WorkerLease
+	Released     bool
+	WorkerLeases []recorder.WorkerLease
 
 	store     Store
 	writeLock chan struct{} // holds one value while a write is in progress
@@ -117,8 +117,8 @@
 	}
 	f.revision = item.Revision
 	f.Epoch = previous.Epoch + 1
-	f.Workers, f.Released, f.Leftovers = previous.Workers, previous.Released, previous.WorkerLeases
-	for _, left := range f.Leftovers {
+	f.Workers, f.Released, f.WorkerLeases = previous.Workers, previous.Released, previous.WorkerLeases
+	for _, left := range f.WorkerLeases {
 		f.Workers = append(f.Workers, left.Worker)
 	}
 	ownerRevision, err := f.replaceableRevision(ctx, owner.Key)
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -104,7 +104,7 @@
 		g.Expect(first.Release(ctx, key, left)).To(Succeed())
 		g.Expect(second.Claim(ctx, ownerWrite(ctx, g, client, "b"))).To(Succeed())
 		g.Expect(second.Released).To(BeTrue())
-		g.Expect(second.Leftovers).To(Equal(left))
+		g.Expect(second.WorkerLeases).To(Equal(left))
 		g.Expect(second.Workers).To(Equal([]string{"w1"}))
 		time.Sleep(4 * time.Second) // the second owner's lease expires
 		g.Expect(third.Claim(ctx, ownerWrite(ctx, g, client, "c"))).To(Succeed())
