--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -61,7 +61,7 @@
 	ReservedWork   int64         // millicore-seconds of finite tasks that reserve capacity
 	FillerWork     int64         // millicore-seconds of fillers
 	LongRunningCPU int64         // millicores that long-running tasks reserve
-	Chain          time.Duration // estimated run time of the longest chain of dependent steps
+	CriticalPath   time.Duration // estimated run time of the longest chain of dependent steps
 	Objective      time.Duration // wanted time from acceptance to the end
 	NeedsRack      bool          // whether the job prefers the rack that holds its data
 }
@@ -163,11 +163,11 @@
 	if w.LongRunningCPU > s.Free.CPU {
 		wait += longRunningWait * time.Duration(w.LongRunningCPU-s.Free.CPU) / time.Duration(max(w.LongRunningCPU, 1))
 	}
-	chain := w.Chain
+	criticalPath := w.CriticalPath
 	if w.NeedsRack && !s.HasRack {
-		chain *= 2 // data is read from another rack
+		criticalPath *= 2 // data is read from another rack
 	}
-	predicted := wait + chain + s.RoundTrip
+	predicted := wait + criticalPath + s.RoundTrip
 	if !s.SameDomain {
 		predicted += otherDomainPenalty
 	}
--- a/internal/control/admitter/admitter_test.go
+++ b/internal/control/admitter/admitter_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-var short = Work{ReservedWork: 10000, Chain: time.Second, Objective: 2500 * time.Millisecond}
+var short = Work{ReservedWork: 10000, CriticalPath: time.Second, Objective: 2500 * time.Millisecond}
 
 var _ = Describe("Decide", func() {
 	It("accepts while there is room", func() {
@@ -115,7 +115,7 @@
 			backlog = max(0, backlog-rate/10)
 			s := shard("a", 0, backlog)
 			s.FiniteCPU = rate
-			job := Work{ReservedWork: rate / 5, Chain: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
+			job := Work{ReservedWork: rate / 5, CriticalPath: 200 * time.Millisecond, Objective: 1400 * time.Millisecond}
 			if Decide(job, []Shard{s}, random()).Accepted {
 				accepted++
 				backlog += job.ReservedWork
--- a/internal/job/receiver/admission.go
+++ b/internal/job/receiver/admission.go
@@ -102,8 +102,8 @@
 
 // estimateWork returns the work in a job and its completion target.
 func estimateWork(queue specifier.Queue, job *specifier.Job) admitter.Work {
-	w := admitter.Work{Chain: job.CriticalPath()}
-	w.Objective = time.Duration(float64(w.Chain)*queue.Slack) + queue.Completion
+	w := admitter.Work{CriticalPath: job.CriticalPath()}
+	w.Objective = time.Duration(float64(w.CriticalPath)*queue.Slack) + queue.Completion
 	for _, step := range job.Steps {
 		cpu := step.Needs.CPU * int64(step.Count)
 		work := cpu * int64(step.Estimate) / int64(time.Second) * int64(job.Occurrences())
