--- a/internal/control/reducer/drain.go
+++ b/internal/control/reducer/drain.go
@@ -97,7 +97,7 @@
 // stopDrainedRuns stops the worker's runs with a checkpoint, at most maxStops at a time.
 func (sh *shard) stopDrainedRuns(w *worker) {
 	w.restoreState = restorer.State{}
-	w.restoreHold = ""
+	w.restoreBlockedBy = ""
 	sh.updateClosed(w)
 	for _, t := range slices.Clone(w.runs) {
 		if w.pendingStops >= maxStops {
@@ -128,14 +128,14 @@
 		State:     &w.restoreState,
 		Options:   sh.state.policies.Restoration,
 	})
-	w.restoreHold = decision.BlockedBy
+	w.restoreBlockedBy = decision.BlockedBy
 	sh.setBatchLimit(w, !decision.Done, decision.Limit)
 	sh.updateClosed(w)
 	if !decision.Done {
 		return
 	}
 	if pending > 0 && w.listed {
-		w.restoreHold = fmt.Sprintf("%d drained tasks wait for a place", pending)
+		w.restoreBlockedBy = fmt.Sprintf("%d drained tasks wait for a place", pending)
 		return
 	}
 	w.restoredBatch = sh.journal.nextBatch()
--- a/internal/control/reducer/effect.go
+++ b/internal/control/reducer/effect.go
@@ -134,12 +134,12 @@
 
 // WorkerStatus describes one worker of an owned shard.
 type WorkerStatus struct {
-	Worker       string              `json:"worker"`
-	Capacity     describer.Resources `json:"capacity"`
-	Granted      describer.Resources `json:"granted"`
-	Tasks        int                 `json:"tasks"`           // started tasks
-	ClosedReason string              `json:"aside,omitempty"` // why no tasks are placed on the worker; empty if they are
-	Drain        string              `json:"drain,omitempty"` // id and state of its drain
-	RestoreHold  string              `json:"held,omitempty"`  // what delays its restore
-	Interference []string            `json:"why,omitempty"`   // explained interference estimates of its services
+	Worker           string              `json:"worker"`
+	Capacity         describer.Resources `json:"capacity"`
+	Granted          describer.Resources `json:"granted"`
+	Tasks            int                 `json:"tasks"`           // started tasks
+	ClosedReason     string              `json:"aside,omitempty"` // why no tasks are placed on the worker; empty if they are
+	Drain            string              `json:"drain,omitempty"` // id and state of its drain
+	RestoreBlockedBy string              `json:"held,omitempty"`  // what delays its restore
+	Interference     []string            `json:"why,omitempty"`   // explained interference estimates of its services
 }
--- a/internal/control/reducer/status.go
+++ b/internal/control/reducer/status.go
@@ -109,12 +109,12 @@
 // workerStatus describes one worker, with its interference estimates if explain is set.
 func (sh *shard) workerStatus(w *worker, explain bool) WorkerStatus {
 	out := WorkerStatus{
-		Worker:       w.name,
-		Capacity:     w.account.Host.Capacity,
-		Granted:      w.account.Granted,
-		Tasks:        len(w.runs),
-		ClosedReason: sh.closedReason(w),
-		RestoreHold:  w.restoreHold,
+		Worker:           w.name,
+		Capacity:         w.account.Host.Capacity,
+		Granted:          w.account.Granted,
+		Tasks:            len(w.runs),
+		ClosedReason:     sh.closedReason(w),
+		RestoreBlockedBy: w.restoreBlockedBy,
 	}
 	if d, ok := sh.state.drains[w.name]; ok {
 		out.Drain = d.id + " " + string(d.state)
--- a/internal/control/reducer/worker.go
+++ b/internal/control/reducer/worker.go
@@ -42,15 +42,15 @@
 	ackTokens       []describer.Token  // tokens of the runs in ackTasks
 	pausedUntil     time.Time          // nothing is placed before this time
 
-	failureStreak   failureStreak
-	probeAllowed    bool // whether one task may be placed in spite of the quarantine
-	restoreState    restorer.State
-	restoreHold     string    // what delays its restore; empty if nothing does
-	restoredBatch   int64     // batch of the record that its restore is complete
-	resizedAt       time.Time // last time that grants were adapted to use
-	interference    float64   // interference in the latest routing table
-	escalationState escalator.State
-	missingSince    time.Time // time from which the host list lacks it; zero if it is listed
+	failureStreak    failureStreak
+	probeAllowed     bool // whether one task may be placed in spite of the quarantine
+	restoreState     restorer.State
+	restoreBlockedBy string    // what delays its restore; empty if nothing does
+	restoredBatch    int64     // batch of the record that its restore is complete
+	resizedAt        time.Time // last time that grants were adapted to use
+	interference     float64   // interference in the latest routing table
+	escalationState  escalator.State
+	missingSince     time.Time // time from which the host list lacks it; zero if it is listed
 }
 
 func (s *State) updateWorkers() {
@@ -155,7 +155,7 @@
 func (sh *shard) updateClosed(w *worker) {
 	if _, drained := sh.state.drains[w.name]; !drained {
 		sh.setBatchLimit(w, false, 0)
-		w.restoreHold = ""
+		w.restoreBlockedBy = ""
 	}
 	closed := sh.closedReason(w) != ""
 	if w.account.Closed && !closed {
--- a/internal/operator/commander/status.go
+++ b/internal/operator/commander/status.go
@@ -54,7 +54,7 @@
 func printWorker(w io.Writer, s reducer.WorkerStatus) {
 	fmt.Fprintf(w, "  worker %s\t%d tasks\tcpu %d of %d m\tmemory %d of %d MiB",
 		s.Worker, s.Tasks, s.Granted.CPU, s.Capacity.CPU, s.Granted.Memory, s.Capacity.Memory)
-	for _, part := range []string{s.Drain, s.RestoreHold, s.ClosedReason} {
+	for _, part := range []string{s.Drain, s.RestoreBlockedBy, s.ClosedReason} {
 		if part != "" {
 			fmt.Fprintf(w, "\t%s", part)
 		}
