--- a/internal/control/evaluator/evaluator.go
+++ b/internal/control/evaluator/evaluator.go
@@ -42,7 +42,7 @@
 // Options choose what is simulated. Zero fields take defaults.
 type Options struct {
 	Seeds       int          // number of seeds; default 10
-	First       uint64       // first seed
+	FirstSeed   uint64       // first seed
 	Parallel    int          // maximum number of concurrent simulations; default 2
 	Deployments []Deployment // default: all of Deployments
 	Variants    []Variant    // default: all of Variants
@@ -103,7 +103,7 @@
 	for i := range outcomes {
 		wg.Go(func() {
 			slots <- struct{}{}
-			outcomes[i] = simulate(d, v, o.First+uint64(i))
+			outcomes[i] = simulate(d, v, o.FirstSeed+uint64(i))
 			<-slots
 		})
 	}
--- a/internal/operator/commander/bench.go
+++ b/internal/operator/commander/bench.go
@@ -34,7 +34,7 @@
 		},
 	}
 	cmd.Flags().IntVar(&options.Seeds, "seeds", 10, "number of mornings")
-	cmd.Flags().Uint64Var(&options.First, "first", 1, "first seed")
+	cmd.Flags().Uint64Var(&options.FirstSeed, "first", 1, "first seed")
 	cmd.Flags().IntVar(&options.Parallel, "parallel", 2, "simulations at a time")
 	return cmd
 }
