--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -15,14 +15,14 @@
 	ticketMargin     = 300 * time.Millisecond // a ticket isn't used any more this long before it expires
 )
 
-// AskAdvice requests tickets that allow workers to run a step. The answer is
+// RequestAdvice requests tickets that allow workers to run a step. The answer is
 // AdviceAnswered.
-type AskAdvice struct {
+type RequestAdvice struct {
 	Step    specifier.TaskID // id of the step's first task
 	Workers []specifier.Worker
 }
 
-// AdviceAnswered is the outcome of AskAdvice. Requested workers without a ticket
+// AdviceAnswered is the outcome of RequestAdvice. Requested workers without a ticket
 // must not run the step.
 type AdviceAnswered struct {
 	Step     specifier.TaskID
@@ -38,7 +38,7 @@
 	Text   string
 }
 
-func (AskAdvice) effect()     {}
+func (RequestAdvice) effect() {}
 func (AdviceAnswered) event() {}
 
 // advice is what is known about which workers may run a step.
@@ -78,7 +78,7 @@
 		return
 	}
 	st.advice.asking = true
-	s.emit(AskAdvice{Step: st.tasks[0].id(), Workers: ask})
+	s.emit(RequestAdvice{Step: st.tasks[0].id(), Workers: ask})
 	s.emit(Log{Message: "advice requested", Job: st.job.spec.ID, Task: st.tasks[0].id().StepID()})
 }
 
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -212,7 +212,7 @@
 		o.giveUp("worker " + e.Worker + " has seen a higher fencing token")
 	case dispatcher.Publish:
 		o.publish(ctx, e.Load)
-	case dispatcher.AskAdvice:
+	case dispatcher.RequestAdvice:
 		o.calls.Go(func() { o.post(o.manager.advise(ctx, e)) })
 	case dispatcher.Commit:
 		o.calls.Go(func() { o.commit(ctx, e) })
@@ -224,7 +224,7 @@
 }
 
 // advise calls the adviser, one call at a time.
-func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.AdviceAnswered {
+func (m *Manager) advise(ctx context.Context, e dispatcher.RequestAdvice) dispatcher.AdviceAnswered {
 	failed := dispatcher.AdviceAnswered{Step: e.Step, Failed: true}
 	if m.options.Adviser == nil {
 		return failed
