--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -25,11 +25,11 @@
 // AdviceAnswered is the outcome of RequestAdvice. Requested workers without a ticket
 // must not run the step.
 type AdviceAnswered struct {
-	Step     specifier.TaskID
-	Asked    []specifier.Worker
-	Tickets  []Ticket
-	Validity time.Duration
-	Failed   bool // no answer; the request has to be repeated
+	Step      specifier.TaskID
+	Requested []specifier.Worker
+	Tickets   []Ticket
+	Validity  time.Duration
+	Failed    bool // no answer; the request has to be repeated
 }
 
 // Ticket allows one incarnation of a worker to run a step.
@@ -125,7 +125,7 @@
 	if st.advice.verdicts == nil {
 		st.advice.verdicts = make(map[string]verdict)
 	}
-	for _, w := range e.Asked {
+	for _, w := range e.Requested {
 		v := verdict{incarnation: w.Incarnation}
 		for _, t := range e.Tickets {
 			if t.Worker == w.ID {
