--- a/internal/control/reducer/policy.go
+++ b/internal/control/reducer/policy.go
@@ -14,7 +14,7 @@
 
 // Policies are the replaceable parts of the decisions. Zero values have defaults.
 type Policies struct {
-	Placement   placer.Policy    // chooses workers for tasks; the default is placer.Default with Learner
+	Placement   placer.Policy    // chooses workers for tasks; the default is placer.InterferenceAware with Learner
 	Learner     *learner.Learner // estimates how batch tasks slow down services
 	Escalation  escalator.Options
 	Restoration restorer.Options
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -10,8 +10,8 @@
 // fenced owner fail, however long it was paused.
 //
 //	h := holder.New(options, store, sink)
-//	h.Do(reducer.Claim{Shard: "bne-1"}) // sink receives ShardClaimed or ClaimFailed
-//	h.Do(reducer.Append{Shard: "bne-1", Epoch: 4, Batch: 1, Records: records})
+//	h.Do(reducer.ClaimShard{Shard: "bne-1"}) // sink receives ShardClaimed or ClaimFailed
+//	h.Do(reducer.AppendRecords{Shard: "bne-1", Epoch: 4, Batch: 1, Records: records})
 //
 // # Store outage
 //
@@ -140,8 +140,8 @@
 	return h
 }
 
-// Do starts to carry out a Claim, Release, Append or SaveSnapshot effect, and
-// returns false for any other. It does not wait for the store.
+// Do starts to carry out a ClaimShard, ReleaseShard, AppendRecords or SaveSnapshot
+// effect, and returns false for any other. It does not wait for the store.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
 	case reducer.ClaimShard:
