--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -93,7 +93,7 @@
 	Started                    // may be running on Task.Worker under Task.Token
 	Done                       // completed, with a durable result
 	Cancelled                  // cancelled; Task.MayHaveRun tells whether it may have run
-	Failed                     // given up, for the reason in Task.Reason
+	Failed                     // abandoned, for the reason in Task.Reason
 )
 
 // String returns the name of the state.
--- a/internal/control/describer/record.go
+++ b/internal/control/describer/record.go
@@ -17,7 +17,7 @@
 	TaskReleased      RecordKind = "release"  // Task, Token, Checkpoint, Reason, DrainedFrom; the run has ended for certain, the task waits to resume
 	TaskFinished      RecordKind = "finish"   // Task, Token, Result
 	TaskFailed        RecordKind = "fail"     // Task, Token, Reason; a run failed
-	TaskAbandoned     RecordKind = "aside"    // Task, Reason; the task is given up and fails for good
+	TaskAbandoned     RecordKind = "aside"    // Task, Reason; the task is abandoned and fails for good
 	WorkerQuarantined RecordKind = "suspect"  // Worker, Reason; nothing is placed on the worker
 	WorkerReinstated  RecordKind = "trust"    // Worker; ends a quarantine
 	DrainRestored     RecordKind = "restored" // Worker, Key (id of the drain)
--- a/internal/control/executor/effects.go
+++ b/internal/control/executor/effects.go
@@ -87,7 +87,7 @@
 }
 
 // throttle asks a worker to change the processor grant of a run. It has no
-// outcome event, since the inventories show the grant in force.
+// outcome event, since the inventories show the grant in effect.
 func (e *Executor) throttle(ctx context.Context, f reducer.ThrottleTask) reducer.Event {
 	if err := e.options.Worker.Throttle(ctx, f.Address, f.Throttle); err != nil {
 		e.options.Log.Info().Err(err).Stringer("task", f.Throttle.Task).Str("worker", f.Worker).Msg("task throttling failed")
--- a/internal/control/pacer/pacer.go
+++ b/internal/control/pacer/pacer.go
@@ -5,11 +5,11 @@
 // Fillers are best-effort tasks that take the processor time that serving
 // tasks leave unused. A few pairs of images interfere with each other by
 // orders of magnitude, most hardly at all, and only the tail latency of the
-// last half second shows it. [Decide] therefore compares that tail with the
+// last half second shows it. [Decide] therefore compares that latency with the
 // target. When it is too high, the fillers with the highest estimated
 // interference are slowed first, by as much as the estimate requires, and the
-// others keep their pace. When the tail has been over its target for too long,
-// because the estimates are wrong, every filler on the worker is stopped.
+// others keep their pace. When the latency has been over its target for too
+// long, because the estimates are wrong, every filler on the worker is stopped.
 package pacer
 
 import (
@@ -22,42 +22,42 @@
 )
 
 const (
-	slowAbove        = 0.95 // tail latency as a share of the target above which paces are reduced
-	tailGoal         = 0.82 // share of the target that paces are adjusted towards
-	raiseBelow       = 0.75 // share of the target below which paces may be raised
-	raiseShare       = 0.5  // share of the headroom up to tailGoal that one raise may use
+	slowAbove        = 0.95 // latency ratio above which paces are reduced
+	goalRatio        = 0.82 // latency ratio that paces are adjusted towards
+	raiseBelow       = 0.75 // latency ratio below which paces may be raised
+	raiseShare       = 0.5  // share of the headroom up to goalRatio that one raise may use
 	minPace          = 8    // percent; a filler with a lower pace is stopped
 	maxRaise         = 34   // percent; largest raise of one filler in one decision
 	fullPace         = 100  // percent
-	mildInterference = 0.05 // increase of the log tail at full pace below which a filler is not slowed
+	mildInterference = 0.05 // increase of the log tail latency at full pace below which a filler is not slowed
 )
 
-// stopAllAfter is how long a tail may be over its target before every filler is
-// stopped.
+// stopAllAfter is how long a tail latency may be over its target before every
+// filler is stopped.
 const stopAllAfter = 1500 * time.Millisecond
 
 // Filler is one filler on a worker.
 type Filler struct {
 	Pace         int             // percent of full speed, changed by Decide
-	Interference float64         // estimated increase of the logarithm of the highest tail at full pace
+	Interference float64         // estimated increase of the highest log tail latency at full pace
 	Lateness     ranker.Lateness // late fillers are slowed before those that can still end in time
 }
 
-// Decide sets the paces of one worker's fillers. tail is the highest tail
-// latency of its serving tasks as a share of the target, or 0 if it has none.
-// over is how long a tail has been over its target.
-func Decide(tail float64, over time.Duration, fillers []Filler) {
+// Decide sets the paces of one worker's fillers. latencyRatio is the highest
+// ratio of a tail latency of its serving tasks to the target, or 0 if it has no
+// such tasks. over is how long a tail latency has been over its target.
+func Decide(latencyRatio float64, over time.Duration, fillers []Filler) {
 	switch {
 	case over >= stopAllAfter:
 		for i := range fillers {
 			fillers[i].Pace = 0
 		}
-	case tail > slowAbove:
-		slow(math.Log(tail/tailGoal), fillers)
-	case tail < raiseBelow:
+	case latencyRatio > slowAbove:
+		slow(math.Log(latencyRatio/goalRatio), fillers)
+	case latencyRatio < raiseBelow:
 		headroom := math.Inf(1)
-		if tail > 0 {
-			headroom = math.Log(tailGoal/tail) * raiseShare
+		if latencyRatio > 0 {
+			headroom = math.Log(goalRatio/latencyRatio) * raiseShare
 		}
 		raise(headroom, fillers)
 	}
@@ -88,7 +88,8 @@
 	return 0
 }
 
-// slow reduces paces until they are expected to lower the log tail by excess.
+// slow reduces paces until they are expected to lower the log tail latency by
+// excess.
 func slow(excess float64, fillers []Filler) {
 	for _, i := range slowdownOrder(fillers) {
 		f := &fillers[i]
@@ -105,8 +106,8 @@
 	}
 }
 
-// raise raises paces until they are expected to increase the log tail by
-// headroom, in the reverse order of slow.
+// raise raises paces until they are expected to increase the log tail latency
+// by headroom, in the reverse order of slow.
 func raise(headroom float64, fillers []Filler) {
 	sorted := slowdownOrder(fillers)
 	slices.Reverse(sorted)
--- a/internal/control/pacer/pacer_test.go
+++ b/internal/control/pacer/pacer_test.go
@@ -23,18 +23,18 @@
 	steps := seconds * int(time.Second/step)
 	for i := range steps {
 		base := 0.5 * (1 + swing*math.Sin(2*math.Pi*float64(i)/20))
-		tail := base
+		ratio := base
 		for _, f := range fillers {
-			tail *= math.Exp(f.Interference * float64(f.Pace) / fullPace)
+			ratio *= math.Exp(f.Interference * float64(f.Pace) / fullPace)
 			used += float64(f.Pace) / fullPace / float64(steps*len(fillers))
 		}
-		if tail > 1 {
+		if ratio > 1 {
 			over += step
 		} else {
 			over = 0
 		}
 		longest = max(longest, over)
-		Decide(tail, over, fillers)
+		Decide(ratio, over, fillers)
 	}
 	return longest, used
 }
@@ -64,7 +64,7 @@
 		Expect(fillers[1].Pace).To(BeNumerically("<", 100))
 	})
 
-	It("stops every filler when a tail stays over its target", func() {
+	It("stops every filler when a tail latency stays over its target", func() {
 		fillers := []Filler{{Pace: 100, Interference: 0}, {Pace: 50, Interference: 0}}
 		Decide(1.3, stopAllAfter, fillers)
 		Expect(fillers).To(HaveEach(HaveField("Pace", 0)))
--- a/internal/control/placer/preempt.go
+++ b/internal/control/placer/preempt.go
@@ -16,7 +16,7 @@
 
 // Costs are the expected times of a preemption. Zero fields take defaults.
 type Costs struct {
-	Throttle      time.Duration // time until a lower processor grant is in force
+	Throttle      time.Duration // time until a lower processor grant takes effect
 	Checkpoint    time.Duration // time until a run has saved its progress and ended
 	Start         time.Duration // time from the decision until the task runs, with the durable record
 	ThrottleShare float64       // share of its grant that a throttled task keeps
--- a/internal/control/reducer/daemon_test.go
+++ b/internal/control/reducer/daemon_test.go
@@ -38,25 +38,25 @@
 	d.revision = 0
 	d.reduce(Tick{Now: d.sim.now})
 	d.reduce(HostsReceived{Hosts: d.sim.hosts()})
-	life := d.incarnation
-	d.every(life, 250*time.Millisecond, func() { d.reduce(Tick{Now: d.sim.now}) })
-	d.every(life, time.Second, d.refreshViews)
-	d.every(life, 2*time.Second, d.renewShardLeases)
+	incarnation := d.incarnation
+	d.every(incarnation, 250*time.Millisecond, func() { d.reduce(Tick{Now: d.sim.now}) })
+	d.every(incarnation, time.Second, d.refreshViews)
+	d.every(incarnation, 2*time.Second, d.renewShardLeases)
 }
 
 func (d *daemon) kill() { d.alive = false; d.incarnation++ }
 
 // every calls do at an interval for as long as the incarnation lasts, except while the
 // daemon is paused.
-func (d *daemon) every(life int, wait time.Duration, do func()) {
+func (d *daemon) every(incarnation int, wait time.Duration, do func()) {
 	d.sim.after(wait, func() {
-		if d.incarnation != life {
+		if d.incarnation != incarnation {
 			return
 		}
 		if !d.paused {
 			do()
 		}
-		d.every(life, wait, do)
+		d.every(incarnation, wait, do)
 	})
 }
 
@@ -88,9 +88,9 @@
 
 // later calls do after a wait unless the incarnation has ended by then.
 func (d *daemon) later(wait time.Duration, do func()) {
-	life := d.incarnation
+	incarnation := d.incarnation
 	d.sim.after(wait, func() {
-		if d.incarnation == life {
+		if d.incarnation == incarnation {
 			do()
 		}
 	})
--- a/internal/control/reducer/property_test.go
+++ b/internal/control/reducer/property_test.go
@@ -51,9 +51,9 @@
 		d := sim.anyDaemon(t)
 		if d.alive && !d.paused {
 			d.paused = true
-			life := d.incarnation
+			incarnation := d.incarnation
 			sim.after(length, func() {
-				if d.incarnation == life {
+				if d.incarnation == incarnation {
 					d.resume()
 				}
 			})
@@ -106,9 +106,9 @@
 	case 18:
 		d := sim.anyDaemon(t)
 		d.reduce(StopRequested{})
-		life := d.incarnation
+		incarnation := d.incarnation
 		sim.after(length/2, func() {
-			if d.incarnation == life {
+			if d.incarnation == incarnation {
 				d.kill()
 				d.boot()
 			}
--- a/internal/control/reducer/shard.go
+++ b/internal/control/reducer/shard.go
@@ -16,7 +16,7 @@
 	notOwned  ownership = iota // not owned by this daemon
 	claiming                   // ClaimShard was emitted and has no outcome yet
 	owning                     // owned; the ledger is loaded
-	releasing                  // being given up; nothing is decided any more
+	releasing                  // being released; nothing is decided any more
 )
 
 func (o ownership) String() string {
--- a/internal/job/dispatcher/dispatcher.go
+++ b/internal/job/dispatcher/dispatcher.go
@@ -66,7 +66,7 @@
 	Epoch   int64    // number of earlier ownerships
 	Workers []string // ids of workers that may have runs of an earlier ownership
 
-	Released     bool                   // the previous owner shut down in order
+	Released     bool                   // the previous owner released the shard
 	WorkerLeases []recorder.WorkerLease // replaces Workers if Released is set
 
 	Lease       time.Duration // granted to all runs on a worker with each poll
@@ -227,7 +227,7 @@
 	return s.workersListed && answered*2 > len(s.workers)
 }
 
-// applyCatalog puts a configuration in force. Jobs of a queue that was removed
+// applyCatalog applies a configuration. Jobs of a queue that was removed
 // keep the configuration that they had.
 func (s *Shard) applyCatalog(c *specifier.Catalog) {
 	s.catalog = c
--- a/internal/job/dispatcher/simulation_test.go
+++ b/internal/job/dispatcher/simulation_test.go
@@ -42,7 +42,7 @@
 
 	store           map[string]*storedJob  // jobs by id
 	recordedWorkers []string               // workers named by the last commit
-	released        bool                   // the last owner shut down in order
+	released        bool                   // the last owner released the shard
 	workerLeases    []recorder.WorkerLease // left by the last owner if released
 	lostAnswerRate  float64                // fraction of calls whose answer is lost
 	lateCallRate    float64                // fraction of calls that are executed seconds later, unanswered
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -162,7 +162,7 @@
 	return m
 }
 
-// SetCatalog puts a configuration in force, unless its version isn't higher than
+// SetCatalog applies a configuration, unless its version isn't higher than
 // the current one.
 func (m *Manager) SetCatalog(c *specifier.Catalog) {
 	for {
@@ -178,7 +178,7 @@
 	m.post(dispatcher.CatalogUpdated{Catalog: c})
 }
 
-// Catalog returns the configuration in force. It must not be modified.
+// Catalog returns the current configuration. It must not be modified.
 func (m *Manager) Catalog() *specifier.Catalog { return m.catalog.Load() }
 
 // LastContact returns when the store last answered.
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -73,7 +73,7 @@
 	return o.state.JobState(id)
 }
 
-// run feeds events to the state machine until the shard is given up or ctx ends.
+// run feeds events to the state machine until the shard is released or lost, or ctx ends.
 func (o *ownedShard) run(ctx context.Context) {
 	defer close(o.done)
 	defer o.stopOnce.Do(func() { close(o.stop) })
@@ -282,7 +282,7 @@
 }
 
 // commit writes changes to the store and posts Committed once they are durable.
-// If the write fails for good, the shard is given up.
+// If the write fails for good, the daemon stops owning the shard.
 func (o *ownedShard) commit(ctx context.Context, e dispatcher.Commit) {
 	var puts []storer.Write
 	var removes []string
--- a/internal/job/manager/ownership.go
+++ b/internal/job/manager/ownership.go
@@ -275,7 +275,7 @@
 }
 
 // leaseEnded writes the owner records again with a new lease. A shard that
-// another daemon has claimed in the meantime is given up.
+// another daemon has claimed in the meantime is lost.
 func (m *Manager) leaseEnded(ctx context.Context) {
 	if m.shuttingDown.Load() {
 		return
--- a/internal/job/recorder/recorder.go
+++ b/internal/job/recorder/recorder.go
@@ -152,7 +152,7 @@
 	WriteID string   `json:"write"`             // random id of the write
 	Workers []string `json:"workers,omitempty"` // ids of workers that may have runs of this shard
 
-	// Released is set when the owner has shut down in order. WorkerLeases then
+	// Released is set when the owner has released the shard. WorkerLeases then
 	// replaces Workers.
 	Released     bool          `json:"released,omitempty"`
 	WorkerLeases []WorkerLease `json:"leftovers,omitempty"`
--- a/internal/state/distributor/propose.go
+++ b/internal/state/distributor/propose.go
@@ -17,7 +17,7 @@
 )
 
 // Edit changes a copy of the configuration and returns it. It returns an error to
-// give up the proposal.
+// cancel the proposal.
 type Edit func(describer.Configuration) (describer.Configuration, error)
 
 // Propose changes the configuration in the store and returns the new one. The
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -92,7 +92,7 @@
 
 // A release tells the next owner how long leases may still be valid. If that
 // owner then dies without a release, the owner after it must not take the old
-// release for one of its predecessor.
+// release for one of that owner.
 func TestReleaseIsForTheNextOwnerOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
--- a/internal/state/journaler/journaler_test.go
+++ b/internal/state/journaler/journaler_test.go
@@ -111,7 +111,7 @@
 		Expect(b.records()).To(Equal("1.3 1.4"))
 	}))
 
-	It("fences a paused owner whose successor has compacted the ledger", virtual(func() {
+	It("fences a paused owner after a new owner has compacted the ledger", virtual(func() {
 		a := open(store.Client("a"))
 		defer a.stop()
 		a.write(1, 2, 3)
@@ -131,7 +131,7 @@
 		Expect(c.records()).To(BeEmpty())
 	}))
 
-	It("keeps the successor's snapshot when the previous owner deletes old ones late", virtual(func() {
+	It("keeps the new owner's snapshot when the previous owner deletes old ones late", virtual(func() {
 		client := store.Client("a")
 		a := open(client)
 		defer a.stop()
--- a/internal/state/journaler/save.go
+++ b/internal/state/journaler/save.go
@@ -103,7 +103,7 @@
 
 // listOldChunks lists the chunks that previous owners left, of finished and
 // unfinished snapshots. It leaves out chunks of later epochs: those belong to a
-// successor, which has fenced this owner without its knowing yet.
+// new owner, which has fenced this one without its knowing yet.
 func (l *Ledger) listOldChunks(ctx context.Context, currentName string) []chunk {
 	ctx, cancel := context.WithTimeout(ctx, l.options.Timeout)
 	defer cancel()
--- a/internal/traffic/forwarder/forwarder_suite_test.go
+++ b/internal/traffic/forwarder/forwarder_suite_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// publish puts a routing table with the current backend servers in force.
+// publish applies a routing table with the current backend servers.
 func (h *testHost) publish() {
 	h.table.Store(&describer.RoutingTable{Ready: true, Services: map[string][]describer.Backend{"desk": h.backends}})
 }
--- a/internal/traffic/lender/share_test.go
+++ b/internal/traffic/lender/share_test.go
@@ -89,11 +89,11 @@
 		again := newTestShare(store, "b")
 		time.Sleep(time.Second)
 		if _, count, _ := again.Held(time.Now()); count != 0 {
-			t.Error("a successor must wait until the predecessor's requests have ended")
+			t.Error("a new holder must wait until the previous holder's requests have ended")
 		}
 		time.Sleep(DefaultTerm)
 		if _, count, _ := again.Held(time.Now()); count == 0 {
-			t.Error("a successor of the same name must get its share")
+			t.Error("a new holder of the same name must get its share")
 		}
 		for _, s := range append(all, again) {
 			s.Close()
