--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -73,7 +73,8 @@
 	return o.state.JobState(id)
 }
 
-// run feeds events to the state machine until the shard is released or lost, or ctx ends.
+// run feeds events to the state machine until the shard is released or lost, or
+// ctx ends.
 func (o *ownedShard) run(ctx context.Context) {
 	defer close(o.done)
 	defer o.stopOnce.Do(func() { close(o.stop) })
--- a/internal/traffic/lender/borrower.go
+++ b/internal/traffic/lender/borrower.go
@@ -135,8 +135,8 @@
 	return out
 }
 
-// renew sends one lease request to the shard's owner. If it fails, the
-// current leases stay valid until they expire.
+// renew sends one lease request to the shard's owner. If it fails, the current
+// leases stay valid until they expire.
 func (l *Lender) renew(ctx context.Context, shard string) {
 	table := l.table()
 	if table == nil {
@@ -227,8 +227,9 @@
 	return out
 }
 
-// apply applies the granted leases and reports whether one has grown. A reply from a former owner is safe to apply: the new owner grants nothing
-// until those leases have expired.
+// apply stores the granted leases and reports whether one has grown. A reply
+// from a former owner is safe to apply: the new owner grants nothing until those
+// leases have expired.
 func (l *Lender) apply(out *leaseReply, sent time.Time) (grown bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
