--- a/internal/traffic/router/policy.go
+++ b/internal/traffic/router/policy.go
@@ -6,7 +6,7 @@
 type Candidate struct {
 	InFlight     int     // requests in flight from this entry host
 	Limit        int     // most requests in flight, at least InFlight + 1
-	Interference float64 // expected slow-down by other work on the worker, 0.1 means 10 %
+	Interference float64 // expected slowdown by other work on the worker, 0.1 means 10 %
 	Latency      float64 // recent mean in seconds, 0 if unknown
 
 	server *server
