--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -82,8 +82,8 @@
 
 // Options are the parameters of the decisions. Zero fields take defaults.
 type Options struct {
-	EscalateAbove float64       // latency as a share of the target above which steps are taken
-	RelaxBelow    float64       // latency as a share of the target below which throttles are undone
+	EscalateAbove float64       // latency ratio (99th percentile to target) above which steps are taken
+	RelaxBelow    float64       // latency ratio below which throttles are undone
 	StepInterval  time.Duration // minimum time between steps, longer than the delay of reports
 	EvictAfter    time.Duration // time for which a target must be missed without interruption before evictions
 	Smoothing     float64       // weight of the newest report in the exponentially smoothed latency
@@ -127,7 +127,7 @@
 
 // Smoothed is the exponentially smoothed latency of one service.
 type Smoothed struct {
-	Log  float64   // logarithm of the 99th percentile as a share of the target
+	Log  float64   // logarithm of the latency ratio
 	Last time.Time // end of the latest report's interval
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// slowest returns the service whose latency is the highest share of its target.
+// slowest returns the service with the highest latency ratio, and that ratio.
 func (s *State) slowest() (service string, ratio float64) {
 	for name, v := range s.Services {
 		r := math.Exp(v.Log)
--- a/internal/control/escalator/escalator_test.go
+++ b/internal/control/escalator/escalator_test.go
@@ -47,8 +47,8 @@
 	return f
 }
 
-// report advances the time by 10 s, reports a latency as a share of the target
-// and carries out the decided actions.
+// report advances the time by 10 s, reports a latency ratio and carries out the
+// decided actions.
 func (f *fixture) report(ratio float64) []Action {
 	f.now = f.now.Add(10 * time.Second)
 	f.worker.Reports = map[string]runner.LatencyReport{"desk": {
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -50,8 +50,8 @@
 	MinStep        time.Duration // minimum time of a step, longer than the delay of reports
 	MaxStep        time.Duration // maximum time of a step
 	SilenceTimeout time.Duration // time without an inventory after which the worker counts as not responding
-	PauseAbove     float64       // latency as a share of a service's target above which the step pauses
-	ResumeBelow    float64       // latency as a share of the target below which the step resumes
+	PauseAbove     float64       // latency ratio of a service (99th percentile to target) above which the step pauses
+	ResumeBelow    float64       // latency ratio below which the step resumes
 	Smoothing      float64       // weight of the newest report in the exponentially smoothed latency
 }
 
@@ -86,7 +86,7 @@
 	Step       int                  // index of the current step in Options.Steps
 	StepSince  time.Time            // beginning of the current step
 	Paused     bool                 // whether the step pauses because of a service\'s latency
-	Smoothed   map[string]float64   // logarithm of the latency as a share of the target, by service
+	Smoothed   map[string]float64   // logarithm of the latency ratio, by service
 	LastReport map[string]time.Time // end of the latest report by service
 }
 
@@ -134,7 +134,7 @@
 }
 
 // update adds new reports to the smoothed latencies. It returns the service
-// whose latency is the highest share of its target, and that share.
+// with the highest latency ratio, and that ratio.
 func (s *State) update(in Input, o Options) (service string, ratio float64) {
 	if s.Smoothed == nil {
 		s.Smoothed = make(map[string]float64)
--- a/internal/control/restorer/restorer_test.go
+++ b/internal/control/restorer/restorer_test.go
@@ -37,7 +37,7 @@
 	return f
 }
 
-// report advances the time by 10 s and reports a latency as a share of the target.
+// report advances the time by 10 s and reports a latency ratio.
 func (f *fixture) report(ratio float64) Decision {
 	f.in.Now = f.in.Now.Add(10 * time.Second)
 	f.in.Worker.LastInventory = f.in.Now
