--- a/internal/standin/delayer/delayer_test.go
+++ b/internal/standin/delayer/delayer_test.go
@@ -63,8 +63,9 @@
 
 	It("delays, limits and counts", func() {
 		link := delayer.NewLink(20*time.Millisecond, 10000)
-		c := dial(relay(link))
+		r := relay(link)
 		began := time.Now()
+		c := dial(r)
 		Expect(ask(c, string(make([]byte, 1000)))).To(Succeed())
 		// One delay to connect, one each way, and 100 ms of sending each way.
 		Expect(time.Since(began)).To(BeNumerically(">=", 260*time.Millisecond))
