--- a/internal/job/dispatcher/advice.go
+++ b/internal/job/dispatcher/advice.go
@@ -43,9 +43,9 @@
 
 // advice is what is known about which workers may run a step.
 type advice struct {
-	asking   bool
-	retryAt  time.Time
-	verdicts map[string]verdict // by worker id
+	requested bool // a request has no answer yet
+	retryAt   time.Time
+	verdicts  map[string]verdict // by worker id
 }
 
 // verdict is the advice about one worker. Whether the worker is allowed never
@@ -70,30 +70,30 @@
 // waiting tasks but no valid ticket.
 func (p *placement) requestAdvice(st *step) {
 	s := p.shard
-	if !st.job.queue.Advice.Needed || st.advice.asking || st.waiting == 0 || s.now.Before(st.advice.retryAt) {
+	if !st.job.queue.Advice.Needed || st.advice.requested || st.waiting == 0 || s.now.Before(st.advice.retryAt) {
 		return
 	}
-	ask := p.adviceCandidates(st)
-	if len(ask) == 0 {
+	workers := p.adviceCandidates(st)
+	if len(workers) == 0 {
 		return
 	}
-	st.advice.asking = true
-	s.emit(RequestAdvice{Step: st.tasks[0].id(), Workers: ask})
+	st.advice.requested = true
+	s.emit(RequestAdvice{Step: st.tasks[0].id(), Workers: workers})
 	s.emit(Log{Message: "advice requested", Job: st.job.spec.ID, Task: st.tasks[0].id().StepID()})
 }
 
 // adviceCandidates returns at most maxAdviceWorkers workers that have room for
-// the step but no valid ticket: first those known to be allowed, then those that
-// haven't been requested yet.
+// the step but no valid ticket: first those known to be allowed, then those
+// about which there is no answer yet.
 func (p *placement) adviceCandidates(st *step) []specifier.Worker {
 	request := st.request()
 	var known, unknown []int
 	for i, w := range p.workers {
-		v, asked := st.advice.verdicts[w.reg.ID]
+		v, answered := st.advice.verdicts[w.reg.ID]
 		_, valid := st.ticketFor(w, p.shard.now)
 		switch {
-		case valid || asked && !v.allowed || !request.Fits(&p.candidates[i]) || !w.reg.HasLabel(st.spec.Label):
-		case asked:
+		case valid || answered && !v.allowed || !request.Fits(&p.candidates[i]) || !w.reg.HasLabel(st.spec.Label):
+		case answered:
 			known = append(known, i)
 		default:
 			unknown = append(unknown, i)
@@ -117,7 +117,7 @@
 		return
 	}
 	st := j.task(e.Step).step
-	st.advice.asking = false
+	st.advice.requested = false
 	if e.Failed {
 		st.advice.retryAt = s.now.Add(adviceRetryDelay)
 		return
--- a/internal/job/manager/manager.go
+++ b/internal/job/manager/manager.go
@@ -76,7 +76,7 @@
 
 // Adviser requests placement advice: which workers may run a step.
 type Adviser interface {
-	Advise(ctx context.Context, ask dispatcher.RequestAdvice) dispatcher.AdviceAnswered
+	Advise(ctx context.Context, request dispatcher.RequestAdvice) dispatcher.AdviceAnswered
 }
 
 // Directory lists the registered workers of all services.
