--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -61,7 +61,7 @@
 	ReservedWork   int64         // millicore-seconds of finite tasks that reserve capacity
 	FillerWork     int64         // millicore-seconds of fillers
 	LongRunningCPU int64         // millicores that long-running tasks reserve
-	Chain          time.Duration // estimated run time of the longest chain of dependent steps
+	CriticalPath   time.Duration // estimated run time of the longest chain of dependent steps
 	Objective      time.Duration // wanted time from acceptance to the end
 	NeedsRack      bool          // whether the job prefers the rack that holds its data
 }
@@ -85,15 +85,15 @@
 	}
 	s := w.choose(candidates, random)
 	if s == nil {
-		return Decision{Shard: candidates[0].Name, Age: candidates[0].Age, Reason: "limit of long-running tasks reached", RetryAfter: jitter(maxRetryAfter, random)}
+		return Decision{Shard: candidates[0].Name, Age: candidates[0].Age, Reason: "the limit of lasting tasks is reached", RetryAfter: jitter(maxRetryAfter, random)}
 	}
-	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end meets the objective"}
+	best := Decision{Shard: s.Name, Age: s.Age, Predicted: w.predict(s), Reason: "predicted end is within reach"}
 	limit := time.Duration(objectiveTolerance * float64(w.Objective))
 	if best.Predicted <= limit {
 		best.Accepted = true
 		return best
 	}
-	best.Reason = "predicted end misses the objective"
+	best.Reason = "predicted end is out of reach"
 	best.RetryAfter = jitter(min(max(best.Predicted-limit, minRetryAfter), maxRetryAfter), random)
 	return best
 }
@@ -163,11 +163,11 @@
 	if w.LongRunningCPU > s.Free.CPU {
 		wait += longRunningWait * time.Duration(w.LongRunningCPU-s.Free.CPU) / time.Duration(max(w.LongRunningCPU, 1))
 	}
-	chain := w.Chain
+	criticalPath := w.CriticalPath
 	if w.NeedsRack && !s.HasRack {
-		chain *= 2 // data is read from another rack
+		criticalPath *= 2 // data is read from another rack
 	}
-	predicted := wait + chain + s.RoundTrip
+	predicted := wait + criticalPath + s.RoundTrip
 	if !s.SameDomain {
 		predicted += otherDomainPenalty
 	}
--- a/internal/job/manager/owned.go
+++ b/internal/job/manager/owned.go
@@ -49,7 +49,7 @@
 	}
 	o.state = dispatcher.New(dispatcher.Options{
 		Name: spec.name, Service: spec.service, Domain: spec.domain,
-		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.Leftovers,
+		Epoch: fence.Epoch, Workers: fence.Workers, Released: fence.Released, WorkerLeases: fence.WorkerLeases,
 		Lease:       min(workerLease, m.options.MaxLease),
 		OutageLimit: outageLimit,
 		PollWait:    pollWait,
@@ -73,7 +73,8 @@
 	return o.state.JobState(id)
 }
 
-// run feeds events to the state machine until the shard is given up or ctx ends.
+// run feeds events to the state machine until the shard is released or lost, or
+// ctx ends.
 func (o *ownedShard) run(ctx context.Context) {
 	defer close(o.done)
 	defer o.stopOnce.Do(func() { close(o.stop) })
@@ -213,7 +214,7 @@
 		o.giveUp("worker " + e.Worker + " has seen a higher fencing token")
 	case dispatcher.Publish:
 		o.publish(ctx, e.Load)
-	case dispatcher.AskAdvice:
+	case dispatcher.RequestAdvice:
 		o.calls.Go(func() { o.post(o.manager.advise(ctx, e)) })
 	case dispatcher.Commit:
 		o.calls.Go(func() { o.commit(ctx, e) })
@@ -225,7 +226,7 @@
 }
 
 // advise calls the adviser, one call at a time.
-func (m *Manager) advise(ctx context.Context, e dispatcher.AskAdvice) dispatcher.AdviceAnswered {
+func (m *Manager) advise(ctx context.Context, e dispatcher.RequestAdvice) dispatcher.AdviceAnswered {
 	failed := dispatcher.AdviceAnswered{Step: e.Step, Failed: true}
 	if m.options.Adviser == nil {
 		return failed
@@ -284,7 +285,7 @@
 
 // commit writes changes to the store and posts Committed once they are durable.
 // The write is repeated until its outcome is known. If it fails before ctx ends,
-// the shard is given up.
+// the daemon stops owning the shard.
 func (o *ownedShard) commit(ctx context.Context, e dispatcher.Commit) {
 	var puts []storer.Write
 	var removes []string
--- a/internal/standin/delayer/delayer_test.go
+++ b/internal/standin/delayer/delayer_test.go
@@ -65,8 +65,9 @@
 
 	It("delays data, limits its rate and counts its bytes", func() {
 		link := delayer.NewLink(20*time.Millisecond, 10000)
-		c := dial(relay(link))
+		r := relay(link)
 		start := time.Now()
+		c := dial(r)
 		Expect(roundTrip(c, string(make([]byte, 1000)))).To(Succeed())
 		// One delay to connect, one each way, and 100 ms to send 1000 bytes each way.
 		Expect(time.Since(start)).To(BeNumerically(">=", 260*time.Millisecond))
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -92,7 +92,7 @@
 
 // A release tells the next owner how long leases may still be valid. If that
 // owner then dies without a release, the owner after it must not take the old
-// release for one of its predecessor.
+// release for one of that owner.
 func TestReleaseIsForTheNextOwnerOnly(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -104,7 +104,7 @@
 		g.Expect(first.Release(ctx, key, left)).To(Succeed())
 		g.Expect(second.Claim(ctx, ownerWrite(ctx, g, client, "b"))).To(Succeed())
 		g.Expect(second.Released).To(BeTrue())
-		g.Expect(second.Leftovers).To(Equal(left))
+		g.Expect(second.WorkerLeases).To(Equal(left))
 		g.Expect(second.Workers).To(Equal([]string{"w1"}))
 		time.Sleep(4 * time.Second) // the second owner's lease expires
 		g.Expect(third.Claim(ctx, ownerWrite(ctx, g, client, "c"))).To(Succeed())
