--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -81,7 +81,7 @@
 		r := m.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
 		done := r.startedAt.Add(r.length)
-		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
+		f := runner.FinishedRun{Run: run, LeaseExpired: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
 		case !done.After(m.clock()) && !done.After(r.leaseEnd):
 			f = runner.FinishedRun{Run: run, OK: !m.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
--- a/internal/control/reducer/sync.go
+++ b/internal/control/reducer/sync.go
@@ -293,7 +293,7 @@
 	switch {
 	case f.OK:
 		sh.recordFinished(t, w, f.Result)
-	case f.Lapsed:
+	case f.LeaseExpired:
 		sh.recordReleased(t, runEnd{reason: "lease lapsed", checkpoint: f.Checkpoint})
 	default:
 		sh.recordFailure(t, w, f.Reason)
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -111,7 +111,7 @@
 type FinishedRun struct {
 	Run
 	OK         bool            `json:"ok"`
-	Lapsed     bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
+	LeaseExpired     bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
 	Result     json.RawMessage `json:"result,omitempty"`
 	Reason     string          `json:"reason,omitempty"`
 	Checkpoint string          `json:"checkpoint,omitempty"`
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -293,7 +293,7 @@
 }
 
 func (m *Agent) lapse(r *run) {
-	f := runner.FinishedRun{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
+	f := runner.FinishedRun{Run: r.id(), LeaseExpired: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
 	m.end(r, auditor.Lapsed, f.Checkpoint)
 	m.finished[f.Run] = f
 }
