--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -193,7 +193,7 @@
 	for _, id := range sortedTasks(m.runs) {
 		r := m.runs[id]
 		out.Running = append(out.Running, runner.ActiveRun{
-			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), Order: r.lastThrottle,
+			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(m), ThrottleToken: r.lastThrottle,
 		})
 	}
 	for _, f := range m.finished {
--- a/internal/control/reducer/grant.go
+++ b/internal/control/reducer/grant.go
@@ -101,7 +101,7 @@
 // be older than a growth that is still on its way.
 func (sh *shard) reconcileGrant(t *task, r *runner.ActiveRun) {
 	switch {
-	case t.shrinkTo > 0 && r.Order.Epoch == sh.epoch && r.Order.Sequence >= t.shrinkSequence:
+	case t.shrinkTo > 0 && r.ThrottleToken.Epoch == sh.epoch && r.ThrottleToken.Sequence >= t.shrinkSequence:
 		t.shrinkTo = 0
 		sh.recordResize(t, r.Granted.CPU)
 		sh.placementIdle = false
--- a/internal/control/reducer/placement_test.go
+++ b/internal/control/reducer/placement_test.go
@@ -111,7 +111,7 @@
 			for _, t := range throttles {
 				if t.Throttle.Task == running[i].Task {
 					running[i].Granted.CPU = t.Throttle.CPU
-					running[i].Order = describer.Token{Epoch: t.Throttle.Epoch, Sequence: t.Throttle.Sequence}
+					running[i].ThrottleToken = describer.Token{Epoch: t.Throttle.Epoch, Sequence: t.Throttle.Sequence}
 				}
 			}
 		}
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -101,7 +101,7 @@
 // ActiveRun is a run in progress with its lagging usage.
 type ActiveRun struct {
 	Run
-	Order    describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
+	ThrottleToken    describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
 	Granted  describer.Resources `json:"granted"`
 	Used     describer.Resources `json:"used"`
 	Progress float64             `json:"progress"` // 0 to 1
--- a/internal/standin/hoster/run.go
+++ b/internal/standin/hoster/run.go
@@ -98,7 +98,7 @@
 
 // report shows the usage only once the lag has passed.
 func (r *run) report(now time.Time, lag time.Duration) runner.ActiveRun {
-	out := runner.ActiveRun{Run: r.id(), Granted: r.start.Granted, Order: r.throttled}
+	out := runner.ActiveRun{Run: r.id(), Granted: r.start.Granted, ThrottleToken: r.throttled}
 	if r.work > 0 {
 		out.Progress = min(1, float64(r.done)/float64(r.work))
 	}
