--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -85,14 +85,14 @@
 		switch {
 		case !done.After(m.clock()) && !done.After(r.leaseEnd):
 			f = runner.FinishedRun{Run: run, OK: !m.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			m.outcomes[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
+			m.outcomes[run] = runner.StopResult{Started: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
 				m.sim.store.recordCompletion(run)
 			}
 		case r.leaseEnd.After(m.clock()):
 			continue
 		default:
-			m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
+			m.outcomes[run] = runner.StopResult{Started: true, Checkpoint: f.Checkpoint}
 		}
 		m.finished[run] = f
 		delete(m.runs, id)
@@ -109,7 +109,7 @@
 		return "fenced"
 	case !s.Until.IsZero() && m.clock().After(s.Until):
 		return "late"
-	case known && !m.outcomes[run].Ran:
+	case known && !m.outcomes[run].Started:
 		return "stopped before"
 	case s.Token == m.fences[s.Task]:
 		return ""
@@ -148,7 +148,7 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := m.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(m.runs, s.Task)
-		m.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+		m.outcomes[run] = runner.StopResult{Started: true, Checkpoint: fmt.Sprint(s.Token)}
 	} else if _, ok := m.outcomes[run]; !ok {
 		m.outcomes[run] = runner.StopResult{}
 	}
--- a/internal/control/reducer/job_test.go
+++ b/internal/control/reducer/job_test.go
@@ -96,7 +96,7 @@
 		for _, s := range stops {
 			h.feed(StopAnswered{
 				Shard: "bne-1", Epoch: 1, Worker: "w1", Task: s.Stop.Task, Token: s.Stop.Token,
-				Stopped: runner.StopResult{Ran: true},
+				Stopped: runner.StopResult{Started: true},
 			})
 		}
 		h.answerAppends()
--- a/internal/control/reducer/shard_test.go
+++ b/internal/control/reducer/shard_test.go
@@ -135,7 +135,7 @@
 		Expect(stop.Stop.Checkpoint).To(BeTrue())
 		h.feed(StopAnswered{
 			Shard: "bne-1", Epoch: 1, Worker: "w1", Task: stop.Stop.Task, Token: stop.Stop.Token,
-			Stopped: runner.StopResult{Ran: true, Checkpoint: "half"},
+			Stopped: runner.StopResult{Started: true, Checkpoint: "half"},
 		})
 		records := h.answerAppends()
 		Expect(records[0].DrainedFrom).To(Equal("w1"))
--- a/internal/control/reducer/stop.go
+++ b/internal/control/reducer/stop.go
@@ -62,7 +62,7 @@
 		return
 	}
 	reason := t.stop.reason
-	if !e.Stopped.Ran {
+	if !e.Stopped.Started {
 		reason = reasonNotStarted
 	}
 	sh.recordReleased(t, runEnd{reason, e.Stopped.Checkpoint, t.stop.drainedOff})
--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -50,7 +50,7 @@
 // StopResult is the answer: the run is over, and no run under this or a lower
 // token will begin on this worker.
 type StopResult struct {
-	Ran        bool            `json:"ran"`      // it had begun
+	Started        bool            `json:"ran"`      // it had begun
 	Finished   bool            `json:"finished"` // it had completed before the stop
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -72,7 +72,7 @@
 	seen := m.fences[s.Task]
 	over, known := m.ended[id]
 	switch {
-	case s.Token == seen && (!known || over.Ran):
+	case s.Token == seen && (!known || over.Started):
 		return false, nil // a repetition
 	case s.Token.Less(seen), known:
 		return false, fenced("token is too old for " + s.Task.String())
@@ -288,7 +288,7 @@
 	}
 	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: m.options.Host.Name})
 	m.end(r, auditor.Completed, "")
-	m.ended[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
+	m.ended[f.Run] = runner.StopResult{Started: true, Finished: true, Result: f.Result}
 	m.finished[f.Run] = f
 }
 
@@ -302,7 +302,7 @@
 func (m *Agent) end(r *run, e auditor.Ending, checkpoint string) runner.StopResult {
 	delete(m.runs, r.start.Task)
 	m.audit.Ended(r.start.Task, m.options.Host.Name, e)
-	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
+	out := runner.StopResult{Started: true, Checkpoint: checkpoint}
 	m.ended[r.id()] = out
 	return out
 }
