--- a/internal/platform/storer/client.go
+++ b/internal/platform/storer/client.go
@@ -77,7 +77,7 @@
 
 // Swap implements Store.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, expected, lease int64) (int64, error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueSize {
 		return 0, &classifier.Error{
 			Verdict: classifier.NotRun, Status: http.StatusRequestEntityTooLarge,
 			Code: "too-large", Message: "storer: value is over 1 MB", Field: "value",
--- a/internal/platform/storer/storer.go
+++ b/internal/platform/storer/storer.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// MaxValue is the largest value the store takes, in bytes.
-const MaxValue = 1 << 20
+// MaxValueSize is the largest value the store takes, in bytes.
+const MaxValueSize = 1 << 20
 
 // Errors of the store, found with errors.Is. Both come with verdict NotRun.
 var (
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -101,7 +101,7 @@
 }
 
 func (k *Keeper) swap(item storer.Item, expected int64) (int64, error) {
-	if len(item.Value) > storer.MaxValue {
+	if len(item.Value) > storer.MaxValueSize {
 		return 0, listener.Refuse(http.StatusRequestEntityTooLarge, "too-large", "value is over 1 MB")
 	}
 	if err := k.expect(item.Key, expected); err != nil {
--- a/internal/standin/keeper/keeper_test.go
+++ b/internal/standin/keeper/keeper_test.go
@@ -44,9 +44,9 @@
 	})
 
 	It("refuses values over 1 MB without running", func() {
-		_, err := c.Swap(ctx, "a", make([]byte, storer.MaxValue+1), 0, 0)
+		_, err := c.Swap(ctx, "a", make([]byte, storer.MaxValueSize+1), 0, 0)
 		Expect(classifier.VerdictOf(err)).To(Equal(classifier.NotRun))
-		_, err = c.Swap(ctx, "a", make([]byte, storer.MaxValue), 0, 0)
+		_, err = c.Swap(ctx, "a", make([]byte, storer.MaxValueSize), 0, 0)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
--- a/internal/state/distributor/propose.go
+++ b/internal/state/distributor/propose.go
@@ -212,8 +212,8 @@
 	if err != nil {
 		return rejectedError(err)
 	}
-	if len(b) > storer.MaxValue {
-		return rejectedError(fmt.Errorf("distributor: configuration of %d bytes exceeds %d", len(b), storer.MaxValue))
+	if len(b) > storer.MaxValueSize {
+		return rejectedError(fmt.Errorf("distributor: configuration of %d bytes exceeds %d", len(b), storer.MaxValueSize))
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.distributor.options.Timeout)
 	defer cancel()
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -283,7 +283,7 @@
 
 // Swap implements storer.Store.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, expected, lease int64) (revision int64, err error) {
-	if len(value) > storer.MaxValue {
+	if len(value) > storer.MaxValueSize {
 		return 0, rejected(fmt.Errorf("faker: value of %d bytes exceeds limit", len(value)))
 	}
 	err = c.do(ctx, "swap", key, value, func(s *Store, _ bool) error {
--- a/internal/state/journaler/segment.go
+++ b/internal/state/journaler/segment.go
@@ -12,7 +12,7 @@
 
 // MaxPayload is the largest payload of a segment or of a snapshot chunk, in
 // bytes. It leaves 4096 bytes of the store's limit for the segment header.
-const MaxPayload = storer.MaxValue - 4096
+const MaxPayload = storer.MaxValueSize - 4096
 
 // segment is the value of a slot: a header, which is one line of JSON, and the
 // payload. The payload of a group commit has one line for each batch; if it
