--- a/internal/platform/lister/client.go
+++ b/internal/platform/lister/client.go
@@ -15,7 +15,7 @@
 	sender *sender.Sender
 }
 
-var _ List = (*Client)(nil)
+var _ HostList = (*Client)(nil)
 
 // New makes a client of the host list at baseURL.
 func New(baseURL string, client *http.Client) *Client {
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -7,7 +7,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// List is the host list. It lags and may name hosts that are gone.
-type List interface {
+// HostList is the host list. It lags and may name hosts that are gone.
+type HostList interface {
 	Hosts(ctx context.Context) ([]describer.Host, error)
 }
