--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -31,27 +31,27 @@
 // Start implements Worker.
 func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
 	c.Counts.Start.Add(1)
-	return c.sender.Send(ctx, "http://"+address+"/v1/start", s, nil)
+	return c.sender.Post(ctx, "http://"+address+"/v1/start", s, nil)
 }
 
 // Stop implements Worker.
 func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (StopResult, error) {
 	c.Counts.Stop.Add(1)
 	var out StopResult
-	err := c.sender.Send(ctx, "http://"+address+"/v1/stop", s, &out)
+	err := c.sender.Post(ctx, "http://"+address+"/v1/stop", s, &out)
 	return out, err
 }
 
 // Throttle implements Worker.
 func (c *Client) Throttle(ctx context.Context, address string, t ThrottleRequest) error {
 	c.Counts.Throttle.Add(1)
-	return c.sender.Send(ctx, "http://"+address+"/v1/throttle", t, nil)
+	return c.sender.Post(ctx, "http://"+address+"/v1/throttle", t, nil)
 }
 
 // Sync implements Worker.
 func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error) {
 	c.Counts.Sync.Add(1)
 	var out SyncResult
-	err := c.sender.Send(ctx, "http://"+address+"/v1/sync", s, &out)
+	err := c.sender.Post(ctx, "http://"+address+"/v1/sync", s, &out)
 	return out, err
 }
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -51,9 +51,9 @@
 	Verdict string `json:"verdict"`
 }
 
-// Send posts in to path and decodes the answer into out, if out is not nil.
+// Post posts in to path and decodes the answer into out, if out is not nil.
 // Errors are *classifier.Error values.
-func (s *Sender) Send(ctx context.Context, path string, in, out any) error {
+func (s *Sender) Post(ctx context.Context, path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return s.fail(classifier.NotRun, "encode", err)
--- a/internal/platform/sender/sender_test.go
+++ b/internal/platform/sender/sender_test.go
@@ -24,7 +24,7 @@
 		s := sender.New("test", server.URL, server.Client())
 		s.ErrorsByCode = map[string]error{"taken": errTaken}
 		var out map[string]string
-		return s.Send(ctx, "/", map[string]string{"a": "b"}, &out)
+		return s.Post(ctx, "/", map[string]string{"a": "b"}, &out)
 	}
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -35,14 +35,14 @@
 
 	It("says not run without a connection", func() {
 		s := sender.New("test", "http://127.0.0.1:1", http.DefaultClient)
-		Expect(classifier.VerdictOf(s.Send(ctx, "/", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(s.Post(ctx, "/", nil, nil))).To(Equal(classifier.NotRun))
 	})
 
 	It("says not run when the call ended before it began", func() {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		s := sender.New("test", "http://127.0.0.1:1", http.DefaultClient)
-		Expect(classifier.VerdictOf(s.Send(ended, "/", nil, nil))).To(Equal(classifier.NotRun))
+		Expect(classifier.VerdictOf(s.Post(ended, "/", nil, nil))).To(Equal(classifier.NotRun))
 	})
 
 	It("says may have run when the connection ends without an answer", func() {
--- a/internal/platform/storer/client.go
+++ b/internal/platform/storer/client.go
@@ -63,7 +63,7 @@
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
 	c.Counts.Get.Add(1)
 	var out Item
-	err := c.sender.Send(ctx, "/v1/get", keyed{Key: key}, &out)
+	err := c.sender.Post(ctx, "/v1/get", keyed{Key: key}, &out)
 	return out, err
 }
 
@@ -71,7 +71,7 @@
 func (c *Client) List(ctx context.Context, prefix string) ([]Item, int64, error) {
 	c.Counts.List.Add(1)
 	var out items
-	err := c.sender.Send(ctx, "/v1/list", ranged{Prefix: prefix}, &out)
+	err := c.sender.Post(ctx, "/v1/list", ranged{Prefix: prefix}, &out)
 	return out.Items, out.Revision, err
 }
 
@@ -85,34 +85,34 @@
 	}
 	c.Counts.Swap.Add(1)
 	var out keyed
-	err := c.sender.Send(ctx, "/v1/swap", keyed{Key: key, Value: value, Revision: expected, Lease: lease}, &out)
+	err := c.sender.Post(ctx, "/v1/swap", keyed{Key: key, Value: value, Revision: expected, Lease: lease}, &out)
 	return out.Revision, err
 }
 
 // Delete implements Store.
 func (c *Client) Delete(ctx context.Context, key string, expected int64) error {
 	c.Counts.Delete.Add(1)
-	return c.sender.Send(ctx, "/v1/delete", keyed{Key: key, Revision: expected}, nil)
+	return c.sender.Post(ctx, "/v1/delete", keyed{Key: key, Revision: expected}, nil)
 }
 
 // Grant implements Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	c.Counts.Grant.Add(1)
 	var out leased
-	err := c.sender.Send(ctx, "/v1/grant", leased{TTL: ttl}, &out)
+	err := c.sender.Post(ctx, "/v1/grant", leased{TTL: ttl}, &out)
 	return out.Lease, err
 }
 
 // Renew implements Store.
 func (c *Client) Renew(ctx context.Context, lease int64) error {
 	c.Counts.Renew.Add(1)
-	return c.sender.Send(ctx, "/v1/renew", leased{Lease: lease}, nil)
+	return c.sender.Post(ctx, "/v1/renew", leased{Lease: lease}, nil)
 }
 
 // Revoke implements Store.
 func (c *Client) Revoke(ctx context.Context, lease int64) error {
 	c.Counts.Revoke.Add(1)
-	return c.sender.Send(ctx, "/v1/revoke", leased{Lease: lease}, nil)
+	return c.sender.Post(ctx, "/v1/revoke", leased{Lease: lease}, nil)
 }
 
 // Watch implements Store.
@@ -121,6 +121,6 @@
 	c.Counts.Waiting.Add(1)
 	defer c.Counts.Waiting.Add(-1)
 	var out items
-	err := c.sender.Send(ctx, "/v1/watch", ranged{Prefix: prefix, Revision: revision, Wait: wait}, &out)
+	err := c.sender.Post(ctx, "/v1/watch", ranged{Prefix: prefix, Revision: revision, Wait: wait}, &out)
 	return out.Items, out.Revision, err
 }
