--- a/internal/platform/lister/client.go
+++ b/internal/platform/lister/client.go
@@ -26,6 +26,6 @@
 func (c *Client) Hosts(ctx context.Context) ([]describer.Host, error) {
 	c.Calls.Add(1)
 	var out []describer.Host
-	err := c.sender.Fetch(ctx, "/v1/hosts", &out)
+	err := c.sender.Get(ctx, "/v1/hosts", &out)
 	return out, err
 }
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -61,8 +61,8 @@
 	return s.do(ctx, http.MethodPost, path, body, out)
 }
 
-// Fetch gets path and decodes the answer into out.
-func (s *Sender) Fetch(ctx context.Context, path string, out any) error {
+// Get gets path and decodes the answer into out.
+func (s *Sender) Get(ctx context.Context, path string, out any) error {
 	return s.do(ctx, http.MethodGet, path, nil, out)
 }
 
