--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -34,14 +34,14 @@
 // Sender posts calls below one base URL.
 type Sender struct {
 	ErrorPrefix  string           // prefix of error messages
-	Base         string           // base URL without trailing slash; may be empty if calls name whole URLs
+	BaseURL         string           // base URL without trailing slash; may be empty if calls name whole URLs
 	ErrorsByCode map[string]error // error that a refusal's code stands for
 	client       *http.Client
 }
 
 // New makes a sender whose errors begin with part.
 func New(part, base string, client *http.Client) *Sender {
-	return &Sender{ErrorPrefix: part, Base: strings.TrimSuffix(base, "/"), client: client}
+	return &Sender{ErrorPrefix: part, BaseURL: strings.TrimSuffix(base, "/"), client: client}
 }
 
 // refusal is the body of every answer that is not 200.
@@ -69,7 +69,7 @@
 func (s *Sender) do(ctx context.Context, method, path string, body []byte, out any) error {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, s.Base+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, s.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return s.fail(classifier.NotRun, "address", err)
 	}
