--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -50,7 +50,7 @@
 // StopResult is the answer: the run is over, and no run under this or a lower
 // token will begin on this worker.
 type StopResult struct {
-	Started        bool            `json:"ran"`      // it had begun
+	Started    bool            `json:"ran"`      // it had begun
 	Finished   bool            `json:"finished"` // it had completed before the stop
 	Checkpoint string          `json:"checkpoint,omitempty"`
 	Result     json.RawMessage `json:"result,omitempty"`
@@ -101,20 +101,20 @@
 // ActiveRun is a run in progress with its lagging usage.
 type ActiveRun struct {
 	Run
-	ThrottleToken    describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
-	Granted  describer.Resources `json:"granted"`
-	Used     describer.Resources `json:"used"`
-	Progress float64             `json:"progress"` // 0 to 1
+	ThrottleToken describer.Token     `json:"order,omitzero"` // epoch and sequence of the throttle in force
+	Granted       describer.Resources `json:"granted"`
+	Used          describer.Resources `json:"used"`
+	Progress      float64             `json:"progress"` // 0 to 1
 }
 
 // FinishedRun is a run that ended by itself or by a lapsed lease.
 type FinishedRun struct {
 	Run
-	OK         bool            `json:"ok"`
-	LeaseExpired     bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
-	Result     json.RawMessage `json:"result,omitempty"`
-	Reason     string          `json:"reason,omitempty"`
-	Checkpoint string          `json:"checkpoint,omitempty"`
+	OK           bool            `json:"ok"`
+	LeaseExpired bool            `json:"lapsed"` // lease ended; Checkpoint holds what was saved
+	Result       json.RawMessage `json:"result,omitempty"`
+	Reason       string          `json:"reason,omitempty"`
+	Checkpoint   string          `json:"checkpoint,omitempty"`
 }
 
 // LatencyReport is what a service's requests took on the worker in a past interval.
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -34,7 +34,7 @@
 // Sender posts calls below one base URL.
 type Sender struct {
 	ErrorPrefix  string           // prefix of error messages
-	BaseURL         string           // base URL without trailing slash; may be empty if calls name whole URLs
+	BaseURL      string           // base URL without trailing slash; may be empty if calls name whole URLs
 	ErrorsByCode map[string]error // error that a refusal's code stands for
 	client       *http.Client
 }
