--- a/internal/peer/gossiper/failure_test.go
+++ b/internal/peer/gossiper/failure_test.go
@@ -12,64 +12,64 @@
 	"dotterelcart.dev/dotterelcart/internal/control/reducer"
 )
 
-// budget of a daemon's control traffic in bytes a second, and the share of it
-// that membership may take.
+// controlBudget is the budget of a daemon's control traffic in bytes per second, and
+// membershipShare the share of it that membership may use.
 const (
-	budget = 3000
-	share  = 0.5
+	controlBudget   = 3000
+	membershipShare = 0.5
 )
 
 var _ = Describe("Gossiper under failures", func() {
 	var c *cluster
-	bubble := func(f func()) func() {
-		return virtual(func() {
+	withCluster := func(f func()) func() {
+		return inVirtualTime(func() {
 			c = newCluster()
 			defer c.stopAll()
 			f()
 		})
 	}
-	const all = "d0/0,d0/3,d1/1,d2/2"
+	const allNames = "d0/0,d0/3,d1/1,d2/2"
 
-	It("keeps a member that only some hosts cannot reach", bubble(func() {
+	It("keeps a member that one other host cannot reach", withCluster(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		c.network.SetPartitioned("d0/0", "d1/1", true)
 		for range 60 {
 			time.Sleep(time.Second)
-			Expect(c.views()).To(HaveEach(all))
+			Expect(c.views()).To(HaveEach(allNames))
 		}
 	}))
 
-	It("joins the halves of a long partition again", bubble(func() {
+	It("merges the two sides of a long partition after it has healed", withCluster(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
-		cut := func(cut bool) {
+		setPartition := func(partitioned bool) {
 			for _, a := range []string{"d0/0", "d0/3"} {
 				for _, b := range []string{"d1/1", "d2/2"} {
-					c.network.SetPartitioned(a, b, cut)
+					c.network.SetPartitioned(a, b, partitioned)
 				}
 			}
 		}
-		cut(true)
+		setPartition(true)
 		time.Sleep(5 * time.Minute)
 		Expect(c.views()).To(HaveKeyWithValue("d0/0", "d0/0,d0/3"))
 		Expect(c.views()).To(HaveKeyWithValue("d1/1", "d1/1,d2/2"))
-		cut(false)
+		setPartition(false)
 		time.Sleep(30 * time.Second)
-		Expect(c.views()).To(HaveEach(all))
+		Expect(c.views()).To(HaveEach(allNames))
 	}))
 
-	It("does not take all others for dead when it is cut off itself for a moment", bubble(func() {
+	It("does not mark all others dead during a short isolation of its own host", withCluster(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
 			c.network.SetPartitioned("d1/1", other, true)
 		}
 		time.Sleep(10 * time.Second)
-		Expect(c.views()).To(HaveKeyWithValue("d1/1", all))
+		Expect(c.views()).To(HaveKeyWithValue("d1/1", allNames))
 	}))
 
-	It("takes in a new process of the same name", bubble(func() {
+	It("accepts a new process of the same name", withCluster(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		c.hosts["d1/1"].SetShards([]string{"old"})
@@ -77,11 +77,11 @@
 		c.stop("d1/1")
 		c.start("d1/1", "d0/0").SetShards([]string{"new"})
 		time.Sleep(20 * time.Second)
-		Expect(c.views()).To(HaveEach(all))
+		Expect(c.views()).To(HaveEach(allNames))
 		Expect(shardsOf(c.hosts["d2/2"].Alive(), "d1/1")).To(Equal([]string{"new"}))
 	}))
 
-	It("spreads shards and revisions", bubble(func() {
+	It("disseminates shards and revisions", withCluster(func() {
 		c.startAll(4)
 		time.Sleep(20 * time.Second)
 		c.hosts["d0/3"].SetShards([]string{"s1", "s2"})
@@ -92,52 +92,52 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		Expect(c.seen["d0/0"]).To(BeEquivalentTo(7))
+		Expect(c.latestRevision["d0/0"]).To(BeEquivalentTo(7))
 	}))
 
-	It("holds news back when the budget is used up", bubble(func() {
+	It("delays updates when the budget is used up", withCluster(func() {
 		c.startAll(20)
 		time.Sleep(time.Minute)
-		before := c.sent()
+		before := c.sentBytes()
 		for i := range 120 {
 			for _, g := range c.hosts {
 				g.SetShards([]string{fmt.Sprint(strings.Repeat("long name ", 50), i)})
 			}
 			time.Sleep(time.Second)
 		}
-		perHost := float64(c.sent()-before) / 120 / 20
+		perHost := float64(c.sentBytes()-before) / 120 / 20
 		AddReportEntry("bytes sent a second by each of 20 hosts that change every second", fmt.Sprintf("%.0f", perHost))
-		Expect(perHost).To(BeNumerically("<", share*budget))
+		Expect(perHost).To(BeNumerically("<", membershipShare*controlBudget))
 	}))
 
 	DescribeTable("stays within the budget, whatever the number of hosts",
 		func(hosts int) {
-			bubble(func() {
+			withCluster(func() {
 				c.startAll(hosts)
-				time.Sleep(2 * time.Minute)
-				joined := c.sent()
+				time.Sleep(2 * time.Minute) // six times the 20 s that perHost divides by
+				joining := c.sentBytes()
 				for _, g := range c.hosts {
 					Expect(g.Alive()).To(HaveLen(hosts))
 				}
 				time.Sleep(20 * time.Second)
-				quiet := c.sent() - joined
+				quiet := c.sentBytes() - joining
 				c.stop("d1/1")
 				dropped := 0
 				for second := range 20 {
 					time.Sleep(time.Second)
-					if dropped == 0 && c.agree(hosts-1) {
+					if dropped == 0 && c.allKnow(hosts-1) {
 						dropped = second + 1
 					}
 				}
-				busy := c.sent() - joined - quiet
+				busy := c.sentBytes() - joining - quiet
 				perHost := func(bytes int64) float64 { return float64(bytes) / 20 / float64(hosts) }
 				AddReportEntry(fmt.Sprintf("%d hosts: bytes sent a second by each", hosts),
 					fmt.Sprintf("quiet %.0f, one dead %.0f, joining %.0f; dropped after %d s",
-						perHost(quiet), perHost(busy), perHost(joined)/6, dropped))
-				Expect(perHost(quiet)).To(BeNumerically("<", share*budget/2))
-				Expect(perHost(busy)).To(BeNumerically("<", share*budget/2))
+						perHost(quiet), perHost(busy), perHost(joining)/6, dropped))
+				Expect(perHost(quiet)).To(BeNumerically("<", membershipShare*controlBudget/2))
+				Expect(perHost(busy)).To(BeNumerically("<", membershipShare*controlBudget/2))
 				Expect(dropped).To(BeNumerically(">", 0))
-				Expect(perHost(joined) / 6).To(BeNumerically("<", share*budget))
+				Expect(perHost(joining) / 6).To(BeNumerically("<", membershipShare*controlBudget))
 			})()
 		},
 		Entry("today", 9),
@@ -145,6 +145,7 @@
 	)
 })
 
+// shardsOf returns the shards of the peer with the given name, or nil.
 func shardsOf(peers []reducer.Peer, name string) []string {
 	for _, p := range peers {
 		if p.Name == name {
@@ -154,8 +155,8 @@
 	return nil
 }
 
-// agree reports whether every host knows as many members.
-func (c *cluster) agree(members int) bool {
+// allKnow reports whether every host knows the given number of members.
+func (c *cluster) allKnow(members int) bool {
 	for _, g := range c.hosts {
 		if len(g.Alive()) != members {
 			return false
@@ -164,10 +165,10 @@
 	return true
 }
 
-// sent returns the bytes sent by all hosts, stopped ones included.
-func (c *cluster) sent() int64 {
+// sentBytes returns the number of bytes sent by all hosts, including stopped ones.
+func (c *cluster) sentBytes() int64 {
 	synctest.Wait()
-	out := c.gone
+	out := c.stoppedBytes
 	for _, g := range c.hosts {
 		out += g.Sent()
 	}
--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -1,28 +1,30 @@
-// Package gossiper keeps the membership of entry hosts.
+// Package gossiper maintains the list of live entry hosts (hosts that run a
+// daemon) with a SWIM-style gossip protocol: failure detection by pings, and
+// membership updates that are piggybacked on the pings.
 //
 // # Model
 //
-// Every host pings one other host each interval, in a random order that comes
-// round to all. Pings and answers carry news about members. A host that does
-// not answer, neither directly nor through others, becomes suspect, and dead
-// when nobody has refuted the suspicion in time; a member refutes by a greater
-// incarnation number, which it alone may raise. A member that leaves says so
-// and is known as leaving at once.
+// Every host pings one other host each interval. The order is random, and each
+// round covers all members. Pings and their answers carry membership updates. A
+// member that answers neither a direct ping nor one through other hosts becomes
+// suspect. It becomes dead if it does not refute the suspicion in time, which it
+// does by raising its incarnation number; only the member itself may raise that
+// number. A member that leaves announces it and is listed as leaving from then on.
 //
-// Membership is a hint about who is there. Two hosts may disagree at any time,
-// and nothing that must hold depends on it.
+// Membership is a hint. Two hosts may disagree at any time, and no safety property
+// depends on it.
 //
 //	g := gossiper.New(options, node, func(alive []reducer.Peer) { ... })
-//	g.UpdateHosts(hosts)       // from the lagging host list
-//	g.SetShards([]string{"bne-1"})
-//	g.SetRevision(42)          // of the configuration in force here
+//	g.UpdateHosts(hosts)           // hosts of the platform's host list
+//	g.SetShards([]string{"bne-1"}) // shards that this host owns
+//	g.SetRevision(42)              // revision of the configuration in use on this host
 //	g.Leave()
 //
 // # Budget
 //
-// The bytes sent are kept below Options.Budget: news waits, and then pings
-// are skipped, when it is used up. The load on one host does not depend on
-// their number.
+// The rate of bytes sent stays below Options.Budget. When the budget is used up,
+// updates are delayed first, and then pings are skipped. The load on one host does
+// not depend on the number of hosts.
 package gossiper
 
 import (
@@ -41,89 +43,98 @@
 	"dotterelcart.dev/dotterelcart/internal/peer/messenger"
 )
 
-// Node calls peers and serves their calls.
+// Node sends calls to peers and serves their calls. Handle registers the handler
+// of a method. *messenger.Node implements it.
 type Node interface {
 	messenger.Caller
 	Handle(method string, h messenger.Handler)
 }
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultInterval = time.Second
-	DefaultBudget   = 1200 // bytes a second
+	DefaultBudget   = 1200 // bytes per second
 )
 
 const (
-	indirect    = 3                // hosts asked to ping on behalf
-	suspicion   = 4.0              // intervals for each power of ten of members
-	forgetAfter = 10 * time.Minute // a dead member is remembered, so that old news does not revive it
-	burst       = 30               // seconds of budget that can be saved up
-	probeEvery  = 5                // intervals between pings of addresses that are not members
+	indirectProbes     = 3                // hosts asked to ping a member that did not answer
+	suspicionIntervals = 4.0              // intervals that a suspicion lasts, per power of ten of members
+	deadRetention      = 10 * time.Minute // keeps dead members, so that stale updates do not revive them
+	burstSeconds       = 30               // unused budget that can accumulate, in seconds
+	rejoinIntervals    = 5                // intervals between pings of addresses that are not members
 )
 
-// Options configure a Gossiper. Zero values take the defaults.
+// Options configure a Gossiper. Zero values of Interval, Budget, Seed and Seen take
+// defaults.
 type Options struct {
-	Self     reducer.Peer
-	Seeds    []string      // addresses of other entry hosts, ip:port
-	Interval time.Duration // between pings
-	Budget   int           // bytes sent a second, transport headers included
-	Seed     uint64        // of the random order; 0 takes a random one
-	Seen     func(address string, revision int64)
-	Log      zerolog.Logger
+	Self     reducer.Peer  // this host; Name and Address must be unique
+	Seeds    []string      // addresses of other entry hosts, ip:port, to join through
+	Interval time.Duration // time between pings
+	Budget   int           // limit on bytes sent per second, including transport headers
+	Seed     uint64        // seed of the random ping order; 0 takes a random seed
+
+	// Seen is called when a member reports a configuration revision that is newer
+	// than its last one or than that of this host. It gets the address of the
+	// member. Calls may be concurrent.
+	Seen func(address string, revision int64)
+	Log  zerolog.Logger
 }
 
-// Gossiper is one host's view of the members. It is safe for concurrent use.
+// Gossiper is the view that one host has of the members. It is safe for concurrent
+// use. Close must be called to stop its goroutines.
 type Gossiper struct {
-	Done chan struct{} // closed when nothing will be sent or reported any more
+	Done chan struct{} // closed when all goroutines have ended after Close
 
-	options Options
-	node    Node
-	sink    func([]reducer.Peer)
-	log     zerolog.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	tasks   sync.WaitGroup
-	changed chan struct{}
-	limit   *rate.Limiter
+	options  Options
+	node     Node
+	onChange func([]reducer.Peer)
+	log      zerolog.Logger
+	ctx      context.Context
+	cancel   context.CancelFunc
+	tasks    sync.WaitGroup
+	changed  chan struct{} // wakes reportChanges
+	limiter  *rate.Limiter // enforces Options.Budget, in bytes
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	self    member
-	members map[string]*entry // others, by name
-	sorted  []string          // names of members
-	others  uint64            // digest of members
-	order   []string          // names still to ping in this round
-	hosts   []string          // addresses from the host list
-	routes  map[string]string // of these, by name
-	ticks   int64
-	next    int  // of the round over addresses that are not members
-	differs bool // the latest answer came from a different view
-	failing int  // pings that failed in a row, less those that did not
-	closed  bool
-	sent    int64 // bytes
+	mu              sync.Mutex
+	random          *rand.Rand
+	self            member
+	members         map[string]*entry // other hosts by name, including dead ones
+	sortedNames     []string          // sorted keys of members
+	membersDigest   uint64            // sum of the digests of members
+	pingOrder       []string          // names left to ping in this round
+	listedAddresses []string          // addresses of the live entry hosts in the host list
+	addressByName   map[string]string // the same addresses by host name
+	ticks           int64             // intervals so far
+	nextCandidate   int               // position in the rotation over addresses that are not members
+	viewsDiffer     bool              // whether the last answer came from a host with another view
+	failureScore    int               // failed probes less successful ones, from 0 to maxFailureScore
+	closed          bool
+	sentBytes       int64
 }
 
-// New starts a Gossiper. The sink gets the members believed to be alive, this
-// host included, sorted by name, whenever they change.
-func New(o Options, node Node, sink func([]reducer.Peer)) *Gossiper {
-	o.fill()
+// New starts a Gossiper and registers it with node as the handler of
+// messenger.Ping. It calls onChange from one goroutine whenever the members believed
+// to be alive change, with all of them sorted by name, this host included. Changes
+// that occur during a call are reported together by the next one.
+func New(o Options, node Node, onChange func([]reducer.Peer)) *Gossiper {
+	o.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &Gossiper{
-		Done:    make(chan struct{}),
-		options: o,
-		node:    node,
-		sink:    sink,
-		log:     o.Log.With().Str("part", "gossiper").Logger(),
-		ctx:     ctx,
-		cancel:  cancel,
-		changed: make(chan struct{}, 1),
-		limit:   rate.NewLimiter(rate.Limit(o.Budget), burst*o.Budget),
-		random:  rand.New(rand.NewPCG(o.Seed, o.Seed)),
-		self:    newMember(o.Self),
-		members: map[string]*entry{},
-		differs: true,
+		Done:        make(chan struct{}),
+		options:     o,
+		node:        node,
+		onChange:    onChange,
+		log:         o.Log.With().Str("part", "gossiper").Logger(),
+		ctx:         ctx,
+		cancel:      cancel,
+		changed:     make(chan struct{}, 1),
+		limiter:     rate.NewLimiter(rate.Limit(o.Budget), burstSeconds*o.Budget),
+		random:      rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		self:        newMember(o.Self),
+		members:     map[string]*entry{},
+		viewsDiffer: true,
 	}
-	node.Handle(messenger.Ping, g.serve)
+	node.Handle(messenger.Ping, g.handlePing)
 	signal(g.changed)
 	g.tasks.Add(2)
 	go func() {
@@ -132,7 +143,7 @@
 	}()
 	go func() {
 		defer g.tasks.Done()
-		g.report()
+		g.reportChanges()
 	}()
 	go func() {
 		defer close(g.Done)
@@ -141,68 +152,72 @@
 	return g
 }
 
-// SetShards tells the shards that this host owns.
+// SetShards sets the shards that this host announces as its own.
 func (g *Gossiper) SetShards(shards []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if slices.Equal(g.self.Shards, shards) {
-		return // no news; the sink may well lead to this call
+		return // unchanged; onChange may lead to this call, so an update would loop
 	}
 	g.self.Shards = shards
-	g.renew()
+	g.announceSelf()
 }
 
-// SetRevision tells the revision of the configuration in force here.
+// SetRevision sets the revision of the configuration in use on this host, which
+// its heartbeats report.
 func (g *Gossiper) SetRevision(revision int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self.Revision = revision
 }
 
-// UpdateHosts takes entry hosts from the host list as addresses to try. The
-// list lags, so a host that it lacks is not taken for dead. How the list says
-// that a host is reached prevails over what the host says of itself, which may
-// hold in its own network only.
+// UpdateHosts takes the live entry hosts from the platform's host list as addresses
+// to contact. The list lags, so a host that is missing from it is not treated as
+// dead. An address in the list takes precedence over the one that the host
+// announces, which may be valid in the host's own network only.
 func (g *Gossiper) UpdateHosts(hosts []describer.Host) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hosts, g.routes = nil, map[string]string{}
+	g.listedAddresses, g.addressByName = nil, map[string]string{}
 	for _, h := range hosts {
 		if h.Role == describer.Entry && h.State == describer.Live && h.Control != "" {
-			g.hosts = append(g.hosts, h.Control)
-			g.routes[h.Name] = h.Control
+			g.listedAddresses = append(g.listedAddresses, h.Control)
+			g.addressByName[h.Name] = h.Control
 		}
 	}
 	for name, e := range g.members {
-		if route, ok := g.routes[name]; ok && route != e.Address {
-			e.Address = route
+		if address, ok := g.addressByName[name]; ok && address != e.Address {
+			e.Address = address
 			signal(g.changed)
 		}
 	}
 }
 
-// Alive returns the members believed to be alive, sorted by name.
+// Alive returns the members believed to be alive, sorted by name, this host
+// included. Suspected and leaving members count as alive.
 func (g *Gossiper) Alive() []reducer.Peer {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.alive()
+	return g.aliveMembers()
 }
 
-// Sent returns the bytes sent so far, with an estimate of transport headers.
+// Sent returns the number of bytes sent so far, including an estimate of the
+// transport headers.
 func (g *Gossiper) Sent() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.sent
+	return g.sentBytes
 }
 
-// Leave tells the other hosts that this one is leaving. It goes on answering
+// Leave announces to other hosts that this one is leaving, and returns when they
+// have answered or their pings have timed out. The host goes on answering pings
 // until Close.
 func (g *Gossiper) Leave() {
 	g.mu.Lock()
 	g.self.Leaving = true
-	g.renew()
-	targets := g.nearest()
-	g.self.spread += len(targets)
+	g.announceSelf()
+	targets := g.leaveTargets()
+	g.self.transmitsLeft += len(targets)
 	g.mu.Unlock()
 	var pings sync.WaitGroup
 	for _, address := range targets {
@@ -211,7 +226,7 @@
 	pings.Wait()
 }
 
-// Close ends the gossiper without telling anybody.
+// Close stops the gossiper without announcing it. Done is closed when it has ended.
 func (g *Gossiper) Close() {
 	g.mu.Lock()
 	g.closed = true
@@ -219,31 +234,34 @@
 	g.cancel()
 }
 
-// renew makes a change of self known; g.mu is held.
-func (g *Gossiper) renew() {
+// announceSelf raises the incarnation of this host and queues the new state for
+// sending. g.mu is held.
+func (g *Gossiper) announceSelf() {
 	g.self.Incarnation++
-	g.self.spread = g.spreads()
+	g.self.transmitsLeft = g.transmitLimit()
 	signal(g.changed)
 }
 
-// spreads is how often a piece of news is sent on before it counts as known;
-// g.mu is held.
-func (g *Gossiper) spreads() int {
+// transmitLimit returns how many times this host sends an update before it counts
+// as disseminated. g.mu is held.
+func (g *Gossiper) transmitLimit() int {
 	return 4 * int(math.Ceil(math.Log10(float64(len(g.members)+2))))
 }
 
-// report calls the sink, with the latest state only when it is slow.
-func (g *Gossiper) report() {
+// reportChanges calls onChange after each change. If onChange is slow, it skips
+// intermediate states.
+func (g *Gossiper) reportChanges() {
 	for {
 		select {
 		case <-g.ctx.Done():
 			return
 		case <-g.changed:
-			g.sink(g.Alive())
+			g.onChange(g.Alive())
 		}
 	}
 }
 
+// signal wakes the reader of c, a channel of capacity 1, without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -251,7 +269,7 @@
 	}
 }
 
-func (o *Options) fill() {
+func (o *Options) setDefaults() {
 	if o.Interval <= 0 {
 		o.Interval = DefaultInterval
 	}
--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -17,26 +17,30 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-func virtual(f func()) func() { return faker.WithVirtualTime(&current, f) }
+// inVirtualTime returns a spec that runs f with the virtual time of testing/synctest.
+func inVirtualTime(f func()) func() { return faker.WithVirtualTime(&currentTest, f) }
 
-// cluster is a set of gossipers, named by their addresses domain/number.
+// cluster is a set of gossipers on a simulated network. The name of each, which is
+// also its address, has the form domain/number.
 type cluster struct {
-	network *faker.Network
-	hosts   map[string]*gossiper.Gossiper
-	gone    int64 // bytes sent by stopped hosts
+	network      *faker.Network
+	hosts        map[string]*gossiper.Gossiper
+	stoppedBytes int64 // bytes sent by stopped hosts
 
-	mu   sync.Mutex
-	seen map[string]int64 // latest revision seen by a host
+	mu             sync.Mutex
+	latestRevision map[string]int64 // revision that Options.Seen last reported to each host
 }
 
 func newCluster() *cluster {
 	return &cluster{
-		network: faker.NewNetwork(),
-		hosts:   map[string]*gossiper.Gossiper{},
-		seen:    map[string]int64{},
+		network:        faker.NewNetwork(),
+		hosts:          map[string]*gossiper.Gossiper{},
+		latestRevision: map[string]int64{},
 	}
 }
 
+// start starts a gossiper with the given name. Its seed depends on the number of
+// hosts started before it.
 func (c *cluster) start(name string, seeds ...string) *gossiper.Gossiper {
 	domain, _, _ := strings.Cut(name, "/")
 	g := gossiper.New(gossiper.Options{
@@ -46,7 +50,7 @@
 		Seen: func(_ string, revision int64) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.seen[name] = revision
+			c.latestRevision[name] = revision
 		},
 		Log: zerolog.Nop(),
 	}, c.network.AddNode(name), func([]reducer.Peer) {})
@@ -54,17 +58,19 @@
 	return g
 }
 
+// startAll starts n gossipers in three failure domains, with d0/0 as seed.
 func (c *cluster) startAll(n int) {
 	for i := range n {
 		c.start(fmt.Sprintf("d%d/%d", i%3, i), "d0/0")
 	}
 }
 
+// stop takes a gossiper off the network and closes it, without Leave.
 func (c *cluster) stop(name string) {
 	c.network.RemoveNode(name)
 	c.hosts[name].Close()
 	<-c.hosts[name].Done
-	c.gone += c.hosts[name].Sent()
+	c.stoppedBytes += c.hosts[name].Sent()
 	delete(c.hosts, name)
 }
 
@@ -74,8 +80,8 @@
 	}
 }
 
-// views returns the names of the members in each host's view, sorted and
-// joined; leaving ones are marked.
+// views returns, for each host, the names of the members that it knows, sorted and
+// joined with commas. Leaving members are marked.
 func (c *cluster) views() map[string]string {
 	synctest.Wait()
 	out := map[string]string{}
@@ -93,7 +99,7 @@
 }
 
 var _ = Describe("Gossiper", func() {
-	It("finds all members from one seed, and drops a dead one", virtual(func() {
+	It("finds all members through one seed, and removes a dead one", inVirtualTime(func() {
 		c := newCluster()
 		defer c.stopAll()
 		c.startAll(4)
@@ -104,7 +110,7 @@
 		Expect(c.views()).To(HaveEach("d0/0,d0/3,d2/2"))
 	}))
 
-	It("knows at once that a member is leaving, and then drops it without suspicion", virtual(func() {
+	It("lists a leaving member as leaving at once, and removes it without suspicion", inVirtualTime(func() {
 		c := newCluster()
 		defer c.stopAll()
 		c.startAll(4)
@@ -116,7 +122,7 @@
 		Expect(c.views()).To(HaveEach("d0/0,d1/1,d2/2"))
 	}))
 
-	It("finds members by the host list", virtual(func() {
+	It("finds members through the host list", inVirtualTime(func() {
 		c := newCluster()
 		defer c.stopAll()
 		c.start("a/1")
@@ -125,7 +131,7 @@
 		Expect(c.views()).To(HaveEach("a/1,a/2"))
 	}))
 
-	It("reaches a member as the host list says, also after news of it", virtual(func() {
+	It("prefers the address in the host list, also after an update from the member", inVirtualTime(func() {
 		c := newCluster()
 		defer c.stopAll()
 		c.startAll(2)
@@ -139,7 +145,7 @@
 		Expect(address()).To(Equal("relay"))
 	}))
 
-	It("reports nothing when the shards stay the same", virtual(func() {
+	It("reports no change when the shards stay the same", inVirtualTime(func() {
 		network, reports := faker.NewNetwork(), 0
 		g := gossiper.New(gossiper.Options{Self: reducer.Peer{Name: "a"}, Log: zerolog.Nop()}, network.AddNode("a"),
 			func([]reducer.Peer) { reports++ })
--- a/internal/peer/gossiper/member.go
+++ b/internal/peer/gossiper/member.go
@@ -12,7 +12,8 @@
 	"dotterelcart.dev/dotterelcart/internal/control/reducer"
 )
 
-// state of a member, in the order in which it prevails at one incarnation.
+// state is the state of a member. At the same incarnation, a greater state
+// supersedes a smaller one.
 type state uint8
 
 const (
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// member is what hosts tell each other about one of them.
+// member is the state of one host that hosts send to each other.
 type member struct {
 	Name        string   `json:"name"`
 	Domain      string   `json:"domain"`
@@ -41,29 +42,29 @@
 	Address     string   `json:"address"`
 	Shards      []string `json:"shards,omitempty"`
 	Leaving     bool     `json:"leaving,omitempty"`
-	Incarnation int64    `json:"incarnation"` // raised by the member itself only
+	Incarnation int64    `json:"incarnation"` // only the member itself raises it
 	State       state    `json:"state,omitempty"`
-	Revision    int64    `json:"-"` // of the configuration; sent by the member itself only
+	Revision    int64    `json:"-"` // of the configuration; only the member's own heartbeats carry it
 
-	spread int // times that this is still to be sent on
+	transmitsLeft int // remaining number of times to send this update to other hosts
 }
 
-// entry is a member other than self.
+// entry is a member other than this host.
 type entry struct {
 	member
-	since time.Time // of the state
+	since time.Time // when the last update was applied, which set the state
 }
 
 func newMember(p reducer.Peer) member {
 	return member{
-		Name:        p.Name,
-		Domain:      p.Domain,
-		Region:      p.Region,
-		Address:     p.Address,
-		Shards:      p.Shards,
-		Leaving:     p.Leaving,
-		Incarnation: time.Now().UnixMilli(), // greater than that of an earlier process
-		spread:      1,
+		Name:          p.Name,
+		Domain:        p.Domain,
+		Region:        p.Region,
+		Address:       p.Address,
+		Shards:        p.Shards,
+		Leaving:       p.Leaving,
+		Incarnation:   time.Now().UnixMilli(), // greater than those of earlier processes of this name
+		transmitsLeft: 1,
 	}
 }
 
@@ -78,13 +79,14 @@
 	}
 }
 
-// prevails reports whether m is newer than o.
-func (m member) prevails(o member) bool {
+// supersedes reports whether m is a newer update than o.
+func (m member) supersedes(o member) bool {
 	return m.Incarnation > o.Incarnation || m.Incarnation == o.Incarnation && m.State > o.State
 }
 
-// digest is a hash that adds up over members, so that two views compare in
-// 8 bytes. Suspicions are left out, as they pass.
+// digest returns a hash of the name and incarnation, or 0 for a dead member. The
+// digest of a view is the sum over its members, so that hosts compare their views
+// with 8 bytes. Suspect members hash like alive ones, as suspicions are temporary.
 func (m member) digest() uint64 {
 	if m.State == dead {
 		return 0
@@ -94,22 +96,24 @@
 	return xxhash.Sum64String(m.Name + string(b[:]))
 }
 
-// sum is the digest of the whole view; g.mu is held.
-func (g *Gossiper) sum() uint64 { return g.self.digest() + g.others }
+// viewDigest returns the digest of all members and this host. g.mu is held.
+func (g *Gossiper) viewDigest() uint64 { return g.self.digest() + g.membersDigest }
 
-// refresh computes what is derived from the members; g.mu is held.
-func (g *Gossiper) refresh() {
-	g.others = 0
-	g.sorted = g.sorted[:0]
+// reindex recomputes sortedNames and membersDigest after a change of members. g.mu
+// is held.
+func (g *Gossiper) reindex() {
+	g.membersDigest = 0
+	g.sortedNames = g.sortedNames[:0]
 	for name, e := range g.members {
-		g.others += e.digest()
-		g.sorted = append(g.sorted, name)
+		g.membersDigest += e.digest()
+		g.sortedNames = append(g.sortedNames, name)
 	}
-	slices.Sort(g.sorted)
+	slices.Sort(g.sortedNames)
 }
 
-// alive returns the members that are not dead; g.mu is held.
-func (g *Gossiper) alive() []reducer.Peer {
+// aliveMembers returns this host and the members that are not dead, sorted by name.
+// g.mu is held.
+func (g *Gossiper) aliveMembers() []reducer.Peer {
 	out := []reducer.Peer{g.self.peer()}
 	for _, e := range g.members {
 		if e.State != dead {
@@ -120,8 +124,9 @@
 	return out
 }
 
-// learn takes in what another host said; g.mu is held.
-func (g *Gossiper) learn(m member) {
+// applyUpdate applies an update from another host, unless it is stale or malformed.
+// g.mu is held.
+func (g *Gossiper) applyUpdate(m member) {
 	if m.Name == "" || m.State > dead {
 		return
 	}
@@ -131,66 +136,68 @@
 	}
 	e := g.members[m.Name]
 	switch {
-	case e != nil && !m.prevails(e.member), e == nil && m.State == dead:
+	case e != nil && !m.supersedes(e.member), e == nil && m.State == dead:
 		return
 	case e == nil:
 		e = &entry{}
 		g.members[m.Name] = e
-		// When many join at once, the comparison of views brings their names
-		// with far fewer bytes than passing on each of them.
-		m.spread = 1
+		// A new member is sent on only once: when many hosts join at the same time,
+		// the comparison of views finds them with far fewer bytes.
+		m.transmitsLeft = 1
 	default:
-		m.spread = g.spreads()
+		m.transmitsLeft = g.transmitLimit()
 	}
-	if route, ok := g.routes[m.Name]; ok {
-		m.Address = route
+	if address, ok := g.addressByName[m.Name]; ok {
+		m.Address = address
 	}
 	if e.State != m.State {
-		g.log.Info().Str("member", m.Name).Stringer("state", m.State).Msg("Member changed.")
+		g.log.Info().Str("member", m.Name).Stringer("state", m.State).Msg("member state changed")
 	}
 	e.member, e.since = m, time.Now()
-	g.refresh()
+	g.reindex()
 	signal(g.changed)
 }
 
-// refute answers news about this host that is not its own.
+// refute overrides an update about this host that did not come from this process,
+// such as a suspicion, with a greater incarnation. g.mu is held.
 func (g *Gossiper) refute(m member) {
 	own := m.State == alive && m.Incarnation <= g.self.Incarnation
 	if own || m.Incarnation < g.self.Incarnation {
 		return
 	}
 	g.self.Incarnation = m.Incarnation
-	g.renew()
+	g.announceSelf()
 }
 
-// mark changes the state of a member on this host's own evidence; g.mu is
-// held.
-func (g *Gossiper) mark(name string, incarnation int64, s state) {
+// setState raises the state of a member that this host itself found suspect or
+// dead. It does nothing if the member has another incarnation by now. g.mu is held.
+func (g *Gossiper) setState(name string, incarnation int64, s state) {
 	e := g.members[name]
 	if e == nil || e.Incarnation != incarnation || e.State >= s {
 		return
 	}
 	m := e.member
 	m.State = s
-	g.learn(m)
+	g.applyUpdate(m)
 }
 
-// expire turns suspects into dead members and forgets old ones; g.mu is held.
-func (g *Gossiper) expire(now time.Time) {
+// expireMembers marks members dead whose suspicion was not refuted in time, and
+// deletes members that have been dead for deadRetention. g.mu is held.
+func (g *Gossiper) expireMembers(now time.Time) {
 	for name, e := range g.members {
 		switch {
-		case e.State == suspect && now.Sub(e.since) > g.patience():
-			g.mark(name, e.Incarnation, dead)
-		case e.State == dead && now.Sub(e.since) > forgetAfter:
+		case e.State == suspect && now.Sub(e.since) > g.suspicionTimeout():
+			g.setState(name, e.Incarnation, dead)
+		case e.State == dead && now.Sub(e.since) > deadRetention:
 			delete(g.members, name)
-			g.refresh()
+			g.reindex()
 		}
 	}
 }
 
-// excuse moves suspicions on by the time that this host itself was paused, in
-// which it could not hear a refutation; g.mu is held.
-func (g *Gossiper) excuse(pause time.Duration) {
+// extendSuspicions extends all suspicions by a time in which this process was
+// paused, as it could not receive refutations then. g.mu is held.
+func (g *Gossiper) extendSuspicions(pause time.Duration) {
 	for _, e := range g.members {
 		if e.State == suspect {
 			e.since = e.since.Add(pause)
--- a/internal/peer/gossiper/ping.go
+++ b/internal/peer/gossiper/ping.go
@@ -12,30 +12,31 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// heartbeat is both request and answer of the method messenger.Ping.
+// heartbeat is the request and the answer of the method messenger.Ping.
 type heartbeat struct {
-	Name        string   `json:"name"` // of the sender
-	Incarnation int64    `json:"incarnation"`
-	Revision    int64    `json:"revision,omitempty"`
-	Sum         uint64   `json:"sum"`
-	Parts       []uint32 `json:"parts,omitempty"`   // request: digests of the parts of the sender's view
-	Unknown     bool     `json:"unknown,omitempty"` // answer: the receiver does not know the sender as it is
-	Target      string   `json:"target,omitempty"`  // request: ping this address on behalf of the sender
-	Members     []member `json:"members,omitempty"`
+	Name          string   `json:"name"` // sender
+	Incarnation   int64    `json:"incarnation"`
+	Revision      int64    `json:"revision,omitempty"`
+	ViewDigest    uint64   `json:"sum"`
+	PartDigests   []uint32 `json:"parts,omitempty"`   // request: digests of the parts of the sender's view, sent when views differ
+	SenderUnknown bool     `json:"unknown,omitempty"` // answer: the receiver lacks the sender at this incarnation
+	Target        string   `json:"target,omitempty"`  // request: address to ping for the sender
+	Members       []member `json:"members,omitempty"`
 }
 
-// partSize is the number of members aimed at in a part of the view. Views that
-// differ are compared part by part, so that few members have to be sent to
-// find a single difference.
-const partSize = 8
+// membersPerPart is the average number of members in a part of a view. Views that
+// differ are compared part by part, so that few members have to be sent to resolve
+// a single difference.
+const membersPerPart = 8
 
-// partOf returns the part that a member belongs to.
-func partOf(m member, parts int) int { return int(xxhash.Sum64String(m.Name) % uint64(parts)) }
+// partIndex returns the part of a view that m belongs to, chosen by a hash of its
+// name.
+func partIndex(m member, parts int) int { return int(xxhash.Sum64String(m.Name) % uint64(parts)) }
 
-// digests returns the digests of the parts of the view; g.mu is held.
-func (g *Gossiper) digests(parts int) []uint32 {
+// partDigests returns the digest of each part of the view. g.mu is held.
+func (g *Gossiper) partDigests(parts int) []uint32 {
 	out := make([]uint32, parts)
-	add := func(m member) { out[partOf(m, parts)] += uint32(m.digest()) }
+	add := func(m member) { out[partIndex(m, parts)] += uint32(m.digest()) }
 	add(g.self)
 	for _, e := range g.members {
 		add(e.member)
@@ -43,38 +44,40 @@
 	return out
 }
 
-// differing returns a test for members of the parts in which the sender's view
-// differs; g.mu is held.
-func (g *Gossiper) differing(parts []uint32) func(member) bool {
+// inDifferingPart returns a predicate that holds for the members of those parts in
+// which this view differs from the sender's, given by its part digests. g.mu is held.
+func (g *Gossiper) inDifferingPart(parts []uint32) func(member) bool {
 	if len(parts) == 0 {
 		return func(member) bool { return false }
 	}
-	own := g.digests(len(parts))
+	own := g.partDigests(len(parts))
 	return func(m member) bool {
-		p := partOf(m, len(parts))
+		p := partIndex(m, len(parts))
 		return own[p] != parts[p]
 	}
 }
 
-// overhead estimates the transport's share of one message: its segment, and
-// half an acknowledgement, with IPv4 and TCP headers and time stamps.
-const overhead = 52 + 26
+// transportOverhead is an estimate of the header bytes of one message: a segment
+// with IPv4 and TCP headers and time stamps, and half an acknowledgement.
+const transportOverhead = 52 + 26
 
-// introductions is the least number of items in an answer to a host that knows
-// few others. When many hosts join by one seed, its budget is used up at once; a few names let each of them
-// go on elsewhere.
-const introductions = 3
+// minJoinUpdates is the least number of updates in an answer to a host that knows
+// few others, even if the budget is used up. When many hosts join through one seed,
+// the seed's budget is used up at once, and a few members let each of them continue
+// with other hosts.
+const minJoinUpdates = 3
 
-// envelope is the JSON-RPC text around a heartbeat, bytes.
-const envelope = 60
+// envelopeSize is the size of the JSON-RPC text around a heartbeat, in bytes.
+const envelopeSize = 60
 
-// serve answers a ping.
-func (g *Gossiper) serve(ctx context.Context, params json.RawMessage) (any, error) {
+// handlePing handles a ping from another host: it applies the updates, pings Target
+// if set, and answers with updates of its own. It fails if Target did not answer.
+func (g *Gossiper) handlePing(ctx context.Context, params json.RawMessage) (any, error) {
 	var h heartbeat
 	if err := json.Unmarshal(params, &h); err != nil {
 		return nil, &classifier.Error{Verdict: classifier.NotRun, Code: "malformed", Message: "heartbeat cannot be read", Err: err}
 	}
-	g.take(h)
+	g.applyHeartbeat(h)
 	if h.Target != "" {
 		if err := g.ping(ctx, h.Target, ""); err != nil {
 			return nil, err
@@ -82,80 +85,85 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	least := 0
-	if len(h.Parts) == 1 {
-		least = introductions
+	minUpdates := 0
+	if len(h.PartDigests) == 1 {
+		minUpdates = minJoinUpdates
 	}
-	out := g.compose(h.Name, g.differing(h.Parts), least)
-	out.Unknown = !g.knows(h)
+	out := g.newHeartbeat(h.Name, g.inDifferingPart(h.PartDigests), minUpdates)
+	out.SenderUnknown = !g.knows(h)
 	return out, nil
 }
 
-// knows reports whether the sender is known as it is; g.mu is held.
+// knows reports whether this host knows the sender at its incarnation or a later
+// one. g.mu is held.
 func (g *Gossiper) knows(h heartbeat) bool {
 	e := g.members[h.Name]
 	return e != nil && e.Incarnation >= h.Incarnation
 }
 
-// take learns from a heartbeat.
-func (g *Gossiper) take(h heartbeat) {
+// applyHeartbeat applies the updates of a heartbeat and reports a new configuration
+// revision to Options.Seen.
+func (g *Gossiper) applyHeartbeat(h heartbeat) {
 	g.mu.Lock()
 	for _, m := range h.Members {
-		g.learn(m)
+		g.applyUpdate(m)
 	}
-	address, news := "", false
+	address, isNew := "", false
 	if e := g.members[h.Name]; e != nil {
-		address, news = e.Address, h.Revision > e.Revision
-		if news {
+		address, isNew = e.Address, h.Revision > e.Revision
+		if isNew {
 			e.Revision = h.Revision
 		}
-		news = news || h.Revision > g.self.Revision
+		isNew = isNew || h.Revision > g.self.Revision
 	}
 	g.mu.Unlock()
-	if news {
+	if isNew {
 		g.options.Seen(address, h.Revision)
 	}
 }
 
-// compose makes a heartbeat for the host with the given name, with as much
-// news as the budget allows, and at least so many items; g.mu is held.
-func (g *Gossiper) compose(to string, differs func(member) bool, least int) heartbeat {
+// newHeartbeat returns a heartbeat for the host with the given name. It contains as
+// many updates as the budget allows, but at least minUpdates if there are that many.
+// differs selects members to send besides the recent updates. g.mu is held.
+func (g *Gossiper) newHeartbeat(to string, differs func(member) bool, minUpdates int) heartbeat {
 	out := heartbeat{
 		Name:        g.self.Name,
 		Incarnation: g.self.Incarnation,
 		Revision:    g.self.Revision,
-		Sum:         g.sum(),
+		ViewDigest:  g.viewDigest(),
 	}
-	size := encodedSize(out) + envelope + overhead
+	size := encodedSize(out) + envelopeSize + transportOverhead
 	now := time.Now()
-	allowed := int(g.limit.TokensAt(now)) - size
-	for _, m := range g.news(to, differs) {
+	allowed := int(g.limiter.TokensAt(now)) - size
+	for _, m := range g.pendingUpdates(to, differs) {
 		n := encodedSize(*m) + 1
-		if n > allowed && len(out.Members) >= least {
+		if n > allowed && len(out.Members) >= minUpdates {
 			break
 		}
 		allowed -= n
 		size += n
-		m.spread--
+		m.transmitsLeft--
 		out.Members = append(out.Members, *m)
 	}
-	g.spend(now, size)
+	g.recordSent(now, size)
 	return out
 }
 
-// spend books bytes; an answer's least is sent in any case, and later pings
-// make up for it.
-func (g *Gossiper) spend(now time.Time, size int) {
-	g.sent += int64(size)
-	g.limit.ReserveN(now, min(size, g.limit.Burst()))
+// recordSent charges bytes to the budget. The balance may become negative, as the
+// least number of updates is sent in any case; later pings wait until it has
+// recovered. g.mu is held.
+func (g *Gossiper) recordSent(now time.Time, size int) {
+	g.sentBytes += int64(size)
+	g.limiter.ReserveN(now, min(size, g.limiter.Burst()))
 }
 
-// news returns what to send, most urgent first: what the receiver is wrong
-// about itself, what is new, and the members for which differs holds, in random
-// order.
-func (g *Gossiper) news(to string, differs func(member) bool) []*member {
+// pendingUpdates returns the updates to send, most urgent first: the receiver itself
+// if it is not alive in this view, so that it can refute; updates with transmissions
+// left, the most first; and the members for which differs holds, in random order.
+// g.mu is held.
+func (g *Gossiper) pendingUpdates(to string, differs func(member) bool) []*member {
 	var first, fresh, rest []*member
-	if g.self.spread > 0 {
+	if g.self.transmitsLeft > 0 {
 		fresh = append(fresh, &g.self)
 	} else if differs(g.self) {
 		rest = append(rest, &g.self)
@@ -165,50 +173,53 @@
 		switch {
 		case name == to && e.State != alive:
 			first = append(first, &e.member)
-		case e.spread > 0:
+		case e.transmitsLeft > 0:
 			fresh = append(fresh, &e.member)
 		case e.State != dead && differs(e.member):
 			rest = append(rest, &e.member)
 		}
 	}
-	// Shuffled first, or all hosts would pass on the same names first.
+	// The stable sort keeps the shuffled order among equals; without it, all hosts
+	// would send the same names first.
 	g.random.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
-	slices.SortStableFunc(fresh, func(a, b *member) int { return b.spread - a.spread })
+	slices.SortStableFunc(fresh, func(a, b *member) int { return b.transmitsLeft - a.transmitsLeft })
 	g.random.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	return slices.Concat(first, fresh, rest)
 }
 
-// names returns the members' names sorted, so that a seed gives one order; the
-// list is valid while g.mu is held.
-func (g *Gossiper) names() []string { return g.sorted }
+// names returns the names of the members in sorted order, so that runs with the same
+// seed choose the same members. The list is valid while g.mu is held.
+func (g *Gossiper) names() []string { return g.sortedNames }
 
-// ping calls the host at address, or has it ping target.
+// ping pings the host at address. If target is not empty, that host pings target on
+// behalf of this one before it answers.
 func (g *Gossiper) ping(ctx context.Context, address, target string) error {
 	g.mu.Lock()
-	h := g.compose(g.nameOf(address), g.differing(nil), 0)
-	if g.differs {
-		h.Parts = g.digests(len(g.members)/partSize + 1)
-		g.spend(time.Now(), encodedSize(h.Parts))
+	h := g.newHeartbeat(g.nameByAddress(address), g.inDifferingPart(nil), 0)
+	if g.viewsDiffer {
+		h.PartDigests = g.partDigests(len(g.members)/membersPerPart + 1)
+		g.recordSent(time.Now(), encodedSize(h.PartDigests))
 	}
 	g.mu.Unlock()
 	h.Target = target
-	ctx, cancel := context.WithTimeout(ctx, g.timeout(target))
+	ctx, cancel := context.WithTimeout(ctx, g.pingTimeout(target))
 	defer cancel()
 	var answer heartbeat
 	if err := g.node.Call(ctx, address, messenger.Ping, h, &answer); err != nil {
 		return err
 	}
-	g.take(answer)
+	g.applyHeartbeat(answer)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.differs = answer.Sum != g.sum()
-	if answer.Unknown {
-		g.self.spread = max(g.self.spread, 1)
+	g.viewsDiffer = answer.ViewDigest != g.viewDigest()
+	if answer.SenderUnknown {
+		g.self.transmitsLeft = max(g.self.transmitsLeft, 1)
 	}
 	return nil
 }
 
-func (g *Gossiper) nameOf(address string) string {
+// nameByAddress returns the name of the member at address, or "". g.mu is held.
+func (g *Gossiper) nameByAddress(address string) string {
 	for name, e := range g.members {
 		if e.Address == address {
 			return name
@@ -217,14 +228,16 @@
 	return ""
 }
 
-// timeout of a ping; one through another host takes two.
-func (g *Gossiper) timeout(target string) time.Duration {
+// pingTimeout returns the timeout of a ping: half an interval, or a whole one for an
+// indirect ping, which consists of two pings.
+func (g *Gossiper) pingTimeout(target string) time.Duration {
 	if target == "" {
 		return g.options.Interval / 2
 	}
 	return g.options.Interval
 }
 
+// encodedSize returns the size of v as JSON, in bytes.
 func encodedSize(v any) int {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/internal/peer/gossiper/probe.go
+++ b/internal/peer/gossiper/probe.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// run pings one member each interval.
+// run starts one probe each interval until Close. If the process was paused, it
+// extends the suspicions by the time of the pause.
 func (g *Gossiper) run() {
 	ticker := time.NewTicker(g.options.Interval)
 	defer ticker.Stop()
@@ -22,34 +23,38 @@
 		now := time.Now()
 		if late := now.Sub(last) - 2*g.options.Interval; late > 0 {
 			g.mu.Lock()
-			g.excuse(late)
+			g.extendSuspicions(late)
 			g.mu.Unlock()
 		}
 		last = now
 	}
 }
 
+// tick expires members, probes the next one, and at times pings an address that is
+// not a member. It does not wait for the answers.
 func (g *Gossiper) tick() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ticks++
-	g.expire(time.Now())
-	if target := g.target(); target != nil && g.affordable() {
+	g.expireMembers(time.Now())
+	if target := g.nextMember(); target != nil && g.canAffordPing() {
 		m := target.member
-		g.begin(func() { g.probe(m) })
+		g.startTask(func() { g.probe(m) })
 	}
-	if address := g.stranger(); address != "" && g.affordable() {
-		g.begin(func() { _ = g.ping(g.ctx, address, "") })
+	if address := g.nextNonMember(); address != "" && g.canAffordPing() {
+		g.startTask(func() { _ = g.ping(g.ctx, address, "") })
 	}
 }
 
-// affordable reports whether the budget allows a bare ping; g.mu is held.
-func (g *Gossiper) affordable() bool {
-	return g.limit.TokensAt(time.Now()) > 2*(envelope+overhead)
+// canAffordPing reports whether the budget allows a ping without updates. g.mu is
+// held.
+func (g *Gossiper) canAffordPing() bool {
+	return g.limiter.TokensAt(time.Now()) > 2*(envelopeSize+transportOverhead)
 }
 
-// begin runs f on a goroutine; g.mu is held.
-func (g *Gossiper) begin(f func()) {
+// startTask runs f on a goroutine that Done waits for, unless the gossiper is
+// closed. g.mu is held.
+func (g *Gossiper) startTask(f func()) {
 	if g.closed {
 		return
 	}
@@ -60,18 +65,19 @@
 	}()
 }
 
-// target returns the next member in the round; g.mu is held.
-func (g *Gossiper) target() *entry {
+// nextMember returns the next member to probe, or nil. Each round goes through all
+// members that are not dead in a new random order. g.mu is held.
+func (g *Gossiper) nextMember() *entry {
 	for range len(g.members) + 1 {
-		if len(g.order) == 0 {
-			g.order = slices.Clone(g.names())
-			g.random.Shuffle(len(g.order), func(i, j int) { g.order[i], g.order[j] = g.order[j], g.order[i] })
+		if len(g.pingOrder) == 0 {
+			g.pingOrder = slices.Clone(g.names())
+			g.random.Shuffle(len(g.pingOrder), func(i, j int) { g.pingOrder[i], g.pingOrder[j] = g.pingOrder[j], g.pingOrder[i] })
 		}
-		if len(g.order) == 0 {
+		if len(g.pingOrder) == 0 {
 			return nil
 		}
-		e := g.members[g.order[0]]
-		g.order = g.order[1:]
+		e := g.members[g.pingOrder[0]]
+		g.pingOrder = g.pingOrder[1:]
 		if e != nil && e.State != dead {
 			return e
 		}
@@ -79,60 +85,64 @@
 	return nil
 }
 
-// stranger returns an address to try that belongs to no live member: all the
-// time while this host is alone, now and then later, which joins the halves
-// of a partition again. g.mu is held.
-func (g *Gossiper) stranger() string {
-	members := map[string]bool{g.self.Address: true}
-	var gone []string
+// nextNonMember returns an address to ping that belongs to no live member, or "". It
+// returns one in every interval while this host knows no other live member, and
+// every rejoinIntervals otherwise, so that the sides of a healed partition find each
+// other. g.mu is held.
+func (g *Gossiper) nextNonMember() string {
+	memberAddresses := map[string]bool{g.self.Address: true}
+	var deadAddresses []string
 	for _, name := range g.names() {
 		e := g.members[name]
 		if e.State == dead {
-			gone = append(gone, e.Address)
+			deadAddresses = append(deadAddresses, e.Address)
 			continue
 		}
-		members[e.Address] = true
+		memberAddresses[e.Address] = true
 	}
-	if len(members) > 1 && g.ticks%probeEvery != 0 {
+	if len(memberAddresses) > 1 && g.ticks%rejoinIntervals != 0 {
 		return ""
 	}
-	candidates := slices.Concat(g.options.Seeds, g.hosts, gone)
-	candidates = slices.DeleteFunc(candidates, func(a string) bool { return members[a] })
+	candidates := slices.Concat(g.options.Seeds, g.listedAddresses, deadAddresses)
+	candidates = slices.DeleteFunc(candidates, func(a string) bool { return memberAddresses[a] })
 	if len(candidates) == 0 {
 		return ""
 	}
-	g.next++
-	return candidates[g.next%len(candidates)]
+	g.nextCandidate++
+	return candidates[g.nextCandidate%len(candidates)]
 }
 
-// probe pings a member, then asks others to do it, then suspects it.
+// probe pings a member, directly and then through other hosts, and marks it suspect
+// if it did not answer. A leaving member that does not answer a direct ping is
+// marked dead.
 func (g *Gossiper) probe(m member) {
-	reached := g.ping(g.ctx, m.Address, "") == nil || !m.Leaving && g.askOthers(m)
+	reached := g.ping(g.ctx, m.Address, "") == nil || !m.Leaving && g.probeIndirectly(m)
 	if g.ctx.Err() != nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if reached {
-		g.failing = max(0, g.failing-1)
+		g.failureScore = max(0, g.failureScore-1)
 		return
 	}
 	if m.Leaving {
-		g.mark(m.Name, m.Incarnation, dead)
+		g.setState(m.Name, m.Incarnation, dead)
 		return
 	}
-	g.failing = min(doubt, g.failing+1)
-	g.mark(m.Name, m.Incarnation, suspect)
+	g.failureScore = min(maxFailureScore, g.failureScore+1)
+	g.setState(m.Name, m.Incarnation, suspect)
 }
 
-// askOthers reports whether some other host can reach the member.
-func (g *Gossiper) askOthers(m member) bool {
+// probeIndirectly asks up to indirectProbes other hosts to ping m, and reports
+// whether one of them reached it.
+func (g *Gossiper) probeIndirectly(m member) bool {
 	g.mu.Lock()
 	names := slices.Clone(g.names())
 	g.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	var helpers []string
 	for _, name := range names {
-		if e := g.members[name]; name != m.Name && e.State == alive && len(helpers) < indirect && g.affordable() {
+		if e := g.members[name]; name != m.Name && e.State == alive && len(helpers) < indirectProbes && g.canAffordPing() {
 			helpers = append(helpers, e.Address)
 		}
 	}
@@ -146,30 +156,32 @@
 	return slices.Contains(reached, true)
 }
 
-// doubt bounds the factor by which a host that reaches nobody extends its
-// suspicions: then the fault is more likely its own.
-const doubt = 8
+// maxFailureScore bounds the factor by which a host whose probes fail extends its
+// suspicions. If it reaches nobody, the fault is more likely its own.
+const maxFailureScore = 8
 
-// patience is how long a suspicion may stand; g.mu is held.
-func (g *Gossiper) patience() time.Duration {
+// suspicionTimeout returns how long a member stays suspect before it is marked dead.
+// It grows with the logarithm of the number of members, and with the failure score.
+// g.mu is held.
+func (g *Gossiper) suspicionTimeout() time.Duration {
 	scale := math.Max(1, math.Log10(float64(len(g.members)+1)))
-	scale *= float64(max(1, g.failing))
-	return time.Duration(suspicion * scale * float64(g.options.Interval))
+	scale *= float64(max(1, g.failureScore))
+	return time.Duration(suspicionIntervals * scale * float64(g.options.Interval))
 }
 
-// nearest returns the live hosts of the own domain and a few others; g.mu is
-// held.
-func (g *Gossiper) nearest() []string {
+// leaveTargets returns the addresses that Leave pings: all live members of the same
+// failure domain, and up to indirectProbes others. g.mu is held.
+func (g *Gossiper) leaveTargets() []string {
 	var out []string
-	distant := indirect
+	otherDomains := indirectProbes
 	for _, name := range g.names() {
 		e := g.members[name]
 		switch {
 		case e.State == dead:
 		case e.Domain == g.self.Domain:
 			out = append(out, e.Address)
-		case distant > 0:
-			distant--
+		case otherDomains > 0:
+			otherDomains--
 			out = append(out, e.Address)
 		}
 	}
--- a/internal/peer/gossiper/refute_test.go
+++ b/internal/peer/gossiper/refute_test.go
@@ -8,8 +8,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestSuspectRefutes lets a suspect refute, with a greater incarnation. It is a
-// test of its own since it is listed in KNOWN-RED.txt.
+// TestSuspectRefutes checks that a member that was suspected during an isolation of
+// 4 s refutes the suspicion with a greater incarnation and is never removed. It is
+// not a spec, so that KNOWN-RED.txt can name it.
 func TestSuspectRefutes(t *testing.T) {
 	RegisterTestingT(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -21,7 +22,7 @@
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
 			c.network.SetPartitioned("d1/1", other, true)
 		}
-		time.Sleep(4 * time.Second) // suspected, not dead yet
+		time.Sleep(4 * time.Second) // long enough for a suspicion, too short for a removal
 		for _, other := range []string{"d0/0", "d0/3", "d2/2"} {
 			c.network.SetPartitioned("d1/1", other, false)
 		}
--- a/internal/peer/gossiper/suite_test.go
+++ b/internal/peer/gossiper/suite_test.go
@@ -7,11 +7,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// current runs the bubbles of specs with virtual time.
-var current *testing.T
+// currentTest is the test that runs the specs; faker.WithVirtualTime needs it.
+var currentTest *testing.T
 
 func TestGossiper(t *testing.T) {
-	current = t
+	currentTest = t
 	RegisterFailHandler(Fail)
 	RunSpecs(t, "Gossiper")
 }
