--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -269,6 +269,7 @@
 	}
 }
 
+// setDefaults replaces zero values by the defaults.
 func (o *Options) setDefaults() {
 	if o.Interval <= 0 {
 		o.Interval = DefaultInterval
--- a/internal/peer/messenger/call.go
+++ b/internal/peer/messenger/call.go
@@ -10,9 +10,9 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// Call implements Caller. A context without deadline gets Options.Timeout. It
-// dials again, once, when the kept connection turns out to be closed before
-// anything was written.
+// Call implements Caller. If ctx has no deadline, the call ends after
+// Options.Timeout. If the open connection turns out to be closed before anything was
+// written, Call dials once more.
 func (n *Node) Call(ctx context.Context, address, method string, params, result any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -21,68 +21,72 @@
 	}
 	body, err := json.Marshal(params)
 	if err != nil {
-		return failed(classifier.NotRun, "params", err)
+		return callError(classifier.NotRun, "params", err)
 	}
 	if int64(len(body)) > n.options.Limit {
-		return refusal("large", "message exceeds the limit")
+		return refusalError("large", "message exceeds the limit")
 	}
-	err = n.attempt(ctx, address, method, body, result)
-	if errors.Is(err, errNotBegun) {
-		err = n.attempt(ctx, address, method, body, result)
+	err = n.tryCall(ctx, address, method, body, result)
+	if errors.Is(err, errNotWritten) {
+		err = n.tryCall(ctx, address, method, body, result)
 	}
-	if errors.Is(err, errNotBegun) {
-		return failed(classifier.NotRun, "unreachable", err)
+	if errors.Is(err, errNotWritten) {
+		return callError(classifier.NotRun, "unreachable", err)
 	}
 	return err
 }
 
-// errNotBegun says that nothing of the call was written.
-var errNotBegun = errors.New("messenger: connection closed before the call")
+// errNotWritten is returned by tryCall if it wrote nothing of the call, so that a
+// repetition is safe.
+var errNotWritten = errors.New("messenger: connection closed before the call")
 
-func (n *Node) attempt(ctx context.Context, address, method string, body json.RawMessage, result any) error {
-	l, err := n.link(ctx, address)
+// tryCall makes one attempt of a call. It drops a connection that is closed, or on
+// which nothing at all arrived before ctx ended.
+func (n *Node) tryCall(ctx context.Context, address, method string, body json.RawMessage, result any) error {
+	c, err := n.connect(ctx, address)
 	if err != nil {
-		return failed(classifier.NotRun, "unreachable", err)
+		return callError(classifier.NotRun, "unreachable", err)
 	}
-	before := l.read.Load()
-	begun, err := l.exchange(ctx, method, body, result)
-	var refused *jsonrpc2.Error
+	before := c.received.Load()
+	dispatched, err := c.exchange(ctx, method, body, result)
+	var rpcErr *jsonrpc2.Error
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &refused):
-		return decodeError(refused)
-	case !begun:
-		n.drop(address, l)
-		return errNotBegun
+	case errors.As(err, &rpcErr):
+		return decodeError(rpcErr)
+	case !dispatched:
+		n.dropConnection(address, c)
+		return errNotWritten
 	case ctx.Err() != nil:
-		if l.read.Load() == before {
-			// Nothing came back at all: the path may have lost the connection.
-			n.drop(address, l)
+		if c.received.Load() == before {
+			// Nothing was received at all, so the connection may be dead without a
+			// reset, as after the loss of a network path.
+			n.dropConnection(address, c)
 		}
-		return failed(classifier.MayHaveRun, "timeout", ctx.Err())
+		return callError(classifier.MayHaveRun, "timeout", ctx.Err())
 	}
-	return failed(classifier.MayHaveRun, "lost", err)
+	return callError(classifier.MayHaveRun, "lost", err)
 }
 
-// exchange sends one request and waits for its answer or the context. It
-// writes on a goroutine of its own, since a write to a silent connection
-// blocks once its buffer is full.
-func (l *link) exchange(ctx context.Context, method string, body json.RawMessage, result any) (bool, error) {
+// exchange sends one request and waits for its answer or the end of ctx. It reports
+// false if certainly nothing was written. It writes on a goroutine of its own, as a
+// write to a peer that does not read blocks when the buffers are full.
+func (c *connection) exchange(ctx context.Context, method string, body json.RawMessage, result any) (bool, error) {
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
-	if l.isClosed() {
+	if c.isClosed() {
 		return false, jsonrpc2.ErrClosed
 	}
-	type dispatched struct {
+	type dispatchResult struct {
 		waiter jsonrpc2.Waiter
 		err    error
 	}
-	out := make(chan dispatched, 1)
+	out := make(chan dispatchResult, 1)
 	go func() {
-		w, err := l.rpc.DispatchCall(ctx, method, body)
-		out <- dispatched{w, err}
+		w, err := c.rpc.DispatchCall(ctx, method, body)
+		out <- dispatchResult{w, err}
 	}()
 	select {
 	case d := <-out:
@@ -95,6 +99,7 @@
 	}
 }
 
-func failed(v classifier.Verdict, code string, err error) *classifier.Error {
+// callError returns the error of a call that failed without an answer from the peer.
+func callError(v classifier.Verdict, code string, err error) *classifier.Error {
 	return &classifier.Error{Verdict: v, Code: code, Message: "call to peer failed", Err: err}
 }
--- a/internal/peer/messenger/messenger_test.go
+++ b/internal/peer/messenger/messenger_test.go
@@ -15,7 +15,9 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-func open(o messenger.Options) *messenger.Node {
+// startNode starts a node on a free local port, unless o has a listener, and closes it
+// after the spec.
+func startNode(o messenger.Options) *messenger.Node {
 	if o.Listener == nil {
 		o.Listen = "127.0.0.1:0"
 	}
@@ -28,6 +30,7 @@
 	return n
 }
 
+// echo is a handler that returns its params.
 func echo(_ context.Context, params json.RawMessage) (any, error) { return params, nil }
 
 var _ = Describe("Node", func() {
@@ -35,11 +38,11 @@
 	ctx := context.Background()
 
 	BeforeEach(func() {
-		a, b = open(messenger.Options{}), open(messenger.Options{})
+		a, b = startNode(messenger.Options{}), startNode(messenger.Options{})
 		b.Handle("echo", echo)
 	})
 
-	It("calls over one kept connection and counts the same bytes on both sides", func() {
+	It("makes calls over one connection and counts the same bytes on both sides", func() {
 		for _, word := range []string{"one", "two"} {
 			var out string
 			Expect(a.Call(ctx, b.Address, "echo", word, &out)).To(Succeed())
@@ -47,11 +50,11 @@
 		}
 		Expect(a.Sent()["echo"]).To(BeNumerically(">", 0))
 		Expect(b.Received()).To(Equal(a.Sent()))
-		// Counted after the write, which the peer may see first.
+		// The peer may receive a message before its sender has counted it.
 		Eventually(b.Sent).Should(Equal(a.Received()))
 	})
 
-	It("says NotRun when nobody listens, when refused, and when there is no such method", func() {
+	It("returns NotRun if nobody listens, the peer refuses or the method is unknown", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		l.Close()
@@ -62,7 +65,7 @@
 		Expect(a.Call(ctx, b.Address, "busy", nil, nil)).To(Equal(refusal))
 	})
 
-	It("says MayHaveRun for a panic and for any other failure of a handler", func() {
+	It("returns MayHaveRun for a panic and for an error without a verdict", func() {
 		b.Handle("panic", func(context.Context, json.RawMessage) (any, error) { panic("bug") })
 		b.Handle("fail", func(context.Context, json.RawMessage) (any, error) { return nil, io.EOF })
 		for _, method := range []string{"panic", "fail"} {
@@ -71,36 +74,36 @@
 	})
 
 	It("replaces a connection that went silent", func() {
-		mute := &atomic.Bool{}
+		muted := &atomic.Bool{}
 		var dials atomic.Int32
-		c := open(messenger.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
+		c := startNode(messenger.Options{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			dials.Add(1)
 			conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-			return &silent{Conn: conn, mute: mute}, err
+			return &mutedConn{Conn: conn, muted: muted}, err
 		}})
 		Expect(c.Call(ctx, b.Address, "echo", 1, nil)).To(Succeed())
-		mute.Store(true)
+		muted.Store(true)
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 		Expect(classifier.VerdictOf(c.Call(short, b.Address, "echo", 2, nil))).To(Equal(classifier.MayHaveRun))
-		mute.Store(false)
+		muted.Store(false)
 		Expect(c.Call(ctx, b.Address, "echo", 3, nil)).To(Succeed())
 		Expect(dials.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("dials again after the peer was replaced", func() {
+	It("dials again after the peer has been replaced", func() {
 		Expect(a.Call(ctx, b.Address, "echo", 1, nil)).To(Succeed())
 		Expect(b.Close()).To(Succeed())
 		<-b.Done
 		l, err := net.Listen("tcp", b.Address)
 		Expect(err).NotTo(HaveOccurred())
-		open(messenger.Options{Listener: l}).Handle("echo", echo)
-		// The end of the kept connection may not have been noticed yet.
+		startNode(messenger.Options{Listener: l}).Handle("echo", echo)
+		// The end of the old connection may not have been noticed yet.
 		Eventually(func() error { return a.Call(ctx, b.Address, "echo", 2, nil) }).Should(Succeed())
 	})
 
-	It("closes connections that send too much or nonsense, and serves others", func() {
-		small := open(messenger.Options{Limit: 64})
+	It("closes connections that send oversized or malformed messages, and serves others", func() {
+		small := startNode(messenger.Options{Limit: 64})
 		small.Handle("echo", echo)
 		for _, raw := range []string{"\xff\xff\xff\xff\x0f{", "\x05{}}}}", "\x02[]", "\x04null", "\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"} {
 			c, err := net.Dial("tcp", small.Address)
@@ -113,36 +116,37 @@
 			c.Close()
 		}
 		Expect(a.Call(ctx, small.Address, "echo", 1, nil)).To(Succeed())
-		big := open(messenger.Options{Limit: 32})
+		big := startNode(messenger.Options{Limit: 32})
 		Expect(classifier.VerdictOf(big.Call(ctx, b.Address, "echo", make([]byte, 64), nil))).To(Equal(classifier.NotRun))
 	})
 
-	It("refuses more calls on a connection than it may serve at once", func() {
-		narrow := open(messenger.Options{Pending: 1})
-		entered, free := make(chan struct{}), make(chan struct{})
-		narrow.Handle("hold", func(context.Context, json.RawMessage) (any, error) {
+	It("refuses calls above the limit of concurrent calls on a connection", func() {
+		limited := startNode(messenger.Options{Pending: 1})
+		entered, release := make(chan struct{}), make(chan struct{})
+		limited.Handle("hold", func(context.Context, json.RawMessage) (any, error) {
 			close(entered)
-			<-free
+			<-release
 			return nil, nil
 		})
-		held := make(chan error, 1)
-		go func() { held <- a.Call(ctx, narrow.Address, "hold", nil, nil) }()
+		result := make(chan error, 1)
+		go func() { result <- a.Call(ctx, limited.Address, "hold", nil, nil) }()
 		<-entered
-		Expect(classifier.VerdictOf(a.Call(ctx, narrow.Address, "hold", nil, nil))).To(Equal(classifier.NotRun))
-		close(free)
-		Expect(<-held).To(Succeed())
+		Expect(classifier.VerdictOf(a.Call(ctx, limited.Address, "hold", nil, nil))).To(Equal(classifier.NotRun))
+		close(release)
+		Expect(<-result).To(Succeed())
 	})
 })
 
-// silent swallows what is written while muted.
-type silent struct {
+// mutedConn discards what is written to it while muted is set, as a connection whose
+// path was lost.
+type mutedConn struct {
 	net.Conn
-	mute *atomic.Bool
+	muted *atomic.Bool
 }
 
-func (s *silent) Write(p []byte) (int, error) {
-	if s.mute.Load() {
+func (c *mutedConn) Write(p []byte) (int, error) {
+	if c.muted.Load() {
 		return len(p), nil
 	}
-	return s.Conn.Write(p)
+	return c.Conn.Write(p)
 }
--- a/internal/peer/messenger/serve.go
+++ b/internal/peer/messenger/serve.go
@@ -13,80 +13,86 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/classifier"
 )
 
-// acceptPause keeps a failing listener, such as one without file descriptors,
-// from spinning.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the time between attempts to accept while they fail, for
+// example because the process has no file descriptors left.
+const acceptRetryDelay = 50 * time.Millisecond
 
-func (n *Node) accept() {
+// acceptConnections serves incoming connections until the listener is closed.
+func (n *Node) acceptConnections() {
 	for {
-		c, err := n.listener.Accept()
+		conn, err := n.listener.Accept()
 		if err != nil {
 			if n.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			n.log.Warn().Err(err).Msg("Accepting failed.")
-			time.Sleep(acceptPause)
+			n.log.Warn().Err(err).Msg("connection accept failed")
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		n.serve(c)
+		n.serveConnection(conn)
 	}
 }
 
-func (n *Node) serve(c net.Conn) {
-	l := n.newLink(c)
+// serveConnection starts to serve an incoming connection, and tracks it until it
+// ends. It does not block.
+func (n *Node) serveConnection(conn net.Conn) {
+	c := n.newConnection(conn)
 	n.mu.Lock()
 	closed := n.closed
 	if !closed {
-		n.served[l] = struct{}{}
+		n.incoming[c] = struct{}{}
 		n.tasks.Add(1)
 	}
 	n.mu.Unlock()
 	if closed {
-		l.close()
+		c.close()
 		return
 	}
 	go func() {
 		defer n.tasks.Done()
-		<-l.rpc.DisconnectNotify()
+		<-c.rpc.DisconnectNotify()
 		n.mu.Lock()
-		delete(n.served, l)
+		delete(n.incoming, c)
 		n.mu.Unlock()
 	}()
 }
 
-// dispatcher hands the requests of one connection to handlers.
+// dispatcher passes the requests of one connection to the handlers of the node.
 type dispatcher struct {
-	node *Node
-	busy chan struct{}
+	node  *Node
+	slots chan struct{} // semaphore of Options.Pending calls
 }
 
-// Handle implements jsonrpc2.Handler. It must not block, as it runs on the
-// reading goroutine of the connection.
-func (d *dispatcher) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+// Handle implements jsonrpc2.Handler. It must not block, as it runs on the goroutine
+// that reads from the connection. It refuses a call when all slots are taken, and
+// does not answer once the node is closed.
+func (d *dispatcher) Handle(ctx context.Context, conn *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	select {
-	case d.busy <- struct{}{}:
+	case d.slots <- struct{}{}:
 	default:
-		go d.answer(ctx, c, r, nil, refusal("overloaded", "too many calls on this connection"))
+		go d.reply(ctx, conn, r, nil, refusalError("overloaded", "too many calls on this connection"))
 		return
 	}
-	if !d.node.begin() {
-		<-d.busy
+	if !d.node.startTask() {
+		<-d.slots
 		return
 	}
 	go func() {
 		defer d.node.tasks.Done()
-		defer func() { <-d.busy }()
-		result, err := d.run(ctx, r)
-		d.answer(ctx, c, r, result, err)
+		defer func() { <-d.slots }()
+		result, err := d.callHandler(ctx, r)
+		d.reply(ctx, conn, r, result, err)
 	}()
 }
 
-func (d *dispatcher) run(ctx context.Context, r *jsonrpc2.Request) (result any, err error) {
+// callHandler calls the handler of the requested method. A panic of the handler
+// becomes an error with the verdict MayHaveRun.
+func (d *dispatcher) callHandler(ctx context.Context, r *jsonrpc2.Request) (result any, err error) {
 	d.node.mu.Lock()
 	h := d.node.handlers[r.Method]
 	d.node.mu.Unlock()
 	if h == nil {
-		return nil, refusal("unknown", fmt.Sprintf("no method %q", r.Method))
+		return nil, refusalError("unknown", fmt.Sprintf("no method %q", r.Method))
 	}
 	var params json.RawMessage
 	if r.Params != nil {
@@ -94,30 +100,33 @@
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			d.node.log.Error().Str("method", r.Method).Interface("panic", p).Msg("Handler panicked.")
+			d.node.log.Error().Str("method", r.Method).Interface("panic", p).Msg("handler panicked")
 			err = &classifier.Error{Verdict: classifier.MayHaveRun, Code: "internal", Message: "handler failed"}
 		}
 	}()
 	return h(ctx, params)
 }
 
-func (d *dispatcher) answer(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request, result any, err error) {
+// reply sends the result, or err if it is not nil. If the result cannot be sent, for
+// example because it cannot be encoded, it sends that error instead.
+func (d *dispatcher) reply(ctx context.Context, conn *jsonrpc2.Conn, r *jsonrpc2.Request, result any, err error) {
 	if r.Notif {
 		return
 	}
 	if err == nil {
-		err = c.Reply(ctx, r.ID, result)
+		err = conn.Reply(ctx, r.ID, result)
 		if err == nil || errors.Is(err, jsonrpc2.ErrClosed) {
 			return
 		}
 	}
-	if e := c.ReplyWithError(ctx, r.ID, encodeError(err)); e != nil {
-		d.node.log.Debug().Err(e).Str("method", r.Method).Msg("Answer not sent.")
+	if e := conn.ReplyWithError(ctx, r.ID, encodeError(err)); e != nil {
+		d.node.log.Debug().Err(e).Str("method", r.Method).Msg("reply not sent")
 	}
 }
 
-// begin counts a task unless the node is closed.
-func (n *Node) begin() bool {
+// startTask adds a task that Done waits for, and reports whether it may start. It
+// may not once the node is closed.
+func (n *Node) startTask() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
@@ -127,6 +136,7 @@
 	return true
 }
 
-func refusal(code, message string) *classifier.Error {
+// refusalError returns an error that promises that the call was not executed.
+func refusalError(code, message string) *classifier.Error {
 	return &classifier.Error{Verdict: classifier.NotRun, Code: code, Message: message}
 }
