--- a/internal/platform/lister/client.go
+++ b/internal/platform/lister/client.go
@@ -9,20 +9,20 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/sender"
 )
 
-// Client is the List over HTTP.
+// Client implements HostList over HTTP. It is safe for concurrent use.
 type Client struct {
-	Calls  atomic.Int64 // made so far
+	Calls  atomic.Int64 // number of calls made so far
 	sender *sender.Sender
 }
 
 var _ HostList = (*Client)(nil)
 
-// New makes a client of the host list at baseURL.
+// New returns a client of the host list at baseURL.
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{sender: sender.New("lister", baseURL, client)}
 }
 
-// Hosts implements List.
+// Hosts implements HostList. Errors are *classifier.Error values.
 func (c *Client) Hosts(ctx context.Context) ([]describer.Host, error) {
 	c.Calls.Add(1)
 	var out []describer.Host
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -1,4 +1,5 @@
-// Package lister is the client of the platform's lagging host list.
+// Package lister is the client of the platform's host list, which names all hosts
+// with their roles, states and addresses, but lags behind the actual state.
 package lister
 
 import (
@@ -7,7 +8,9 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// HostList is the host list. It lags and may name hosts that are gone.
+// HostList is the platform's host list. The list is eventually consistent: it may
+// contain hosts that are gone, and lack new ones.
 type HostList interface {
+	// Hosts returns all hosts in the list.
 	Hosts(ctx context.Context) ([]describer.Host, error)
 }
