--- a/internal/platform/runner/client.go
+++ b/internal/platform/runner/client.go
@@ -8,20 +8,20 @@
 	"dotterelcart.dev/dotterelcart/internal/platform/sender"
 )
 
-// Client is the Worker interface over HTTP.
+// Client implements Worker over HTTP. It is safe for concurrent use.
 type Client struct {
 	Counts Counts
 	sender *sender.Sender
 }
 
-// Counts are the calls made so far, by kind.
+// Counts are the numbers of calls made so far, by method.
 type Counts struct {
 	Start, Stop, Throttle, Sync atomic.Int64
 }
 
 var _ Worker = (*Client)(nil)
 
-// New makes a client of all workers.
+// New returns a client for all workers.
 func New(client *http.Client) *Client {
 	s := sender.New("runner", "", client)
 	s.ErrorsByCode = map[string]error{"fenced": ErrFenced, "full": ErrFull}
@@ -29,29 +29,29 @@
 }
 
 // Start implements Worker.
-func (c *Client) Start(ctx context.Context, address string, s StartRequest) error {
+func (c *Client) Start(ctx context.Context, address string, r StartRequest) error {
 	c.Counts.Start.Add(1)
-	return c.sender.Post(ctx, "http://"+address+"/v1/start", s, nil)
+	return c.sender.Post(ctx, "http://"+address+"/v1/start", r, nil)
 }
 
 // Stop implements Worker.
-func (c *Client) Stop(ctx context.Context, address string, s StopRequest) (StopResult, error) {
+func (c *Client) Stop(ctx context.Context, address string, r StopRequest) (StopResult, error) {
 	c.Counts.Stop.Add(1)
 	var out StopResult
-	err := c.sender.Post(ctx, "http://"+address+"/v1/stop", s, &out)
+	err := c.sender.Post(ctx, "http://"+address+"/v1/stop", r, &out)
 	return out, err
 }
 
 // Throttle implements Worker.
-func (c *Client) Throttle(ctx context.Context, address string, t ThrottleRequest) error {
+func (c *Client) Throttle(ctx context.Context, address string, r ThrottleRequest) error {
 	c.Counts.Throttle.Add(1)
-	return c.sender.Post(ctx, "http://"+address+"/v1/throttle", t, nil)
+	return c.sender.Post(ctx, "http://"+address+"/v1/throttle", r, nil)
 }
 
 // Sync implements Worker.
-func (c *Client) Sync(ctx context.Context, address string, s SyncRequest) (SyncResult, error) {
+func (c *Client) Sync(ctx context.Context, address string, r SyncRequest) (SyncResult, error) {
 	c.Counts.Sync.Add(1)
 	var out SyncResult
-	err := c.sender.Post(ctx, "http://"+address+"/v1/sync", s, &out)
+	err := c.sender.Post(ctx, "http://"+address+"/v1/sync", r, &out)
 	return out, err
 }
--- a/internal/platform/runner/size_bench_test.go
+++ b/internal/platform/runner/size_bench_test.go
@@ -8,22 +8,23 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
-// BenchmarkSync reports the bytes of one inventory, request and answer, by the
-// number of runs on the worker.
+// BenchmarkSync reports the bytes of one sync call, request and answer, by the number
+// of runs on the worker.
 func BenchmarkSync(b *testing.B) {
 	for _, runs := range []int{0, 9, 18, 35, 70} {
 		b.Run(fmt.Sprintf("runs=%d", runs), func(b *testing.B) {
-			request, answer := inventory(runs)
+			request, answer := syncMessages(runs)
 			var bytes int
 			for b.Loop() {
-				bytes = size(b, request) + size(b, answer)
+				bytes = encodedSize(b, request) + encodedSize(b, answer)
 			}
 			b.ReportMetric(float64(bytes), "bytes/sync")
 		})
 	}
 }
 
-func inventory(runs int) (SyncRequest, SyncResult) {
+// syncMessages returns a request that renews the given number of runs, and its answer.
+func syncMessages(runs int) (SyncRequest, SyncResult) {
 	request := SyncRequest{Shard: "seq-bne-r12", Epoch: 7}
 	answer := SyncResult{Capacity: describer.Resources{CPU: 64_000, Memory: 250 << 10}}
 	granted := describer.Resources{CPU: 1500, Memory: 4096}
@@ -35,7 +36,8 @@
 	return request, answer
 }
 
-func size(b *testing.B, v any) int {
+// encodedSize returns the size of v as JSON, in bytes.
+func encodedSize(b *testing.B, v any) int {
 	data, err := json.Marshal(v)
 	if err != nil {
 		b.Fatal(err)
