--- a/internal/platform/storer/storer.go
+++ b/internal/platform/storer/storer.go
@@ -1,12 +1,14 @@
-// Package storer is the client of the platform's key-value store.
+// Package storer is the client of the platform's key-value store, which has
+// compare-and-swap writes, leases and watches.
 //
 // # Contract
 //
-// Every key has a revision that grows with each change in the whole store. A
-// write names the revision it expects, so it is a compare-and-swap; 0 means
-// that the key must not exist. An error whose verdict is MayHaveRun
-// ([dotterelcart.dev/dotterelcart/internal/traffic/classifier]) says that the
-// write may have taken effect: read the key back before assuming anything.
+// The store has one revision, which grows with every write. The revision of a key is
+// that of its last write. A write names the revision that it expects its key to
+// have, so every write is a compare-and-swap; 0 means that the key must not exist.
+// After an error whose verdict is MayHaveRun
+// ([dotterelcart.dev/dotterelcart/internal/traffic/classifier]) the write may have
+// taken effect, or may still do so: the caller must read the key to find out.
 package storer
 
 import (
@@ -15,16 +17,19 @@
 	"time"
 )
 
-// MaxValueSize is the largest value the store takes, in bytes.
+// MaxValueSize is the maximum size of a value, in bytes.
 const MaxValueSize = 1 << 20
 
-// Errors of the store, found with errors.Is. Both come with verdict NotRun.
+// Errors of the store, to be tested with errors.Is. They come with the verdict NotRun.
 var (
+	// ErrNotFound is returned for a key that does not exist.
 	ErrNotFound = errors.New("storer: key not found")
+	// ErrConflict is returned when a key does not have the expected revision.
 	ErrConflict = errors.New("storer: revision differs")
-	ErrNoLease  = errors.New("storer: lease unknown or expired")
-
-	// ErrCompacted says that a watch asked for history that is gone: list again.
+	// ErrNoLease is returned for a lease that does not exist or has expired.
+	ErrNoLease = errors.New("storer: lease unknown or expired")
+	// ErrCompacted is returned when a watch starts at a revision whose history the
+	// store no longer has. The caller must list again.
 	ErrCompacted = errors.New("storer: history no longer available")
 )
 
@@ -32,30 +37,36 @@
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
-	Revision int64  `json:"revision"`
-	Lease    int64  `json:"lease,omitempty"`
-	Deleted  bool   `json:"deleted,omitempty"` // in watch answers only
+	Revision int64  `json:"revision"`          // of the last write of the key
+	Lease    int64  `json:"lease,omitempty"`   // id of the lease that the key is attached to; 0 for none
+	Deleted  bool   `json:"deleted,omitempty"` // whether the write deleted the key; set by Watch only
 }
 
-// Store is the whole client interface; consumers declare the part they use.
+// Store is the whole client interface. Consumers declare the part that they use.
+// Errors are *classifier.Error values.
 type Store interface {
-	// Get returns ErrNotFound for a missing key.
+	// Get returns the item of a key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Item, error)
-	// List returns the items below prefix sorted by key, and the store's revision.
+	// List returns the items whose keys begin with prefix, sorted by key, and the
+	// revision of the store.
 	List(ctx context.Context, prefix string) ([]Item, int64, error)
-	// Swap writes value if the key's revision is expected and returns the new one.
-	// With lease != 0 the key vanishes when the lease ends.
+	// Swap writes value if the revision of the key is expected, and returns its new
+	// revision. It returns ErrConflict if the key has another revision. If lease is
+	// not 0, the key is deleted when that lease ends.
 	Swap(ctx context.Context, key string, value []byte, expected, lease int64) (int64, error)
-	// Delete removes the key if its revision is expected.
+	// Delete deletes the key if its revision is expected. It returns ErrConflict if
+	// the key has another revision.
 	Delete(ctx context.Context, key string, expected int64) error
-	// Grant makes a lease that lasts ttl from the store's clock.
+	// Grant creates a lease that expires after ttl by the store's clock, and returns
+	// its id.
 	Grant(ctx context.Context, ttl time.Duration) (int64, error)
-	// Renew extends a lease by its ttl.
+	// Renew extends a lease to its ttl from now. It returns ErrNoLease if the lease
+	// has ended.
 	Renew(ctx context.Context, lease int64) error
-	// Revoke ends a lease and deletes its keys.
+	// Revoke ends a lease and deletes the keys attached to it.
 	Revoke(ctx context.Context, lease int64) error
-	// Watch waits until something below prefix changes after revision and
-	// returns the changes and the revision to wait from next. It returns no
-	// changes when wait has passed.
+	// Watch waits for writes after revision to keys that begin with prefix. It
+	// returns their items and the revision to watch from next. It returns no items if
+	// there was no write within wait.
 	Watch(ctx context.Context, prefix string, revision int64, wait time.Duration) ([]Item, int64, error)
 }
--- a/internal/platform/storer/transaction.go
+++ b/internal/platform/storer/transaction.go
@@ -2,33 +2,36 @@
 
 import "context"
 
-// Transaction is an all-or-nothing change: when every condition holds, the
-// writes and removals take effect under one revision.
+// Transaction is an atomic change. If all conditions hold, all its writes and deletions
+// take effect under one revision; otherwise none does.
 type Transaction struct {
 	If     []Condition
 	Put    []Write
-	Remove []string // keys
+	Remove []string // keys to delete
 }
 
-// Condition expects a key at a revision; 0 means that it must not exist.
+// Condition requires that a key has the given revision. Revision 0 requires that the
+// key does not exist.
 type Condition struct {
 	Key      string
 	Revision int64
 }
 
-// Write sets a key. With Lease != 0 the key vanishes when the lease ends.
+// Write sets the value of a key. If Lease is not 0, the key is deleted when that lease
+// ends.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease int64
 }
 
-// MaxEntries is the most conditions, writes and removals of one transaction together.
+// MaxEntries is the maximum number of conditions, writes and deletions of a transaction
+// together.
 const MaxEntries = 32
 
-// Committer is the part of a store that takes transactions.
+// Committer is implemented by stores that support transactions.
 type Committer interface {
-	// Commit returns the revision of the change, or ErrConflict when a
+	// Commit executes tx and returns the revision of the change, or ErrConflict if a
 	// condition does not hold.
 	Commit(ctx context.Context, tx Transaction) (int64, error)
 }
