--- a/internal/peer/gossiper/ping.go
+++ b/internal/peer/gossiper/ping.go
@@ -14,14 +14,14 @@
 
 // heartbeat is the request and the answer of the method messenger.Ping.
 type heartbeat struct {
-	Name          string   `json:"name"` // sender
-	Incarnation   int64    `json:"incarnation"`
-	Revision      int64    `json:"revision,omitempty"`
-	ViewDigest    uint64   `json:"sum"`
-	PartDigests   []uint32 `json:"parts,omitempty"`   // request: digests of the parts of the sender's view, sent when views differ
-	SenderUnknown bool     `json:"unknown,omitempty"` // answer: the receiver lacks the sender at this incarnation
-	Target        string   `json:"target,omitempty"`  // request: address to ping for the sender
-	Members       []member `json:"members,omitempty"`
+	Name          string   `json:"name"`               // sender
+	Incarnation   int64    `json:"incarnation"`        // of the sender
+	Revision      int64    `json:"revision,omitempty"` // of the configuration in use on the sender
+	ViewDigest    uint64   `json:"sum"`                // digest of the sender's view
+	PartDigests   []uint32 `json:"parts,omitempty"`    // request: digests of the parts of the sender's view, sent when views differ
+	SenderUnknown bool     `json:"unknown,omitempty"`  // answer: the receiver lacks the sender at this incarnation
+	Target        string   `json:"target,omitempty"`   // request: address to ping for the sender
+	Members       []member `json:"members,omitempty"`  // membership updates
 }
 
 // membersPerPart is the average number of members in a part of a view. Views that
@@ -124,7 +124,9 @@
 
 // newHeartbeat returns a heartbeat for the host with the given name. It contains as
 // many updates as the budget allows, but at least minUpdates if there are that many.
-// differs selects members to send besides the recent updates. g.mu is held.
+// differs selects members to send besides the recent updates. The size of the
+// heartbeat is charged to the budget, and each update in it counts as transmitted
+// once. g.mu is held.
 func (g *Gossiper) newHeartbeat(to string, differs func(member) bool, minUpdates int) heartbeat {
 	out := heartbeat{
 		Name:        g.self.Name,
