--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -74,7 +74,7 @@
 		g.Expect(m.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
 		out, _ := m.Sync(runner.SyncRequest{Epoch: 1})
-		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("Lapsed", true), HaveField("Checkpoint", "19s"))))
+		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("LeaseExpired", true), HaveField("Checkpoint", "19s"))))
 		g.Expect(a.Report().Lapsed).To(Equal(1))
 	})
 }
