--- a/internal/control/reducer/fakeworker_test.go
+++ b/internal/control/reducer/fakeworker_test.go
@@ -82,18 +82,18 @@
 		r := w.runs[id]
 		run := runner.Run{Task: id, Token: r.Token}
 		done := r.startedAt.Add(r.length)
-		f := runner.FinishedRun{Run: run, Lapsed: true, Checkpoint: fmt.Sprint(r.Token)}
+		f := runner.FinishedRun{Run: run, LeaseExpired: true, Checkpoint: fmt.Sprint(r.Token)}
 		switch {
 		case !done.After(w.clock()) && !done.After(r.leaseEnd):
 			f = runner.FinishedRun{Run: run, OK: !w.failsRuns, Reason: "bad worker", Result: json.RawMessage(`1`)}
-			w.outcomes[run] = runner.StopResult{Ran: true, Finished: f.OK, Result: f.Result}
+			w.outcomes[run] = runner.StopResult{Started: true, Finished: f.OK, Result: f.Result}
 			if f.OK {
 				w.sim.store.recordCompletion(run)
 			}
 		case r.leaseEnd.After(w.clock()):
 			continue
 		default:
-			w.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: f.Checkpoint}
+			w.outcomes[run] = runner.StopResult{Started: true, Checkpoint: f.Checkpoint}
 		}
 		w.finished[run] = f
 		delete(w.runs, id)
@@ -110,7 +110,7 @@
 		return "fenced"
 	case !s.Until.IsZero() && w.clock().After(s.Until):
 		return "late"
-	case known && !w.outcomes[run].Ran:
+	case known && !w.outcomes[run].Started:
 		return "stopped before"
 	case s.Token == w.fences[s.Task]:
 		return ""
@@ -149,7 +149,7 @@
 	run := runner.Run{Task: s.Task, Token: s.Token}
 	if r := w.runs[s.Task]; r != nil && r.Token == s.Token {
 		delete(w.runs, s.Task)
-		w.outcomes[run] = runner.StopResult{Ran: true, Checkpoint: fmt.Sprint(s.Token)}
+		w.outcomes[run] = runner.StopResult{Started: true, Checkpoint: fmt.Sprint(s.Token)}
 	} else if _, ok := w.outcomes[run]; !ok {
 		w.outcomes[run] = runner.StopResult{}
 	}
@@ -194,7 +194,7 @@
 	for _, id := range sortedTasks(w.runs) {
 		r := w.runs[id]
 		out.Running = append(out.Running, runner.ActiveRun{
-			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(w), Order: r.lastThrottle,
+			Run: runner.Run{Task: id, Token: r.Token}, Granted: r.Granted, Used: r.used(w), ThrottleToken: r.lastThrottle,
 		})
 	}
 	for _, f := range w.finished {
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -73,7 +73,7 @@
 	highest := a.tokens[s.Task]
 	result, known := a.stopResults[id]
 	switch {
-	case s.Token == highest && (!known || result.Ran):
+	case s.Token == highest && (!known || result.Started):
 		return false, nil // repeats a start that was accepted before
 	case s.Token.Less(highest), known:
 		return false, newFencedError("token is too old for " + s.Task.String())
@@ -296,14 +296,14 @@
 	}
 	f.Result, _ = json.Marshal(Result{Task: r.start.Task.String(), Worker: a.options.Host.Name})
 	a.endRun(r, auditor.Completed, "")
-	a.stopResults[f.Run] = runner.StopResult{Ran: true, Finished: true, Result: f.Result}
+	a.stopResults[f.Run] = runner.StopResult{Started: true, Finished: true, Result: f.Result}
 	a.finished[f.Run] = f
 }
 
 // expireRun ends a run whose lease has expired. Its checkpoint is kept for the
 // owner.
 func (a *Agent) expireRun(r *run) {
-	f := runner.FinishedRun{Run: r.id(), Lapsed: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
+	f := runner.FinishedRun{Run: r.id(), LeaseExpired: true, Reason: "lease lapsed", Checkpoint: r.checkpoint()}
 	a.endRun(r, auditor.LeaseExpired, f.Checkpoint)
 	a.finished[f.Run] = f
 }
@@ -312,7 +312,7 @@
 func (a *Agent) endRun(r *run, o auditor.Outcome, checkpoint string) runner.StopResult {
 	delete(a.runs, r.start.Task)
 	a.audit.RunEnded(r.start.Task, a.options.Host.Name, o)
-	out := runner.StopResult{Ran: true, Checkpoint: checkpoint}
+	out := runner.StopResult{Started: true, Checkpoint: checkpoint}
 	a.stopResults[r.id()] = out
 	return out
 }
--- a/internal/standin/hoster/hoster_test.go
+++ b/internal/standin/hoster/hoster_test.go
@@ -77,7 +77,7 @@
 		g.Expect(agent.Running()).To(Equal(1))
 		time.Sleep(2 * time.Second)
 		out, _ := agent.Sync(runner.SyncRequest{Epoch: 1})
-		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("Lapsed", true), HaveField("Checkpoint", "19s"))))
+		g.Expect(out.Finished).To(HaveExactElements(And(HaveField("LeaseExpired", true), HaveField("Checkpoint", "19s"))))
 		g.Expect(audit.Report().LeaseExpired).To(Equal(1))
 	})
 }
--- a/internal/standin/hoster/run.go
+++ b/internal/standin/hoster/run.go
@@ -108,7 +108,7 @@
 // activeRun returns the run as an inventory reports it. Its usage is included only
 // once the report delay has passed since the start.
 func (r *run) activeRun(now time.Time, delay time.Duration) runner.ActiveRun {
-	out := runner.ActiveRun{Run: r.id(), Granted: r.start.Granted, Order: r.throttleToken}
+	out := runner.ActiveRun{Run: r.id(), Granted: r.start.Granted, ThrottleToken: r.throttleToken}
 	if r.work > 0 {
 		out.Progress = min(1, float64(r.done)/float64(r.work))
 	}
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -107,7 +107,7 @@
 // swap writes item if the key is at the expected revision, 0 for a missing one, and
 // returns the new revision.
 func (k *Keeper) swap(item storer.Item, expected int64) (int64, error) {
-	if len(item.Value) > storer.MaxValue {
+	if len(item.Value) > storer.MaxValueSize {
 		return 0, listener.NewRefusal(http.StatusRequestEntityTooLarge, "too-large", "value is over 1 MB")
 	}
 	if err := k.checkRevision(item.Key, expected); err != nil {
