--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -13,7 +13,8 @@
 //
 // Long-running tasks hold their processors until their job is cancelled. If
 // they took everything, short tasks would find no capacity, so each shard
-// accepts them only up to a limit.
+// accepts them only up to a limit. The shard for such a job is drawn at random
+// among those below their limits.
 //
 // Fillers are best-effort tasks that run on processor time that other tasks
 // leave unused. Their backlog is separate and doesn't delay other tasks.
@@ -34,7 +35,7 @@
 	minRetryAfter      = 500 * time.Millisecond
 	maxRetryAfter      = 8 * time.Second // limit before jitter is added
 	minRate            = 50              // millicores; lowest processing rate assumed for a backlog, also in a full shard
-	longRunningWait    = 3 * time.Second // predicted wait when none of the processors for long-running tasks is free
+	longRunningWait    = 3 * time.Second // predicted wait of a long-running job if no processors are free; proportionally less if some are
 )
 
 // Shard is the load of one shard as its latest summary shows it.
@@ -68,8 +69,11 @@
 
 // Decision is the outcome for one job.
 type Decision struct {
-	Accepted   bool
-	Shard      string        // the chosen or last considered shard; empty if none has suitable workers
+	Accepted bool
+	// Shard is the shard that the prediction is for. It is any suitable one if all
+	// are at their limits of long-running tasks, and empty if none has suitable
+	// workers.
+	Shard      string
 	Age        time.Duration // age of that shard's summary
 	Predicted  time.Duration // predicted time from acceptance to the end on that shard
 	RetryAfter time.Duration // time after which to retry; only set if the job is refused
--- a/internal/control/describer/job.go
+++ b/internal/control/describer/job.go
@@ -12,7 +12,7 @@
 // Priorities, in rising order.
 const (
 	Normal Priority = iota
-	Urgent          // must be started or refused within a fixed time
+	Urgent          // must be started or refused within placer.UrgentStartLimit
 )
 
 // String returns the name of the priority.
@@ -125,9 +125,9 @@
 	Granted     Resources       `json:"granted,omitzero"`     // resources held by the run, while Started
 	Checkpoint  string          `json:"checkpoint,omitempty"` // latest checkpoint, from which a new run resumes
 	Attempts    int             `json:"attempts,omitempty"`   // number of runs that failed
-	Evictions   int             `json:"evictions,omitempty"`  // number of evictions
-	DrainedFrom string          `json:"drained,omitempty"`    // drained worker that it ran on and returns to
-	MayHaveRun  bool            `json:"ran,omitempty"`        // whether a run may have begun
+	Evictions   int             `json:"evictions,omitempty"`
+	DrainedFrom string          `json:"drained,omitempty"` // drained worker that it ran on and returns to
+	MayHaveRun  bool            `json:"ran,omitempty"`     // whether a run may have begun
 	Result      json.RawMessage `json:"result,omitempty"`
 	Reason      string          `json:"reason,omitempty"` // why it failed
 }
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -39,7 +39,8 @@
 	Stop                   // end a task without waiting for a checkpoint
 )
 
-// String returns the name of the kind.
+// String returns the word for the kind in texts. For Unthrottle and BlockBatch
+// it differs from the name of the constant.
 func (k Kind) String() string {
 	switch k {
 	case Unthrottle:
@@ -117,12 +118,12 @@
 type State struct {
 	Services        map[string]*Smoothed       // smoothed latencies by service name
 	Throttled       map[describer.TaskID]int64 // millicores granted before throttling
-	LastStep        time.Time                  // time of the last step or undoing
+	LastStep        time.Time                  // time of the last step or Unthrottle
 	MissedSince     time.Time                  // start of the uninterrupted time in which a target is missed; zero if all are met
 	RelaxedSince    time.Time                  // start of the uninterrupted time below RelaxBelow; zero if above
-	LastUnthrottle  time.Time                  // time of the last undoing
-	UnthrottleDelay time.Duration              // time below RelaxBelow before the next undoing; doubles when one was premature
-	Level           Kind                       // kind of the last step; Unthrottle if nothing is throttled
+	LastUnthrottle  time.Time                  // time of the last Unthrottle
+	UnthrottleDelay time.Duration              // time below RelaxBelow before the next Unthrottle; doubles when one was premature
+	Level           Kind                       // kind of the last step; Unthrottle before the first one and after a throttle was undone
 }
 
 // Smoothed is the exponentially smoothed latency of one service.
--- a/internal/control/escalator/step.go
+++ b/internal/control/escalator/step.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	prematureWithin    = 30 * time.Minute // an undoing followed by a throttle within this time was premature
+	prematureWithin    = 30 * time.Minute // an Unthrottle followed by a Throttle within this time was premature
 	maxUnthrottleDelay = time.Hour
 )
 
@@ -114,7 +114,7 @@
 }
 
 // adjustDelay is called at each new throttle. It doubles the delay before the
-// next undoing if the last undoing was premature, and halves it otherwise.
+// next Unthrottle if the last one was premature, and halves it otherwise.
 func (s *State) adjustDelay(now time.Time) {
 	if s.LastUnthrottle.IsZero() {
 		return
--- a/internal/control/evaluator/deployment.go
+++ b/internal/control/evaluator/deployment.go
@@ -42,7 +42,7 @@
 
 const (
 	reservedShare   = 0.25 // share of a worker's processors that is reserved for its backend server
-	batchOnlyEvery  = 4    // one of so many workers has no service
+	batchOnlyEvery  = 4    // one worker in this many has no service and runs batch tasks only
 	classCount      = 6    // number of batch classes
 	sharedResources = 2    // number of resources that cause interference, such as memory bandwidth
 )
--- a/internal/control/executor/executor.go
+++ b/internal/control/executor/executor.go
@@ -126,10 +126,10 @@
 	<-e.Done
 }
 
-// Ask sends the event that newEvent returns and waits for its reply. If the event
-// could not be sent, the error is a *classifier.Error with verdict NotRun. If
-// ctx or the executor ends while Ask waits for the reply, the verdict is
-// MayHaveRun.
+// Ask sends the event that newEvent returns and waits for its reply. If the reply
+// has an error, Ask returns both. If the event could not be sent, the error is a
+// *classifier.Error with verdict NotRun. If ctx or the executor ends while Ask
+// waits for the reply, the verdict is MayHaveRun.
 func (e *Executor) Ask(ctx context.Context, newEvent func(reducer.RequestID) reducer.Event) (reducer.Reply, error) {
 	id, replies := e.register()
 	defer e.forget(id)
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -3,13 +3,14 @@
 //
 // # Model
 //
-// Every batch task belongs to an interference class. For each service and band
-// of load, the logarithm of the 99th percentile of latency is modelled as a
-// baseline, linear in load, plus for each class a coefficient times the share
-// of the worker's processors that the class held. Each band is a Bayesian
-// linear regression: coefficients of classes without reports keep the prior,
-// old reports lose weight because uncertainty grows with time, and the upper
-// bound of an estimate is its mean plus a multiple of its standard deviation.
+// Every batch task belongs to an interference class, whose tasks are expected
+// to slow down a service alike. For each service and band of load, the
+// logarithm of the 99th percentile of latency is modelled as a baseline,
+// linear in load, plus for each class a coefficient times the share of the
+// worker's processors that the class held. Each band is a Bayesian linear
+// regression: coefficients of classes without reports keep the prior, old
+// reports lose weight because uncertainty grows with time, and the upper bound
+// of an estimate is its mean plus a multiple of its standard deviation.
 //
 //	l := learner.New(learner.Options{})
 //	l.Observe(sample)
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -25,9 +25,9 @@
 // Limits are the bounds on what InterferenceAware accepts. Zero fields take
 // defaults.
 type Limits struct {
-	MaxSlowdown    float64       // relative slowdown of a service, as the upper bound of the estimate, that batch tasks may cause
-	TargetShare    float64       // latency as a share of the service's target that batch tasks may cause
-	ComfortShare   float64       // latency as a share of the service's target below which a slowdown is acceptable
+	MaxSlowdown    float64       // maximum relative slowdown of a service by batch tasks; the upper bound of the estimate counts
+	TargetShare    float64       // maximum latency beside batch tasks, as a share of the service's target
+	ComfortShare   float64       // latency, as a share of the service's target, below which any slowdown is acceptable
 	TrialShare     float64       // share of the processors of a worker without batch tasks that a task may take while there are no reports
 	DeadlineWindow time.Duration // time before its deadline in which a task may cause twice the slowdown
 }
@@ -183,6 +183,7 @@
 		return refusal{tooSlow, service, upper}
 	}
 	target := p.Services[service].Target
+	// A latency near the target is no reason to refuse tasks that hardly change it.
 	if target > 0 && latency > limits.TargetShare*target.Seconds() && upper > 0.01 {
 		return refusal{nearTarget, service, upper}
 	}
--- a/internal/control/restorer/restorer.go
+++ b/internal/control/restorer/restorer.go
@@ -85,7 +85,7 @@
 type State struct {
 	Step       int                  // index of the current step in Options.Steps
 	StepSince  time.Time            // beginning of the current step
-	Paused     bool                 // whether the step pauses because of a service\'s latency
+	Paused     bool                 // whether the step pauses because of a service's latency
 	Smoothed   map[string]float64   // logarithm of the latency as a share of the target, by service
 	LastReport map[string]time.Time // end of the latest report by service
 }
