--- a/internal/state/distributor/distributor.go
+++ b/internal/state/distributor/distributor.go
@@ -94,7 +94,7 @@
 	pullWake   chan struct{} // makes pullLoop check for peers with greater revisions
 
 	installMu     sync.Mutex // held during install, so that the sink is called in order
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	closed        bool
 	current       describer.Configuration // its lists are never changed in place
 	recentChanges []change                // the latest changes that led to current, oldest first
--- a/internal/state/faker/faker.go
+++ b/internal/state/faker/faker.go
@@ -41,6 +41,8 @@
 	StaleRead
 )
 
+// String returns the word for the outcome in failure messages. For all but Drop
+// it differs from the name of the constant.
 func (o Outcome) String() string {
 	return [...]string{"answer", "drop", "lose-answer", "stale"}[o]
 }
@@ -56,9 +58,9 @@
 
 // Store is a key-value store in memory. It is safe for concurrent use.
 type Store struct {
-	mu              sync.Mutex
-	revision        int64 // revision of the latest change
-	lastLease       int64 // id of the lease granted last
+	mu              sync.Mutex // guards the fields below
+	revision        int64      // revision of the latest change
+	lastLease       int64      // id of the lease granted last
 	items           map[string]storer.Item
 	previousItems   map[string]storer.Item // items before their latest changes by key, for stale reads
 	deleteRevisions map[string]int64       // revisions of the deletions by key
@@ -155,7 +157,7 @@
 	Name  string
 	store *Store
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	fault      func(Call) Outcome
 	delay      func(Call) time.Duration
 	down       bool
--- a/internal/state/fencer/fencer.go
+++ b/internal/state/fencer/fencer.go
@@ -40,6 +40,7 @@
 	ErrConditionFailed = errors.New("fencer: transaction condition does not hold")
 )
 
+// Delays between attempts of one write.
 const (
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDelay     = time.Second
--- a/internal/state/fencer/fencer_test.go
+++ b/internal/state/fencer/fencer_test.go
@@ -38,6 +38,7 @@
 	return string(item.Value)
 }
 
+// After a claim by the next owner, a write of the previous owner must fail.
 func TestFormerOwnerCannotWrite(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -56,6 +57,8 @@
 	})
 }
 
+// Writes whose responses are lost must be reported as successful and applied in
+// order, as the fence shows that they took effect.
 func TestLostAnswerIsSettled(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -76,6 +79,7 @@
 	})
 }
 
+// A write that is started during a store outage must take effect after it.
 func TestOutageIsRiddenOut(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -113,6 +117,7 @@
 	})
 }
 
+// Commit must check the conditions of the caller's transaction besides the fence.
 func TestMoveKeepsItsOwnConditions(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -127,6 +132,7 @@
 	})
 }
 
+// A restarted daemon must not wait for the lease of its earlier process to expire.
 func TestFormerLifeIsReplacedAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx := t.Context()
@@ -163,6 +169,7 @@
 	return revision, err
 }
 
+// A write must be retried although the response to its first attempt never comes.
 func TestAnswerThatNeverComes(t *testing.T) {
 	inBubble(t, func(t *testing.T, g Gomega, store *faker.Store) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -10,8 +10,8 @@
 // fenced owner fail, however long it was paused.
 //
 //	h := holder.New(options, store, sink)
-//	h.Do(reducer.Claim{Shard: "bne-1"}) // sink receives ShardClaimed or ClaimFailed
-//	h.Do(reducer.Append{Shard: "bne-1", Epoch: 4, Batch: 1, Records: records})
+//	h.Do(reducer.ClaimShard{Shard: "bne-1"}) // sink receives ShardClaimed or ClaimFailed
+//	h.Do(reducer.AppendRecords{Shard: "bne-1", Epoch: 4, Batch: 1, Records: records})
 //
 // # Store outage
 //
@@ -81,7 +81,7 @@
 
 	fleetShards atomic.Int64 // number of shards in the fleet, 0 if not known
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below, except wake
 	shards         map[string]*shardState
 	reachableKnown bool // reachable has been reported
 	reachable      bool // the store responds
@@ -100,6 +100,7 @@
 	restoring     bool              // the owner record is being written again
 }
 
+// phase is where a shard is on its way from claim to release.
 type phase uint8
 
 const (
@@ -140,8 +141,9 @@
 	return h
 }
 
-// Do starts to carry out a Claim, Release, Append or SaveSnapshot effect, and
-// returns false for any other. It does not wait for the store.
+// Do starts to carry out a ClaimShard, ReleaseShard, AppendRecords or
+// SaveSnapshot effect, and returns false for any other. It does not wait for the
+// store.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
 	case reducer.ClaimShard:
--- a/internal/state/holder/holder_test.go
+++ b/internal/state/holder/holder_test.go
@@ -24,8 +24,8 @@
 	client *faker.Client
 
 	mu        sync.Mutex
-	events    []reducer.Event     // all but StoreReached
-	reachable []bool              // values of StoreReached
+	events    []reducer.Event     // all but StoreChecked
+	reachable []bool              // values of StoreChecked
 	observe   func(reducer.Event) // called for all events, if set
 }
 
--- a/internal/state/journaler/journaler.go
+++ b/internal/state/journaler/journaler.go
@@ -95,10 +95,10 @@
 	chunks        []chunk // chunks of the snapshot in the head
 	noOtherChunks bool    // the store holds no chunks of the ledger other than chunks
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards queue and finished
 	queue    []queueEntry
-	finished bool
-	wake     chan struct{}
+	finished bool          // Finish was called
+	wake     chan struct{} // wakes the writing goroutine
 }
 
 // queueEntry is a batch of records or a snapshot that waits to be written.
--- a/internal/state/leaser/leaser.go
+++ b/internal/state/leaser/leaser.go
@@ -66,8 +66,8 @@
 
 	acquireLock chan struct{} // holds one value while a grant is requested
 
-	mu         sync.Mutex
-	id         int64 // 0 if there is no lease
+	mu         sync.Mutex // guards the fields below
+	id         int64      // 0 if there is no lease
 	validUntil time.Time
 }
 
