--- a/internal/control/admitter/admitter.go
+++ b/internal/control/admitter/admitter.go
@@ -35,7 +35,7 @@
 	minRetryAfter      = 500 * time.Millisecond
 	maxRetryAfter      = 8 * time.Second // limit before jitter is added
 	minRate            = 50              // millicores; lowest processing rate assumed for a backlog, also in a full shard
-	longRunningWait    = 3 * time.Second // predicted wait of a long-running job if no processors are free; proportionally less if some are
+	longRunningWait    = 3 * time.Second // predicted wait of a long-running job if no processors are free, less if some are
 )
 
 // Shard is the load of one shard as its latest summary shows it.
--- a/internal/control/escalator/escalator.go
+++ b/internal/control/escalator/escalator.go
@@ -123,7 +123,7 @@
 	RelaxedSince    time.Time                  // start of the uninterrupted time below RelaxBelow; zero if above
 	LastUnthrottle  time.Time                  // time of the last Unthrottle
 	UnthrottleDelay time.Duration              // time below RelaxBelow before the next Unthrottle; doubles when one was premature
-	Level           Kind                       // kind of the last step; Unthrottle before the first one and after a throttle was undone
+	Level           Kind                       // kind of the last step; Unthrottle before the first step and after an Unthrottle
 }
 
 // Smoothed is the exponentially smoothed latency of one service.
--- a/internal/control/evaluator/environment.go
+++ b/internal/control/evaluator/environment.go
@@ -24,7 +24,7 @@
 	runs       map[describer.TaskID]*run
 	loadOffset float64         // relative difference from the mean load, which changes slowly
 	load       float64         // share of request slots in use
-	loadRandom *rand.Rand      // source for load and reports; each interval draws the same number of values for every policy
+	loadRandom *rand.Rand      // source for load and reports, drawn from equally often under every policy
 	taskRandom *rand.Rand      // source for the tasks
 	dead       bool            // whether it is unresponsive and fails its tasks
 	failing    bool            // whether it fails its tasks
--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -42,7 +42,9 @@
 	Noise       float64       // standard deviation of one report's log latency
 	UpperSigmas float64       // standard deviations from the mean to the upper bound
 	HalfLife    time.Duration // time in which reports lose half of their weight
-	MaxClasses  int           // classes with a coefficient of their own in each service and band; the last one is shared by all further classes
+	// MaxClasses is the number of classes with a coefficient of their own in each
+	// service and band. All further classes share the last of them.
+	MaxClasses int
 }
 
 // Sample is one latency report with what ran on the worker during its interval.
--- a/internal/control/placer/interference.go
+++ b/internal/control/placer/interference.go
@@ -25,11 +25,22 @@
 // Limits are the bounds on what InterferenceAware accepts. Zero fields take
 // defaults.
 type Limits struct {
-	MaxSlowdown    float64       // maximum relative slowdown of a service by batch tasks; the upper bound of the estimate counts
-	TargetShare    float64       // maximum latency beside batch tasks, as a share of the service's target
-	ComfortShare   float64       // latency, as a share of the service's target, below which any slowdown is acceptable
-	TrialShare     float64       // share of the processors of a worker without batch tasks that a task may take while there are no reports
-	DeadlineWindow time.Duration // time before its deadline in which a task may cause twice the slowdown
+	// MaxSlowdown is the maximum relative slowdown of a service by batch tasks. It
+	// is compared with the upper bound of the estimate. Urgent tasks may cause 4
+	// times as much.
+	MaxSlowdown float64
+	// TargetShare is the maximum latency of a service beside batch tasks, as a share
+	// of its target.
+	TargetShare float64
+	// ComfortShare is the latency, as a share of the service's target, below which
+	// any slowdown is acceptable.
+	ComfortShare float64
+	// TrialShare is the share of a worker's processors that the first batch task
+	// there may take while there are no reports.
+	TrialShare float64
+	// DeadlineWindow is the time before its deadline in which a task may cause twice
+	// the slowdown.
+	DeadlineWindow time.Duration
 }
 
 // orDefault fills in the defaults. A deployment that weighs latency higher than
--- a/internal/state/distributor/document.go
+++ b/internal/state/distributor/document.go
@@ -36,6 +36,8 @@
 	Changes      []change `json:"changes,omitempty"` // changes from BaseRevision to Revision
 }
 
+// decodeDocument decodes a document and checks that its changes lead from the
+// base revision to its revision without a gap.
 func decodeDocument(value []byte) (document, error) {
 	var d document
 	if err := json.Unmarshal(value, &d); err != nil {
--- a/internal/state/journaler/flush.go
+++ b/internal/state/journaler/flush.go
@@ -142,6 +142,7 @@
 	}
 }
 
+// writeSegment writes a segment to the next slot and records it in the state.
 func (l *Ledger) writeSegment(ctx context.Context, s segment) error {
 	value, err := s.encode()
 	if err != nil {
