--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -60,7 +60,7 @@
 	Timeout time.Duration // limit of one store call
 
 	// WriteBudget is the number of segment writes per second of all daemons
-	// together, which the shards of the fleet share equally.
+	// together. All shards share it equally.
 	WriteBudget float64
 
 	Log zerolog.Logger
@@ -79,7 +79,7 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	fleetShards atomic.Int64 // number of shards in the fleet, 0 if not known
+	totalShards atomic.Int64 // number of shards of all daemons, 0 if not known
 
 	mu             sync.Mutex // guards the fields below, except wake
 	shards         map[string]*shardState
@@ -160,15 +160,16 @@
 	return true
 }
 
-// SetShardCount sets the number of shards in the fleet, by which the write
+// SetShardCount sets the number of shards of all daemons, by which the write
 // budget is divided. Until then, the shards of this holder share all of it.
-func (h *Holder) SetShardCount(n int) { h.fleetShards.Store(int64(n)) }
+func (h *Holder) SetShardCount(n int) { h.totalShards.Store(int64(n)) }
 
 // IsLeaseValid reports whether the store lease is certainly valid, so that no
 // other daemon can have claimed this daemon's shards.
 func (h *Holder) IsLeaseValid() bool { return h.lease.IsValid() }
 
-// StoreCalls returns the number of store calls so far, by operation.
+// StoreCalls returns the number of store calls so far, by operation. Canceled
+// calls are not counted.
 func (h *Holder) StoreCalls() map[string]int64 { return h.store.calls() }
 
 // Close ends the holder and revokes its lease, so that others can claim its
@@ -194,7 +195,7 @@
 
 // writeInterval returns the shortest time between two segment writes of a shard.
 func (h *Holder) writeInterval() time.Duration {
-	n := h.fleetShards.Load()
+	n := h.totalShards.Load()
 	if n == 0 {
 		h.mu.Lock()
 		n = int64(len(h.shards))
--- a/internal/state/holder/target_test.go
+++ b/internal/state/holder/target_test.go
@@ -11,10 +11,10 @@
 	"dotterelcart.dev/dotterelcart/internal/state/faker"
 )
 
-// The stated target, for the whole fleet.
+// The stated target, for all daemons together.
 const (
 	startRate       = 3400.0 // task starts per second
-	fleetShards     = 110    // ten in each of 11 failure domains
+	totalShards     = 110    // ten in each of 11 failure domains
 	maxWriteRate    = 300.0  // store writes per second, the low end of the several hundred that a store handles
 	recordsPerStart = 3      // the start, the finish, and a share of the job and resize records
 )
@@ -25,11 +25,11 @@
 		s := faker.New()
 		a := start(s, "a")
 		defer a.stop()
-		a.SetShardCount(fleetShards)
+		a.SetShardCount(totalShards)
 		a.client.SetDelay(func(faker.Call) time.Duration { return 5 * time.Millisecond })
 		a.claim()
 		before := a.StoreCalls()
-		rate := startRate / fleetShards
+		rate := startRate / totalShards
 		batches := int64(rate * seconds * recordsPerStart)
 		for i := range batches {
 			a.append(1, i+1, "job")
@@ -38,9 +38,9 @@
 		time.Sleep(time.Second)
 		Expect(a.takeEvents()).To(HaveLen(int(batches)))
 		calls := a.StoreCalls()
-		swaps := float64(calls["swap"]-before["swap"]) / seconds * fleetShards
-		renewals := float64(calls["renew"]-before["renew"]) / seconds * fleetShards
-		reads := float64(calls["get"]-before["get"]) / seconds * fleetShards
+		swaps := float64(calls["swap"]-before["swap"]) / seconds * totalShards
+		renewals := float64(calls["renew"]-before["renew"]) / seconds * totalShards
+		reads := float64(calls["get"]-before["get"]) / seconds * totalShards
 		AddReportEntry("store calls per second of the fleet", fmt.Sprintf(
 			"segments %.0f, renewals %.0f, reads %.0f; %.1f records per segment",
 			swaps, renewals, reads, startRate*recordsPerStart/swaps))
--- a/internal/state/journaler/flush.go
+++ b/internal/state/journaler/flush.go
@@ -51,8 +51,8 @@
 }
 
 // throttle waits until Options.Pace has passed since the last write, which
-// keeps the fleet within its write budget. It returns false when ctx ends
-// first.
+// keeps all daemons together within the write budget. It returns false when ctx
+// ends first.
 func (l *Ledger) throttle(ctx context.Context, lastWrite time.Time) bool {
 	if l.options.Pace == nil || lastWrite.IsZero() {
 		return true
