--- a/internal/control/learner/learner.go
+++ b/internal/control/learner/learner.go
@@ -3,13 +3,14 @@
 //
 // # Model
 //
-// Every batch task belongs to an interference class. For each service and band
-// of load, the logarithm of the 99th percentile of latency is modelled as a
-// baseline, linear in load, plus for each class a coefficient times the share
-// of the worker's processors that the class held. Each band is a Bayesian
-// linear regression: coefficients of classes without reports keep the prior,
-// old reports lose weight because uncertainty grows with time, and the upper
-// bound of an estimate is its mean plus a multiple of its standard deviation.
+// Every batch task belongs to an interference class, whose tasks are expected
+// to slow down a service alike. For each service and band of load, the
+// logarithm of the 99th percentile of latency is modelled as a baseline,
+// linear in load, plus for each class a coefficient times the share of the
+// worker's processors that the class held. Each band is a Bayesian linear
+// regression: coefficients of classes without reports keep the prior, old
+// reports lose weight because uncertainty grows with time, and the upper bound
+// of an estimate is its mean plus a multiple of its standard deviation.
 //
 //	l := learner.New(learner.Options{})
 //	l.Observe(sample)
@@ -41,7 +42,9 @@
 	Noise       float64       // standard deviation of one report's log latency
 	UpperSigmas float64       // standard deviations from the mean to the upper bound
 	HalfLife    time.Duration // time in which reports lose half of their weight
-	MaxClasses  int           // classes with a coefficient of their own in each service and band; the last one is shared by all further classes
+	// MaxClasses is the number of classes with a coefficient of their own in each
+	// service and band. All further classes share the last of them.
+	MaxClasses int
 }
 
 // Sample is one latency report with what ran on the worker during its interval.
--- a/internal/state/holder/holder.go
+++ b/internal/state/holder/holder.go
@@ -60,7 +60,7 @@
 	Timeout time.Duration // limit of one store call
 
 	// WriteBudget is the number of segment writes per second of all daemons
-	// together, which the shards of the fleet share equally.
+	// together. All shards share it equally.
 	WriteBudget float64
 
 	Log zerolog.Logger
@@ -79,9 +79,9 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	fleetShards atomic.Int64 // number of shards in the fleet, 0 if not known
+	totalShards atomic.Int64 // number of shards of all daemons, 0 if not known
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below, except wake
 	shards         map[string]*shardState
 	reachableKnown bool // reachable has been reported
 	reachable      bool // the store responds
@@ -100,6 +100,7 @@
 	restoring     bool              // the owner record is being written again
 }
 
+// phase is where a shard is on its way from claim to release.
 type phase uint8
 
 const (
@@ -140,8 +141,10 @@
 	return h
 }
 
-// Do starts to carry out a ClaimShard, ReleaseShard, AppendRecords or SaveSnapshot
-// effect, and returns false for any other. It does not wait for the store.
+// Do starts to carry out a ClaimShard, ReleaseShard, AppendRecords or
+// SaveSnapshot
+// effect, and returns false for any other. It does not wait for the
+// store.
 func (h *Holder) Do(e reducer.Effect) bool {
 	switch e := e.(type) {
 	case reducer.ClaimShard:
@@ -158,15 +161,16 @@
 	return true
 }
 
-// SetShardCount sets the number of shards in the fleet, by which the write
+// SetShardCount sets the number of shards of all daemons, by which the write
 // budget is divided. Until then, the shards of this holder share all of it.
-func (h *Holder) SetShardCount(n int) { h.fleetShards.Store(int64(n)) }
+func (h *Holder) SetShardCount(n int) { h.totalShards.Store(int64(n)) }
 
 // IsLeaseValid reports whether the store lease is certainly valid, so that no
 // other daemon can have claimed this daemon's shards.
 func (h *Holder) IsLeaseValid() bool { return h.lease.IsValid() }
 
-// StoreCalls returns the number of store calls so far, by operation.
+// StoreCalls returns the number of store calls so far, by operation. Canceled
+// calls are not counted.
 func (h *Holder) StoreCalls() map[string]int64 { return h.store.calls() }
 
 // Close ends the holder and revokes its lease, so that others can claim its
@@ -192,7 +196,7 @@
 
 // writeInterval returns the shortest time between two segment writes of a shard.
 func (h *Holder) writeInterval() time.Duration {
-	n := h.fleetShards.Load()
+	n := h.totalShards.Load()
 	if n == 0 {
 		h.mu.Lock()
 		n = int64(len(h.shards))
