--- a/internal/traffic/dialer/clientconn.go
+++ b/internal/traffic/dialer/clientconn.go
@@ -25,17 +25,17 @@
 	transport *http.Transport
 	options   *Options
 	address   string
-	openedAt  time.Time
-	idleSince time.Time // last return to the pool
+	createdAt time.Time // shortly before the connection is opened
+	idleSince time.Time // time of the last return to the pool
 
 	lock   sync.Mutex
 	conn   *progressConn // nil before the first request
-	closed bool          // also before the first request
+	closed bool          // close was called, so dial fails
 }
 
 // newClientConn returns a connection that is opened by its first request.
 func newClientConn(o *Options, address string) *clientConn {
-	c := &clientConn{options: o, address: address, openedAt: time.Now()}
+	c := &clientConn{options: o, address: address, createdAt: time.Now()}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 			return c.dial(ctx, network)
@@ -89,8 +89,8 @@
 // resends some failed requests by itself, such as a POST with an Idempotency-Key,
 // but only over a new connection, which dial refuses.
 func (c *clientConn) roundTrip(r *http.Request) (*http.Response, error) {
-	before := c.netConn()
-	start := before.startRequest()
+	conn := c.netConn()
+	start := conn.startRequest()
 	out := r.WithContext(r.Context())
 	out.GetBody = nil
 	if out.Body != nil && out.Body != http.NoBody {
@@ -134,7 +134,7 @@
 // isUsable reports whether the connection can carry another request.
 func (c *clientConn) isUsable() bool {
 	conn := c.netConn()
-	return conn != nil && !conn.isClosed() && time.Since(c.openedAt) < c.options.MaxAge
+	return conn != nil && !conn.isClosed() && time.Since(c.createdAt) < c.options.MaxAge
 }
 
 // probe reports whether the backend server responds over the connection.
@@ -220,9 +220,9 @@
 	conn *clientConn
 }
 
-func (u *requestBody) Read(p []byte) (int, error) {
-	conn := u.conn.netConn()
+func (b *requestBody) Read(p []byte) (int, error) {
+	conn := b.conn.netConn()
 	conn.pauseTimeout()
 	defer conn.resumeTimeout()
-	return u.ReadCloser.Read(p)
+	return b.ReadCloser.Read(p)
 }
--- a/internal/traffic/forwarder/body.go
+++ b/internal/traffic/forwarder/body.go
@@ -23,7 +23,7 @@
 // requestBody is the body of a caller's request. It knows whether the body can be
 // sent once more.
 type requestBody struct {
-	length   int64         // in bytes, -1 if unknown
+	length   int64         // bytes, -1 if unknown
 	buffered []byte        // complete body, if it is small
 	source   io.ReadCloser // body to stream, nil if buffered
 	limit    int64         // largest streamed body, in bytes
--- a/internal/traffic/forwarder/claims.go
+++ b/internal/traffic/forwarder/claims.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	claimTimeout   = 2 * time.Second // covers a change of the key's owner during the call
-	maxSavedClaims = 1024            // idempotency keys
-	maxSavedBody   = 16 << 10        // bytes
+	claimTimeout   = 2 * time.Second // long enough for a change of the key's shard owner during the call
+	maxSavedClaims = 1024            // idempotency keys that are remembered
+	maxSavedBody   = 16 << 10        // bytes; a larger response is not saved
 )
 
 // claimState is how the request with a key has ended, as far as this entry host
@@ -39,12 +39,12 @@
 // claimEntry is the state of one key.
 type claimEntry struct {
 	state    claimState
-	owner    string
-	owners   map[string]bool // every owner name this entry host used for the key
-	response *savedResponse  // only for stateAnswered
+	owner    string          // latest request with the key, see call.owner
+	owners   map[string]bool // all requests with the key through this entry host
+	response *savedResponse  // nil unless state is stateAnswered
 }
 
-// begin registers that owner is about to send the request. It returns the
+// begin registers that the request named owner is about to be sent. It returns the
 // existing entry and false if the key is in use and its request may have run.
 func (t *claimTable) begin(key, owner string) (earlier *claimEntry, ok bool) {
 	t.lock.Lock()
--- a/internal/traffic/forwarder/compare_test.go
+++ b/internal/traffic/forwarder/compare_test.go
@@ -22,14 +22,15 @@
 	"dotterelcart.dev/dotterelcart/internal/traffic/router"
 )
 
-// The simulated fleet can serve 800 requests a second.
+// The simulated fleet can serve 800 requests a second: 32 slots, each
+// held for 40 ms on average.
 const (
-	fleetSize  = 4
-	slots      = 8 // per server
-	meanWork   = 40 * time.Millisecond
-	fleetRate  = 800.0 // requests a second
-	runTime    = 4 * time.Second
-	callerTime = 400 * time.Millisecond
+	fleetSize      = 4 // servers
+	slots          = 8 // per server
+	meanWork       = 40 * time.Millisecond
+	fleetRate      = 800.0 // requests a second
+	runTime        = 4 * time.Second
+	callerDeadline = 400 * time.Millisecond
 )
 
 // testServer is a backend server that works on a limited number of requests at a
@@ -96,8 +97,8 @@
 type variant struct {
 	name       string
 	policy     router.Policy
-	hedge      float64
-	noLimits   bool // every request is sent at once
+	hedge      float64 // HedgeRatio
+	noLimits   bool    // every request is sent at once
 	noEjection bool
 }
 
@@ -155,7 +156,7 @@
 }
 
 func kind(tenant string, share float64) loader.Kind {
-	return loader.Kind{Tenant: tenant, Service: "desk", Share: share, Deadline: parser.Duration(callerTime)}
+	return loader.Kind{Tenant: tenant, Service: "desk", Share: share, Deadline: parser.Duration(callerDeadline)}
 }
 
 func compare(b *testing.B, v variant, load float64, disturb func([]*testServer), mix []loader.Kind) loader.Report {
@@ -166,12 +167,12 @@
 		defer s.Close()
 		defer s.CloseClientConnections()
 		all = append(all, s)
-		lent := slots
+		workerSlots := slots
 		if v.noLimits {
-			lent = 10000
+			workerSlots = 10000
 		}
 		table.Services["desk"] = append(table.Services["desk"], describer.Backend{
-			Worker: fmt.Sprint(i), Address: s.Listener.Addr().String(), Domain: "d", Region: "r", Slots: lent, Connections: 8 * lent,
+			Worker: fmt.Sprint(i), Address: s.Listener.Addr().String(), Domain: "d", Region: "r", Slots: workerSlots, Connections: 8 * workerSlots,
 		})
 	}
 	disturb(all)
@@ -197,12 +198,12 @@
 	return report
 }
 
-func reportMetrics(b *testing.B, row *loader.KindReport) {
-	b.ReportMetric(float64(row.Quantile(0.5).Microseconds())/1000, "p50-ms")
-	b.ReportMetric(float64(row.Quantile(0.99).Microseconds())/1000, "p99-ms")
-	b.ReportMetric(float64(row.Quantile(0.999).Microseconds())/1000, "p99.9-ms")
-	b.ReportMetric(float64(row.Refused), "refused")
-	b.ReportMetric(float64(row.Failed+row.Lost+row.Late+row.Unsent), "failed")
+func reportMetrics(b *testing.B, report *loader.KindReport) {
+	b.ReportMetric(float64(report.Quantile(0.5).Microseconds())/1000, "p50-ms")
+	b.ReportMetric(float64(report.Quantile(0.99).Microseconds())/1000, "p99-ms")
+	b.ReportMetric(float64(report.Quantile(0.999).Microseconds())/1000, "p99.9-ms")
+	b.ReportMetric(float64(report.Refused), "refused")
+	b.ReportMetric(float64(report.Failed+report.Lost+report.Late+report.Unsent), "failed")
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/internal/traffic/forwarder/forwarder.go
+++ b/internal/traffic/forwarder/forwarder.go
@@ -62,7 +62,7 @@
 	Policy     router.Policy     // nil means router.LeastLoaded
 	Health     router.Health
 	HedgeRatio float64 // second attempts per first attempt; 0 means 0.05, negative disables hedging
-	Seed       uint64
+	Seed       uint64  // seed of random choices among backend servers
 	// Connections returns how many connections to the backend server may be
 	// open; nil means those that belong to this entry host's share of slots.
 	Connections func(b describer.Backend) int
@@ -89,8 +89,8 @@
 	claims        claimTable
 	tracker       requestTracker
 	stop          context.CancelFunc
-	claimSequence atomic.Int64
-	incarnation   int64 // start time in Unix nanoseconds; differs from earlier processes of this name
+	claimSequence atomic.Int64 // numbers the requests with an idempotency key
+	incarnation   int64        // start time in Unix nanoseconds; differs from earlier processes of this name
 }
 
 // New returns a forwarder that is ready to serve. table returns the current
@@ -156,35 +156,36 @@
 // written.
 const writeGrace = time.Second
 
-// Defaults and bounds of Options.
+// Reserves of the budgets for retries and hedges, see retrier.Budget, and defaults
+// of Options.
 const (
-	retryReserve = 10
-	hedgeReserve = 2
+	retryReserve = 10 // retries
+	hedgeReserve = 2  // second attempts
 
-	defaultQueue    = 64
-	defaultBody     = 64 << 20
-	defaultDeadline = 10 * time.Second
-	defaultBudget   = 0.1
-	defaultHedge    = 0.05
-	defaultHosts    = 3
+	defaultMaxQueue   = 64       // waiting requests of each tenant and class
+	defaultMaxBody    = 64 << 20 // bytes
+	defaultDeadline   = 10 * time.Second
+	defaultRetryRatio = 0.1  // retries per first attempt
+	defaultHedgeRatio = 0.05 // second attempts per first attempt
+	defaultHosts      = 3    // entry hosts that share the slots equally
 )
 
 func withDefaults(o Options) Options {
 	t := &o.Traffic
 	if t.MaxQueue <= 0 {
-		t.MaxQueue = defaultQueue
+		t.MaxQueue = defaultMaxQueue
 	}
 	if t.MaxBody <= 0 {
-		t.MaxBody = defaultBody
+		t.MaxBody = defaultMaxBody
 	}
 	if t.DefaultDeadline <= 0 {
 		t.DefaultDeadline = parser.Duration(defaultDeadline)
 	}
 	if t.RetryRatio <= 0 {
-		t.RetryRatio = defaultBudget
+		t.RetryRatio = defaultRetryRatio
 	}
 	if o.HedgeRatio == 0 {
-		o.HedgeRatio = defaultHedge
+		o.HedgeRatio = defaultHedgeRatio
 	}
 	if o.Slots == nil {
 		o.Slots = &router.FixedShare{Hosts: defaultHosts}
@@ -282,7 +283,7 @@
 // Intervals of runMaintenance.
 const (
 	dispatchInterval = 20 * time.Millisecond
-	pruneEvery       = 250 // dispatches between two calls of pruneConnections
+	pruneEvery       = 250 // number of dispatches between two calls of pruneConnections
 )
 
 // runMaintenance dispatches queued requests to slots that came free without the
--- a/internal/traffic/forwarder/forwarder_suite_test.go
+++ b/internal/traffic/forwarder/forwarder_suite_test.go
@@ -30,7 +30,7 @@
 	options  forwarder.Options
 	table    atomic.Pointer[describer.RoutingTable]
 	claimer  forwarder.Claimer
-	front    *httptest.Server
+	front    *httptest.Server // serves entry to callers
 	entry    *forwarder.Forwarder
 	backends []describer.Backend
 }
--- a/internal/traffic/forwarder/headers.go
+++ b/internal/traffic/forwarder/headers.go
@@ -24,7 +24,7 @@
 const PathPrefix = "/svc/"
 
 const (
-	maxNameLength = 64  // bytes, of a tenant or class
+	maxNameLength = 64  // bytes, for tenants, classes and services
 	maxKeyLength  = 256 // bytes
 	maxDeadline   = time.Hour
 	defaultClass  = "default"
@@ -36,18 +36,18 @@
 	path             string // escaped path for the backend server
 	tenant           string
 	class            string
-	weight           int
-	timeout          time.Duration
+	weight           int           // weight of the tenant, 0 until the tenant is known
+	timeout          time.Duration // from the header, or the default
 	deadline         time.Time
-	key              string
+	key              string // idempotency key; answerRepeat prefixes it with tenant and service
 	owner            string // names this request when it claims the key
-	claimed          bool   // the Claimer has recorded the key
+	claimed          bool   // the Claimer has recorded the key for this entry host
 	idempotent       bool   // may be sent more than once
 	body             *requestBody
 	request          *http.Request
 	retries          int
-	queueTime        time.Duration
-	crossRegionBytes int64 // request and response bodies
+	queueTime        time.Duration // sum over all attempts
+	crossRegionBytes int64         // size of request and response bodies
 }
 
 // parseRequest reads and validates the request. Errors name the offending field
--- a/internal/traffic/forwarder/hedge.go
+++ b/internal/traffic/forwarder/hedge.go
@@ -45,7 +45,7 @@
 		}()
 	}
 	start(slot)
-	running, sent := 1, false
+	running, mayHaveRun := 1, false
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	for {
@@ -59,11 +59,11 @@
 		case r := <-results:
 			running--
 			if r.err != nil && running > 0 {
-				sent = sent || classifier.VerdictOf(r.err) != classifier.NotRun
+				mayHaveRun = mayHaveRun || classifier.VerdictOf(r.err) != classifier.NotRun
 				continue
 			}
 			if r.err != nil {
-				return nil, withEarlierAttempts(r.err, sent)
+				return nil, withEarlierAttempts(r.err, mayHaveRun)
 			}
 			if running > 0 {
 				cancels[1-r.index]()
@@ -74,8 +74,8 @@
 	}
 }
 
-// takeHedgeSlot takes a slot of another backend server in this entry host's region, or
-// returns nil if none is free or the hedge budget is used up.
+// takeHedgeSlot takes a slot of another backend server in this entry host's
+// region, or returns nil if none is free or the hedge budget is used up.
 func (f *Forwarder) takeHedgeSlot(c *call, avoid map[string]bool) *router.Slot {
 	if !f.hedges.TryWithdraw() {
 		return nil
@@ -99,7 +99,7 @@
 	}
 }
 
-// releaseUnused gives back a slot over which nothing was sent.
+// releaseUnused gives back a slot for which no request was sent.
 func (f *Forwarder) releaseUnused(c *call, slot *router.Slot) {
 	slot.Release(router.Unknown)
 	f.Limiter.Release(c.service, 0)
--- a/internal/traffic/forwarder/metrics.go
+++ b/internal/traffic/forwarder/metrics.go
@@ -29,14 +29,14 @@
 
 // classMetrics are the metrics of one tenant and class.
 type classMetrics struct {
-	latency          tally.Histogram
-	queueing         tally.Histogram
-	retries          tally.Histogram
-	crossRegion      tally.Histogram
-	refusals         tally.Counter
-	hedges           tally.Counter
-	truncated        tally.Counter
-	crossRegionBytes tally.Counter
+	latency          tally.Histogram // time from the arrival of a request to its end
+	queueing         tally.Histogram // time in the queue for a slot
+	retries          tally.Histogram // retries of one request
+	crossRegionSize  tally.Histogram // bytes of one request that crossed regions
+	refusals         tally.Counter   // failures with verdict NotRun
+	hedges           tally.Counter   // second attempts
+	truncated        tally.Counter   // responses that were aborted
+	crossRegionBytes tally.Counter   // sum of crossRegionSize
 }
 
 func newMetrics(scope tally.Scope) *metrics {
@@ -88,7 +88,7 @@
 		latency:          scope.Histogram("latency", timeBuckets),
 		queueing:         scope.Histogram("queueing", timeBuckets),
 		retries:          scope.Histogram("retries", countBuckets),
-		crossRegion:      scope.Histogram("afar", byteBuckets),
+		crossRegionSize:  scope.Histogram("afar", byteBuckets),
 		refusals:         scope.Counter("refusals"),
 		hedges:           scope.Counter("hedges"),
 		truncated:        scope.Counter("truncated"),
@@ -118,7 +118,7 @@
 	series.queueing.RecordDuration(c.queueTime)
 	series.retries.RecordValue(float64(c.retries))
 	if c.crossRegionBytes > 0 {
-		series.crossRegion.RecordValue(float64(c.crossRegionBytes))
+		series.crossRegionSize.RecordValue(float64(c.crossRegionBytes))
 		series.crossRegionBytes.Inc(c.crossRegionBytes)
 	}
 }
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -22,11 +22,11 @@
 	f.hedges.Deposit()
 	backoff := retrier.New()
 	avoid := make(map[string]bool)
-	sent := false
+	mayHaveRun := false
 	for {
 		slot, err := f.acquireSlot(ctx, c, avoid)
 		if err != nil {
-			return nil, withEarlierAttempts(err, sent)
+			return nil, withEarlierAttempts(err, mayHaveRun)
 		}
 		if err := f.claimKey(ctx, c); err != nil {
 			f.releaseUnused(c, slot)
@@ -38,9 +38,9 @@
 		}
 		retry := retrier.IsRetryable(err, c.idempotent) && c.body.detach()
 		if !retry || ctx.Err() != nil || !f.retries.TryWithdraw() || !backoff.Wait(ctx) {
-			return nil, withEarlierAttempts(err, sent)
+			return nil, withEarlierAttempts(err, mayHaveRun)
 		}
-		sent = sent || classifier.VerdictOf(err) != classifier.NotRun
+		mayHaveRun = mayHaveRun || classifier.VerdictOf(err) != classifier.NotRun
 		c.retries++
 	}
 }
@@ -48,9 +48,9 @@
 // withEarlierAttempts turns the last attempt's error into that of the whole
 // request: it is not NotRun if an earlier attempt may have run. It also sets
 // RetryAfter for a NotRun error without one.
-func withEarlierAttempts(err error, sent bool) error {
+func withEarlierAttempts(err error, mayHaveRun bool) error {
 	out := *asError(err)
-	if sent {
+	if mayHaveRun {
 		out.Verdict = classifier.MayHaveRun
 	}
 	if out.RetryAfter == 0 && out.Verdict == classifier.NotRun {
@@ -82,9 +82,9 @@
 	}
 }
 
-// takeSlot takes a free slot in this entry host's region, or in others if the request would
-// miss its deadline otherwise or no backend server here is open. When all open
-// backend servers have been tried, it starts over with all of them.
+// takeSlot takes a free slot in this entry host's region, or in others if the
+// request would miss its deadline otherwise or no backend server here is open.
+// When all open backend servers have been tried, it starts over with all of them.
 func (f *Forwarder) takeSlot(c *call, avoid map[string]bool, late bool) (*router.Slot, error) {
 	table := f.table()
 	request := router.Request{Service: c.service, Deadline: c.deadline, Avoid: avoid, CrossRegion: late}
@@ -146,8 +146,8 @@
 	return out, nil
 }
 
-// outcome says what the failure tells about the backend server. A cancelled
-// request counts as a failure only if it took longer than usual.
+// outcome returns what the failed attempt shows about the backend server. A
+// cancelled request counts as a failure only if it took longer than slowThreshold.
 func (f *Forwarder) outcome(ctx context.Context, c *call, err error, took time.Duration) router.Outcome {
 	e := asError(err)
 	switch {
--- a/internal/traffic/forwarder/stats.go
+++ b/internal/traffic/forwarder/stats.go
@@ -20,12 +20,12 @@
 	p50      time.Duration
 	p95      time.Duration
 	meanSize float64            // moving average, in bytes
-	scratch  [256]time.Duration // for sorting
+	scratch  [256]time.Duration // sorted copy of recent
 }
 
 const (
 	sortInterval     = 32 // observations between updates of the quantiles
-	slowFactor       = 10 // multiple of the median latency, see slowThreshold
+	slowFactor       = 10 // slowThreshold is this multiple of the median latency
 	minHedgeDelay    = time.Millisecond
 	minSlowThreshold = 100 * time.Millisecond
 	initialSize      = 16 << 10 // bytes, assumed before the first response
--- a/internal/traffic/lender/borrower.go
+++ b/internal/traffic/lender/borrower.go
@@ -13,13 +13,13 @@
 // many are in use.
 type workerSlots struct {
 	backend     describer.Backend
-	leased      int
+	leased      int       // slots granted by the shard's owner
 	expires     time.Time // end of the lease on the leased slots
 	leasedInUse int
 	baseInUse   int
 	peak        int  // most slots in use at once since the last renewal
 	missed      int  // requests that found no slot since then
-	requested   int  // in the latest renewal
+	requested   int  // slots asked for in the latest renewal
 	unfulfilled bool // the latest renewal failed or granted less than requested, so missed requests trigger no other
 }
 
@@ -94,8 +94,8 @@
 	return baseShare(b, index, count), until
 }
 
-// usableLeased returns the leased slots if the lease has not expired at the
-// time.
+// usableLeased returns the number of leased slots at the given time, 0 if the
+// lease has expired by then.
 func (w *workerSlots) usableLeased(at time.Time) int {
 	if !at.Before(w.expires) {
 		return 0
@@ -144,30 +144,30 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, l.Options.Interval)
 	defer cancel()
-	a := l.newRequest(shard)
+	request := l.newRequest(shard)
 	sent := time.Now()
-	out, err := l.send(ctx, table, a)
+	reply, err := l.send(ctx, table, request)
 	if err != nil {
 		l.log.Debug().Err(err).Str("shard", shard).Msg("slot lease renewal failed")
 		l.setUnfulfilled(shard)
 		return
 	}
-	if l.apply(out, sent) {
+	if l.apply(reply, sent) {
 		l.onGrowth()
 	}
 }
 
 // send passes the request to the shard's owner, which may be this daemon.
-func (l *Lender) send(ctx context.Context, table *describer.RoutingTable, a *leaseRequest) (*leaseReply, error) {
-	if _, ok := table.Owned[a.Shard]; ok {
-		return l.grant(a)
+func (l *Lender) send(ctx context.Context, table *describer.RoutingTable, request *leaseRequest) (*leaseReply, error) {
+	if _, ok := table.Owned[request.Shard]; ok {
+		return l.grant(request)
 	}
-	address, ok := table.Owners[a.Shard]
+	address, ok := table.Owners[request.Shard]
 	if !ok {
 		return nil, errNotOwner
 	}
-	out := new(leaseReply)
-	return out, l.caller.Call(ctx, address, messenger.Lend, a, out)
+	reply := new(leaseReply)
+	return reply, l.caller.Call(ctx, address, messenger.Lend, request, reply)
 }
 
 // newRequest builds the lease request for a shard. It asks for the peak number
@@ -178,7 +178,7 @@
 	defer l.lock.Unlock()
 	l.sequence++
 	now := time.Now()
-	out := &leaseRequest{Host: l.Options.Name, Incarnation: l.incarnation, Sequence: l.sequence, Shard: shard}
+	request := &leaseRequest{Host: l.Options.Name, Incarnation: l.incarnation, Sequence: l.sequence, Shard: shard}
 	for worker, w := range l.workers {
 		if w.backend.Shard != shard {
 			continue
@@ -191,9 +191,9 @@
 		w.peak = w.leasedInUse + w.baseInUse
 		w.missed = 0
 		w.requested = d.Want
-		out.Demands = append(out.Demands, d)
+		request.Demands = append(request.Demands, d)
 	}
-	return out
+	return request
 }
 
 // setUnfulfilled keeps missed requests from triggering renewals of the shard's
@@ -230,11 +230,11 @@
 // apply puts the granted leases in force and reports whether one has grown. A
 // reply from a former owner is safe to apply: the new owner grants nothing
 // until those leases have expired.
-func (l *Lender) apply(out *leaseReply, sent time.Time) (grown bool) {
+func (l *Lender) apply(reply *leaseReply, sent time.Time) (grown bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	expires := sent.Add(min(out.Term, l.Options.Term) - l.Options.Margin)
-	for _, g := range out.Grants {
+	expires := sent.Add(min(reply.Term, l.Options.Term) - l.Options.Margin)
+	for _, g := range reply.Grants {
 		w := l.workers[g.Worker]
 		if w == nil {
 			continue
--- a/internal/traffic/lender/grants.go
+++ b/internal/traffic/lender/grants.go
@@ -23,13 +23,13 @@
 // demand is what an entry host asks for of one worker.
 type demand struct {
 	Worker string `json:"worker"`
-	Want   int    `json:"want"` // slots
+	Want   int    `json:"want"` // leased slots asked for
 	Held   int    `json:"held"` // leased slots that may still be in use
 }
 
 // leaseReply is the response to a leaseRequest.
 type leaseReply struct {
-	Epoch  int64         `json:"epoch"` // of the shard's ownership
+	Epoch  int64         `json:"epoch"` // number of the shard's ownership, grows with each new owner
 	Term   time.Duration `json:"term"`  // lifetime of the leases
 	Grants []grant       `json:"loans"`
 }
@@ -47,7 +47,7 @@
 
 // grantTable holds the leases granted for all shards that this daemon owns.
 type grantTable struct {
-	startupDelay time.Duration // before a new owner grants slots
+	startupDelay time.Duration // a new owner grants no slots for so long
 	term         time.Duration // lifetime of a lease
 
 	lock   sync.Mutex
@@ -57,8 +57,8 @@
 // shardGrants holds the leases granted for one shard in one epoch.
 type shardGrants struct {
 	epoch        int64
-	grantsFrom   time.Time // every lease of former owners has expired by then
-	lastSequence map[holder]int64
+	grantsFrom   time.Time                        // every lease of former owners has expired by then
+	lastSequence map[holder]int64                 // number of each holder's latest request
 	leases       map[string]map[holder]*slotLease // by worker
 }
 
@@ -70,36 +70,36 @@
 
 // slotLease is one holder's lease on slots of one worker.
 type slotLease struct {
-	slots   int
-	wanted  int
+	slots   int // slots that the holder may still use
+	wanted  int // slots that the holder asked for
 	expires time.Time
 }
 
 // grant answers one request. It returns false if a later request of the holder
 // was answered before, or if the ownership of the shard is no longer certain.
-func (t *grantTable) grant(a *leaseRequest, epoch int64, table *describer.RoutingTable, valid func() bool, now time.Time) (*leaseReply, bool) {
+func (t *grantTable) grant(request *leaseRequest, epoch int64, table *describer.RoutingTable, isOwner func() bool, now time.Time) (*leaseReply, bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	s := t.shards[a.Shard]
+	s := t.shards[request.Shard]
 	if s == nil || s.epoch < epoch {
 		s = newShardGrants(epoch, now.Add(t.startupDelay))
-		t.shards[a.Shard] = s
+		t.shards[request.Shard] = s
 	}
-	h := holder{a.Host, a.Incarnation}
-	if s.epoch != epoch || a.Sequence <= s.lastSequence[h] || !valid() {
+	h := holder{request.Host, request.Incarnation}
+	if s.epoch != epoch || request.Sequence <= s.lastSequence[h] || !isOwner() {
 		return nil, false
 	}
-	s.lastSequence[h] = a.Sequence
-	out := &leaseReply{Epoch: epoch, Term: t.term}
-	slots := lendableSlots(table, a.Shard)
-	for _, d := range a.Demands {
+	s.lastSequence[h] = request.Sequence
+	reply := &leaseReply{Epoch: epoch, Term: t.term}
+	slots := lendableSlots(table, request.Shard)
+	for _, d := range request.Demands {
 		total := slots[d.Worker]
 		if now.Before(s.grantsFrom) {
 			total = 0
 		}
-		out.Grants = append(out.Grants, grant{d.Worker, s.grant(h, d, total, now, t.term)})
+		reply.Grants = append(reply.Grants, grant{d.Worker, s.grant(h, d, total, now, t.term)})
 	}
-	return out, true
+	return reply, true
 }
 
 func newShardGrants(epoch int64, grantsFrom time.Time) *shardGrants {
@@ -143,7 +143,9 @@
 	return slots
 }
 
-// fairShare returns the holder's max-min fair share of total slots.
+// fairShare returns the holder's max-min fair share of total slots. It raises a
+// level, the slots that every holder gets unless it wants fewer, until the sum
+// would exceed total.
 func fairShare(all map[holder]*slotLease, h holder, total int) int {
 	wanted := all[h].wanted
 	for level := 0; ; level++ {
--- a/internal/traffic/lender/lender.go
+++ b/internal/traffic/lender/lender.go
@@ -54,7 +54,7 @@
 	Term     time.Duration // lifetime of a slot lease; requests with a later deadline use base slots
 	Margin   time.Duration // subtracted from Term, for clocks that run at different speeds
 	Grace    time.Duration // a slot lease this close to its end is not used, so that idle connections can close in time
-	Interval time.Duration // between renewals of slot leases
+	Interval time.Duration // time between renewals of slot leases
 }
 
 // Defaults of Options.
@@ -76,17 +76,17 @@
 	isOwner     func() bool
 	share       *ShareLease
 	log         zerolog.Logger
-	stop        context.CancelFunc
-	wake        chan struct{} // triggers a renewal before the next interval
-	incarnation int64         // start time in Unix nanoseconds
+	stop        context.CancelFunc // ends run
+	wake        chan struct{}      // triggers a renewal before the next interval
+	incarnation int64              // start time in Unix nanoseconds
 
 	lock            sync.Mutex
 	workers         map[string]*workerSlots
-	renewing        map[string]bool // shards with a renewal in progress
-	sequence        int64           // of the latest lease request
-	closing         bool            // renewals ask for no slots
-	openConnections func(worker string) int
-	onGrowth        func() // called when more slots were granted
+	renewing        map[string]bool         // shards with a renewal in progress
+	sequence        int64                   // number of the latest lease request
+	closing         bool                    // set by HandBack: renewals ask for no slots
+	openConnections func(worker string) int // number of open connections
+	onGrowth        func()                  // called when more slots were granted
 
 	grants grantTable
 }
@@ -156,29 +156,29 @@
 // Serve handles messenger.Lend: it grants slot leases for the shards that this
 // daemon owns. Its errors are *classifier.Error values with verdict NotRun.
 func (l *Lender) Serve(_ context.Context, params json.RawMessage) (any, error) {
-	var a leaseRequest
-	if err := json.Unmarshal(params, &a); err != nil {
+	var request leaseRequest
+	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, errMalformed
 	}
-	return l.grant(&a)
+	return l.grant(&request)
 }
 
 // grant answers a lease request. It fails unless this daemon is certain to own
 // the shard.
-func (l *Lender) grant(a *leaseRequest) (*leaseReply, error) {
+func (l *Lender) grant(request *leaseRequest) (*leaseReply, error) {
 	table := l.table()
 	if table == nil {
 		return nil, errNotOwner
 	}
-	epoch, ok := table.Owned[a.Shard]
+	epoch, ok := table.Owned[request.Shard]
 	if !ok {
 		return nil, errNotOwner
 	}
-	out, ok := l.grants.grant(a, epoch, table, l.isOwner, time.Now())
+	reply, ok := l.grants.grant(request, epoch, table, l.isOwner, time.Now())
 	if !ok {
 		return nil, errNotOwner
 	}
-	return out, nil
+	return reply, nil
 }
 
 // HandBack returns all leased slots and the base share, so that other entry
--- a/internal/traffic/lender/lender_test.go
+++ b/internal/traffic/lender/lender_test.go
@@ -344,14 +344,15 @@
 // TestCallSize bounds the bytes that each worker adds to a lease request and its
 // reply.
 func TestCallSize(t *testing.T) {
+	// size returns the bytes of a request and of its reply.
 	size := func(workers int) (int, int) {
-		a, out := &leaseRequest{Host: "seq-bne-entry-1", Incarnation: 1 << 60, Sequence: 1 << 20, Shard: "seq-bne-1"}, &leaseReply{Epoch: 100, Term: DefaultTerm}
+		request, reply := &leaseRequest{Host: "seq-bne-entry-1", Incarnation: 1 << 60, Sequence: 1 << 20, Shard: "seq-bne-1"}, &leaseReply{Epoch: 100, Term: DefaultTerm}
 		for i := range workers {
-			a.Demands = append(a.Demands, demand{Worker: fmt.Sprintf("seq-bne-w%05d", i), Want: 3, Held: 2})
-			out.Grants = append(out.Grants, grant{Worker: fmt.Sprintf("seq-bne-w%05d", i), Slots: 3})
+			request.Demands = append(request.Demands, demand{Worker: fmt.Sprintf("seq-bne-w%05d", i), Want: 3, Held: 2})
+			reply.Grants = append(reply.Grants, grant{Worker: fmt.Sprintf("seq-bne-w%05d", i), Slots: 3})
 		}
-		x, _ := json.Marshal(a)
-		y, _ := json.Marshal(out)
+		x, _ := json.Marshal(request)
+		y, _ := json.Marshal(reply)
 		return len(x), len(y)
 	}
 	x0, y0 := size(0)
--- a/internal/traffic/lender/share.go
+++ b/internal/traffic/lender/share.go
@@ -25,10 +25,10 @@
 	// are taken, further entry hosts use leased slots only.
 	DefaultShares = 4
 
-	shareTerm    = 24 * time.Hour   // lifetime of a share lease, also while the store is unavailable
+	shareTerm    = 24 * time.Hour   // lifetime of a share lease, which stays valid while the store is unavailable
 	shareRenewal = time.Hour        // age at which a lease is renewed
-	shareCheck   = 30 * time.Second // between reads of the record
-	releaseTries = 5                // in case other hosts change the record at the same time
+	shareCheck   = 30 * time.Second // time between reads of the record
+	releaseTries = 5                // attempts, since other hosts may change the record at the same time
 
 	clockMargin = 10 * time.Minute // allowance for differences between hosts' wall clocks
 )
@@ -40,20 +40,20 @@
 type ShareLease struct {
 	Done chan struct{} // closed when renewals have ended
 
-	store       Store
-	domain      string
-	name        string
-	takeover    time.Duration // wait until requests of the share's former holder have ended
-	shares      int           // number of shares in a new record
-	incarnation int64         // start time in Unix nanoseconds
-	log         zerolog.Logger
-	stop        context.CancelFunc
-	once        sync.Once
+	store         Store
+	domain        string
+	name          string
+	takeoverDelay time.Duration // wait until requests of the share's former holder have ended
+	shares        int           // number of shares in a new record
+	incarnation   int64         // start time in Unix nanoseconds
+	log           zerolog.Logger
+	stop          context.CancelFunc
+	once          sync.Once
 
 	lock  sync.Mutex
-	index int
-	count int       // number of shares, 0 while none is held
-	from  time.Time // first use
+	index int       // which share is held
+	count int       // number of shares in the failure domain, 0 while none is held
+	from  time.Time // the share is not used earlier
 	until time.Time // end of the lease by the local clock
 }
 
@@ -75,15 +75,15 @@
 func NewShareLease(store Store, domain, name string, wait time.Duration, log zerolog.Logger) *ShareLease {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &ShareLease{
-		Done:        make(chan struct{}),
-		store:       store,
-		domain:      domain,
-		name:        name,
-		takeover:    wait,
-		shares:      DefaultShares,
-		incarnation: time.Now().UnixNano(),
-		log:         log.With().Str("part", "lender").Logger(),
-		stop:        stop,
+		Done:          make(chan struct{}),
+		store:         store,
+		domain:        domain,
+		name:          name,
+		takeoverDelay: wait,
+		shares:        DefaultShares,
+		incarnation:   time.Now().UnixNano(),
+		log:           log.With().Str("part", "lender").Logger(),
+		stop:          stop,
 	}
 	go func() {
 		defer close(s.Done)
@@ -155,7 +155,8 @@
 }
 
 // acquireOrRenew takes a share, or confirms or renews the lease on the one held.
-// A share whose entry named another process may be used only after takeover.
+// A share whose entry named another process is not used before takeoverDelay has
+// passed.
 func (s *ShareLease) acquireOrRenew(ctx context.Context) error {
 	sent := time.Now()
 	index, count, from := -1, 0, sent
@@ -176,7 +177,7 @@
 			s.clearHeld()
 		}
 		if e.Name != "" && !own {
-			from = sent.Add(s.takeover)
+			from = sent.Add(s.takeoverDelay)
 		}
 		if own && e.Until.After(sent.Add(shareTerm-shareRenewal)) {
 			s.confirmHeld(index, count, sent, e.Until)
@@ -223,9 +224,9 @@
 
 // confirmHeld records that the store still names this process. If the write
 // took effect but its response was lost, this is how the process learns of the
-// lease; the share may have had another holder then, so takeover applies.
+// lease; the share may have had another holder then, so takeoverDelay applies.
 func (s *ShareLease) confirmHeld(index, count int, now, until time.Time) {
-	s.setHeld(index, count, now.Add(s.takeover), now.Add(until.Sub(now)-clockMargin))
+	s.setHeld(index, count, now.Add(s.takeoverDelay), now.Add(until.Sub(now)-clockMargin))
 }
 
 // clearHeld records that no share is held.
@@ -266,5 +267,6 @@
 	return nil
 }
 
-// workerOffset varies from worker to worker, see baseShare.
+// workerOffset returns a number from 0 to 1023 that depends on the worker's name.
+// baseShare uses it to spread the remainder.
 func workerOffset(worker string) int { return int(xxhash.Sum64String(worker) % 1024) }
--- a/internal/traffic/limiter/limiter_test.go
+++ b/internal/traffic/limiter/limiter_test.go
@@ -27,8 +27,8 @@
 
 type count struct {
 	done, refused  int
-	longestWait    time.Duration // of requests that got a slot
-	longestRefusal time.Duration // from arrival to refusal
+	longestWait    time.Duration // longest wait of a request that got a slot
+	longestRefusal time.Duration // longest time from arrival to refusal
 }
 
 func newTestLimiter(slots int, hold time.Duration) *testLimiter {
--- a/internal/traffic/limiter/service.go
+++ b/internal/traffic/limiter/service.go
@@ -10,7 +10,7 @@
 // the tenant with the smallest start tag is next.
 type service[T any] struct {
 	tenants     map[string]*tenant[T]
-	waiting     int
+	waiting     int     // requests in all queues
 	inUse       int     // slots in use
 	meanHold    float64 // seconds a slot is held, moving average
 	virtualTime float64 // start tag of the slot given last
@@ -20,7 +20,7 @@
 type tenant[T any] struct {
 	weight    int
 	finishTag float64 // virtual time, grows by 1/weight with each slot
-	waiting   int
+	waiting   int     // requests in all queues of the tenant
 	queues    map[string]*queue[T]
 	order     []*queue[T] // queues of the classes, least recently served first
 }
--- a/internal/traffic/loader/plot.go
+++ b/internal/traffic/loader/plot.go
@@ -48,7 +48,7 @@
 	return err
 }
 
-const plotPrecision = 1e8 // nanoseconds
+const plotPrecision = 1e8 // nanoseconds, for the duration in the title
 
 // latencyCurve returns the latency in milliseconds at each of the quantiles.
 func latencyCurve(report *KindReport) plotter.XYs {
@@ -63,6 +63,7 @@
 // at 1, 0.99 at 2.
 func tailScale(q float64) float64 { return -math.Log10(1 - q) }
 
+// ticks returns the labelled quantiles of the x axis.
 func ticks() []plot.Tick {
 	var out []plot.Tick
 	for _, q := range []float64{0, 0.5, 0.9, 0.99, 0.999, 0.9999} {
--- a/internal/traffic/loader/report.go
+++ b/internal/traffic/loader/report.go
@@ -25,8 +25,8 @@
 // Report is the result of a run.
 type Report struct {
 	Settings Settings
-	Took     time.Duration // until the last response
-	Kinds    []*KindReport // in the order of Settings.Mix
+	Took     time.Duration // from the start to the last response
+	Kinds    []*KindReport // one for each kind in Settings.Mix, in that order
 }
 
 // KindReport counts the outcomes of one kind of request.
@@ -38,16 +38,16 @@
 	Failed         int64                   // other error responses
 	Lost           int64                   // no response, or a truncated one
 	Unsent         int64                   // not sent, because too many requests were in flight
-	Latency        *hdrhistogram.Histogram // of complete responses, in microseconds since the due time
-	RefusalLatency *hdrhistogram.Histogram // of refusals, in microseconds since the due time
+	Latency        *hdrhistogram.Histogram // complete responses, in microseconds since the due time
+	RefusalLatency *hdrhistogram.Histogram // refusals, in microseconds since the due time
 
 	lock sync.Mutex
 }
 
 // Range and precision of the latency histograms.
 const (
-	minMicros         = 1
-	maxMicros         = int64(2 * time.Hour / time.Microsecond)
+	minMicros         = 1                                       // microseconds
+	maxMicros         = int64(2 * time.Hour / time.Microsecond) // microseconds
 	significantDigits = 3
 )
 
--- a/internal/traffic/loader/settings.go
+++ b/internal/traffic/loader/settings.go
@@ -13,8 +13,8 @@
 type Settings struct {
 	Targets     []string        `json:"targets"`  // base URLs of entry hosts, which get requests in turn
 	Rate        float64         `json:"rate"`     // requests per second of all kinds together
-	Duration    parser.Duration `json:"duration"` // of the load, such as "30s"
-	Seed        int64           `json:"seed"`     // of the random due times and kinds
+	Duration    parser.Duration `json:"duration"` // length of the load, such as "30s"
+	Seed        int64           `json:"seed"`     // seed of the random due times and kinds
 	MaxInFlight int             `json:"flight"`   // most requests in flight; any that is due beyond it is counted as unsent
 	Mix         []Kind          `json:"mix"`
 }
@@ -25,10 +25,10 @@
 	Class    string          `json:"class"`
 	Service  string          `json:"service"`
 	Method   string          `json:"method"`
-	Path     string          `json:"path"`
+	Path     string          `json:"path"` // path below the service
 	Body     int             `json:"body"` // size in bytes
 	Deadline parser.Duration `json:"deadline"`
-	Share    float64         `json:"share"` // of the rate, relative to the shares of the other kinds
+	Share    float64         `json:"share"` // part of the rate, relative to the shares of the other kinds
 }
 
 const (
--- a/internal/traffic/retrier/retrier.go
+++ b/internal/traffic/retrier/retrier.go
@@ -61,7 +61,7 @@
 	minDelay = 5 * time.Millisecond
 	maxDelay = 250 * time.Millisecond
 
-	maxAttempts = 3 // of one request, not counting hedged ones
+	maxAttempts = 3 // limit for one request, not counting hedges
 )
 
 // Retrier paces the attempts of one request.
--- a/internal/traffic/router/health.go
+++ b/internal/traffic/router/health.go
@@ -56,8 +56,8 @@
 
 const (
 	latencyWeight = 0.1  // weight of the newest response in the mean latency
-	limitGrowth   = 0.05 // added per response
-	limitCut      = 0.75 // factor after a refusal
+	limitGrowth   = 0.05 // added to the learned limit per response
+	limitCut      = 0.75 // factor on the learned limit after a refusal
 
 	minResponses = 30 // responses before a mean latency counts for ejection
 )
@@ -135,7 +135,9 @@
 	return n >= 3 && slot.server.meanLatency > r.Options.Health.SlowFactor*sum/float64(n)
 }
 
-// eject takes the server out of use for a time, unless too few would remain.
+// eject takes the server out of use for a time, unless too few would remain. The
+// count of ejections, which lengthens them, starts over when the last ejection
+// ended more than ten times Health.Ejection ago.
 func (r *Router) eject(slot *Slot, now time.Time) {
 	s := slot.server
 	s.failures = 0
--- a/internal/traffic/router/router.go
+++ b/internal/traffic/router/router.go
@@ -73,7 +73,7 @@
 	Policy     Policy           // nil means LeastLoaded
 	Health     Health           // zero fields take defaults
 	LinkBudget *LinkBudget      // nil forbids other regions
-	Seed       uint64           // of random choices
+	Seed       uint64           // seed of random choices
 	Now        func() time.Time // nil means time.Now
 }
 
@@ -86,7 +86,7 @@
 	servers  map[string]*server // by worker
 	random   *rand.Rand
 	services map[string]*serversByDistance // by service
-	table    *describer.RoutingTable       // from which services was built
+	table    *describer.RoutingTable       // source of services
 	scratch  []Candidate                   // reused by candidates
 }
 
@@ -163,9 +163,9 @@
 	return nil, ErrNoBackend
 }
 
-// maxCandidates bounds the candidates of one choice. In larger groups it is a
-// random sample, so that the cost of a request does not depend on the size of the
-// fleet.
+// maxCandidates bounds the candidates of one choice. In larger groups, they are the
+// first ones with a free slot from a random position, so that the cost of a choice
+// does not grow with the size of the fleet while slots are free.
 const maxCandidates = 64
 
 // candidates returns the servers with a free slot. The second result reports
--- a/internal/traffic/router/server.go
+++ b/internal/traffic/router/server.go
@@ -39,15 +39,16 @@
 	meanLatency  float64   // seconds, exponentially weighted; 0 if unknown
 	lastResponse time.Time // time of the last response
 
-	responses     int       // since the last ejection
-	failures      int       // consecutive
+	responses     int       // number since the last ejection
+	failures      int       // number of consecutive failures
 	ejectedUntil  time.Time // end of the latest ejection
 	slowStartFrom time.Time // start of the slow start, the end of the latest ejection
-	ejections     int       // in close succession; each doubles the length of the next
+	ejections     int       // number in close succession; each doubles the length of the next
 	learnedLimit  float64   // lowered by refusals; 0 means no limit but the slots
 }
 
-// latencyHalfLife is the time in which the weight of a past latency falls to half.
+// latencyHalfLife is the time without responses in which the mean latency of a
+// server decays to half.
 const latencyHalfLife = 10 * time.Second
 
 // decayedLatency returns the mean latency, which decays over time without
