--- a/internal/operator/commander/files.go
+++ b/internal/operator/commander/files.go
@@ -12,7 +12,7 @@
 
 // fleetFile is the layout of a configuration file.
 type fleetFile struct {
-	Revision int64             `json:"revision"` // of the configuration in force; 0: there is none
+	Revision int64             `json:"revision"` // revision of the configuration in force, 0 if there is none
 	Services []serviceEntry    `json:"services"`
 	Teams    []describer.Team  `json:"teams"`
 	Shards   []describer.Shard `json:"shards"`
@@ -22,7 +22,7 @@
 // serviceEntry is a service in a configuration file.
 type serviceEntry struct {
 	Name   string          `json:"name"`
-	Target parser.Duration `json:"target"` // of the 99th percentile of its latency
+	Target parser.Duration `json:"target"` // bound on the 99th percentile of its latency
 }
 
 // jobFile is the layout of a job file.
@@ -31,9 +31,9 @@
 	Team     string              `json:"team"`
 	Class    string              `json:"class"`
 	Urgent   bool                `json:"urgent"`
-	Tasks    int                 `json:"tasks"`
-	Declared describer.Resources `json:"declared"`
-	RunTime  parser.Duration     `json:"runtime"`
+	Tasks    int                 `json:"tasks"`    // number of tasks
+	Declared describer.Resources `json:"declared"` // resources that each task needs
+	RunTime  parser.Duration     `json:"runtime"`  // run time of each task
 	Deadline time.Time           `json:"deadline"`
 	Payload  json.RawMessage     `json:"payload"`
 }
@@ -84,6 +84,7 @@
 	return job, nil
 }
 
+// readSource reads a file, or in if the name is "-".
 func readSource(in io.Reader, name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(in)
--- a/internal/operator/commander/intent.go
+++ b/internal/operator/commander/intent.go
@@ -11,6 +11,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/describer"
 )
 
+// operatorsUsage describes the flag for a daemon that serves operators.
 const operatorsUsage = "address of a daemon's operator port, ip:port"
 
 // defaultOperators is the address for operators in the examples' settings.
--- a/internal/operator/commander/job.go
+++ b/internal/operator/commander/job.go
@@ -10,6 +10,7 @@
 	"dotterelcart.dev/dotterelcart/internal/control/reducer"
 )
 
+// callersUsage describes the flag for a daemon that serves callers.
 const callersUsage = "address of a daemon's caller port, ip:port"
 
 // defaultCallers is the address for callers in the examples' settings.
--- a/internal/operator/demonstrator/batch.go
+++ b/internal/operator/demonstrator/batch.go
@@ -27,9 +27,9 @@
 
 // batchLoad submits batch jobs and follows them until they are done.
 type batchLoad struct {
-	d       *deployer.Deployment
-	options Options
-	client  *http.Client
+	deployment *deployer.Deployment
+	options    Options
+	client     *http.Client
 
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -40,17 +40,18 @@
 
 func newBatchLoad(d *deployer.Deployment, o Options, random *rand.Rand) *batchLoad {
 	return &batchLoad{
-		d:        d,
-		options:  o,
-		client:   &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
-		random:   random,
-		accepted: make(map[string]int),
-		done:     make(map[string]bool),
-		status:   make(map[string]reducer.JobStatus),
+		deployment: d,
+		options:    o,
+		client:     &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		random:     random,
+		accepted:   make(map[string]int),
+		done:       make(map[string]bool),
+		status:     make(map[string]reducer.JobStatus),
 	}
 }
 
-// run submits jobs between jobsStart and jobsEnd of the load, and waits until they are done or runCtx ends.
+// run submits jobs between jobsStart and jobsEnd of the load, and waits until they
+// are done or runCtx ends.
 func (b *batchLoad) run(loadCtx, runCtx context.Context) {
 	length := time.Duration(b.options.Seconds) * time.Second
 	if !deployer.Pause(loadCtx, time.Duration(float64(length)*jobsStart)) {
@@ -79,7 +80,7 @@
 	if n%3 == 0 {
 		class = "render"
 	}
-	return b.d.Domains[n%len(b.d.Domains)], describer.Job{
+	return b.deployment.Domains[n%len(b.deployment.Domains)], describer.Job{
 		ID:       fmt.Sprintf("job-%d-%d", b.options.Seed, n),
 		Team:     "council",
 		Class:    class,
@@ -153,7 +154,7 @@
 // completed reports whether the workers have completed all tasks of a job.
 func (b *batchLoad) completed(id string, tasks int) bool {
 	for i := range tasks {
-		if !b.d.Audit.Finished(describer.TaskID{Job: id, Index: i}) {
+		if !b.deployment.Audit.Finished(describer.TaskID{Job: id, Index: i}) {
 			return false
 		}
 	}
--- a/internal/operator/demonstrator/demonstrator.go
+++ b/internal/operator/demonstrator/demonstrator.go
@@ -46,21 +46,21 @@
 )
 
 const (
-	startTimeout = 7 * time.Second  // until all daemons are ready
+	startTimeout = 7 * time.Second  // limit for all daemons to become ready
 	extraTime    = 19 * time.Second // added to the load's duration for the start, the last jobs and the restore
-	minSeconds   = 5
-	entryHosts   = 2  // per failure domain
-	workers      = 6  // per failure domain
-	requestRate  = 60 // requests per second in each failure domain
+	minSeconds   = 5                // shortest load
+	entryHosts   = 2                // per failure domain
+	workers      = 6                // per failure domain
+	requestRate  = 60               // requests per second in each failure domain
 )
 
 // Options are the parameters of a run.
 type Options struct {
-	Seed     uint64         // of the requests and jobs
+	Seed     uint64         // seed of the requests and jobs
 	Seconds  int            // duration of the load
 	Fault    string         // one of the Fault constants; empty: FaultNone
 	Terminal bool           // whether progress is redrawn on one line
-	Log      zerolog.Logger // for the daemons
+	Log      zerolog.Logger // logger of the daemons
 }
 
 // Report is the outcome of a run. Requests are those of callers, their latencies
--- a/internal/operator/demonstrator/drain.go
+++ b/internal/operator/demonstrator/drain.go
@@ -23,13 +23,13 @@
 // drainRun drains workers for some time and observes that they become idle and
 // get their work back.
 type drainRun struct {
-	d       *deployer.Deployment
-	options Options
-	workers []*hoster.Worker
-	served  chan struct{} // closed once every worker serves requests again, or the drain has failed
+	deployment *deployer.Deployment
+	options    Options
+	workers    []*hoster.Worker
+	served     chan struct{} // closed once every worker serves requests again, or the drain has failed
 
 	mu      sync.Mutex
-	state   string          // for the progress output
+	state   string          // shown in the progress output
 	ended   bool            // whether no drain is in force any more
 	resumed map[string]bool // workers that have served requests during the restore
 	idle    map[string]bool // workers on which no task ran during the drain
@@ -38,7 +38,7 @@
 // newDrainRun chooses the first workers of the first domain.
 func newDrainRun(d *deployer.Deployment, o Options) *drainRun {
 	return &drainRun{
-		d: d, options: o, workers: d.Domains[0].Workers[:drainedWorkers], served: make(chan struct{}),
+		deployment: d, options: o, workers: d.Domains[0].Workers[:drainedWorkers], served: make(chan struct{}),
 		state: "not begun", resumed: make(map[string]bool), idle: make(map[string]bool),
 	}
 }
@@ -95,12 +95,12 @@
 		names = append(names, w.Host.Name)
 	}
 	id := fmt.Sprintf("drain-%d", r.options.Seed)
-	return r.d.Drain(ctx, id, names, time.Duration(float64(r.length())*drainLength))
+	return r.deployment.Drain(ctx, id, names, time.Duration(float64(r.length())*drainLength))
 }
 
 // checkRestoring returns nil once every drain is being restored or has ended.
 func (r *drainRun) checkRestoring(ctx context.Context) error {
-	drains, err := r.d.Drains(ctx)
+	drains, err := r.deployment.Drains(ctx)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 
 // checkEnded returns nil once no drain is in force.
 func (r *drainRun) checkEnded(ctx context.Context) error {
-	drains, err := r.d.Drains(ctx)
+	drains, err := r.deployment.Drains(ctx)
 	if err == nil && len(drains) > 0 {
 		err = eris.New("a drain is still in force")
 	}
--- a/internal/operator/parser/parser.go
+++ b/internal/operator/parser/parser.go
@@ -23,8 +23,8 @@
 // Error is one thing that is wrong in a document.
 type Error struct {
 	Line    int    // counted from 1
-	Column  int    // in bytes, counted from 1
-	Path    string // of the value, such as listen.callers or peers[0]; empty for a syntax error
+	Column  int    // byte in the line, counted from 1
+	Path    string // place of the value, such as listen.callers or peers[0]; empty for a syntax error
 	Message string
 }
 
--- a/internal/operator/rehearser/commands.go
+++ b/internal/operator/rehearser/commands.go
@@ -22,9 +22,12 @@
 	"dotterelcart.dev/dotterelcart/internal/standin/hoster"
 )
 
+// The functions below that take a *scenario and args carry out the commands that
+// the package comment describes.
+
 const (
-	defaultEntries = 2
-	defaultWorkers = 3
+	defaultEntries = 2 // entry hosts per failure domain
+	defaultWorkers = 3 // workers per failure domain
 
 	// lenientTarget is a latency target that even a slow machine meets. With a
 	// tighter one, no batch task would start while the machine is busy.
--- a/internal/operator/rehearser/watcher.go
+++ b/internal/operator/rehearser/watcher.go
@@ -19,7 +19,7 @@
 type watcher struct {
 	Done chan struct{} // closed when the watcher has ended
 
-	d *deployer.Deployment
+	deployment *deployer.Deployment
 
 	mu        sync.Mutex
 	highest   map[string]int64 // highest revision seen, by the entry host's name
@@ -28,7 +28,7 @@
 
 // newWatcher starts a watcher, which ends with ctx.
 func newWatcher(ctx context.Context, d *deployer.Deployment) *watcher {
-	w := &watcher{Done: make(chan struct{}), d: d, highest: make(map[string]int64)}
+	w := &watcher{Done: make(chan struct{}), deployment: d, highest: make(map[string]int64)}
 	var polls sync.WaitGroup
 	for _, domain := range d.Domains {
 		for _, entry := range domain.Entries {
--- a/internal/operator/responder/plans.go
+++ b/internal/operator/responder/plans.go
@@ -76,8 +76,8 @@
 	writeJSON(w, http.StatusOK, view)
 }
 
-// confirm carries out a plan's intent if its plan would still be the same.
-// Confirming again has no further effect.
+// confirm carries out a plan's intent, unless a new plan for it would do more than
+// this one says. Confirming again has no further effect.
 func (r *Responder) confirm(ctx context.Context, id string) (planView, error) {
 	stored, revision, err := r.loadPlan(ctx, id)
 	if err != nil {
--- a/internal/operator/responder/retry.go
+++ b/internal/operator/responder/retry.go
@@ -47,7 +47,7 @@
 }
 
 // lacksOwner reports whether a request was not run because the shard had no
-// owner, or another one than the asked.
+// owner, or because the daemon that received it is not the owner.
 func lacksOwner(err error) bool {
 	var e *classifier.Error
 	if !errors.As(err, &e) || e.Verdict != classifier.NotRun {
--- a/internal/operator/server/server.go
+++ b/internal/operator/server/server.go
@@ -41,15 +41,15 @@
 )
 
 const (
-	tickInterval   = 100 * time.Millisecond // between runs of the reducer, and between readiness checks
-	hostsInterval  = time.Second            // between reads of the host list
+	tickInterval   = 100 * time.Millisecond // time between runs of the reducer, and between readiness checks
+	hostsInterval  = time.Second            // time between reads of the host list
 	gossipInterval = 500 * time.Millisecond
 	maxWorkerCalls = 128 // concurrent calls to workers
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeader      = 64 << 10        // bytes
 	maxJobBody     = 1 << 19         // bytes; a job and its results must fit into one ledger segment
-	releaseTimeout = 5 * time.Second // for the release of shards during a shutdown
+	releaseTimeout = 5 * time.Second // limit for the release of shards during a shutdown
 )
 
 // Server is a running entry daemon.
@@ -58,7 +58,7 @@
 	Done     chan struct{} // closed when the daemon has stopped
 
 	log        zerolog.Logger
-	table      atomic.Pointer[describer.RoutingTable]
+	table      atomic.Pointer[describer.RoutingTable] // current routing table, never nil
 	metrics    *reporter.Reporter
 	node       *messenger.Node
 	members    *gossiper.Gossiper
--- a/internal/operator/server/stop.go
+++ b/internal/operator/server/stop.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	balancerDelay   = time.Second // until the balancer has seen that the daemon isn't ready
-	releaseInterval = 20 * time.Millisecond
+	balancerDelay   = time.Second           // the balancer may take this long to notice that the daemon isn't ready
+	releaseInterval = 20 * time.Millisecond // time between checks that the shards are released
 )
 
 // Shutdown performs a planned shutdown: it fails readiness checks, waits for
