--- a/internal/operator/commander/serve.go
+++ b/internal/operator/commander/serve.go
@@ -96,9 +96,9 @@
 		log.Warn().Str("part", "serve").Msg("second signal received, stopping at once")
 		cancel()
 	}()
-	cut := daemon.Shutdown(shutdownCtx)
-	if cut > 0 {
-		return exitFailed(fmt.Errorf("planned shutdown cut off %d requests in flight", cut))
+	aborted := daemon.Shutdown(shutdownCtx)
+	if aborted > 0 {
+		return exitFailed(fmt.Errorf("planned shutdown cut off %d requests in flight", aborted))
 	}
 	return nil
 }
--- a/internal/traffic/dialer/clientconn.go
+++ b/internal/traffic/dialer/clientconn.go
@@ -67,7 +67,7 @@
 		return nil, net.ErrClosed
 	}
 	c.conn = &progressConn{Conn: raw, stallTimeout: c.options.StallTimeout}
-	c.conn.startRequest()
+	c.conn.startRequest() // roundTrip began before the connection existed
 	return c.conn, nil
 }
 
--- a/internal/traffic/forwarder/send.go
+++ b/internal/traffic/forwarder/send.go
@@ -180,6 +180,7 @@
 	out.Header.Del("Expect")
 	out.Header.Del(VerdictHeader)
 	out.Header.Set(DeadlineHeader, time.Until(c.deadline).Round(time.Millisecond).String())
+	// An existing entry, even an empty one, keeps the transport from adding its own.
 	out.Header["User-Agent"] = in.Header["User-Agent"]
 	if host, _, err := net.SplitHostPort(in.RemoteAddr); err == nil {
 		out.Header.Add("X-Forwarded-For", host)
--- a/internal/traffic/lender/borrower.go
+++ b/internal/traffic/lender/borrower.go
@@ -171,7 +171,8 @@
 }
 
 // newRequest builds the lease request for a shard. It asks for the peak number
-// of slots in use, one for each missed request, and one in reserve.
+// of slots in use, one for each missed request, and one in reserve, less the base
+// slots.
 func (l *Lender) newRequest(shard string) *leaseRequest {
 	connections := l.connections(shard)
 	l.lock.Lock()
--- a/internal/traffic/lender/share.go
+++ b/internal/traffic/lender/share.go
@@ -212,7 +212,7 @@
 	return best
 }
 
-// setHeld records the share as held. A renewal keeps the time of first use.
+// setHeld records the share as held. A renewal keeps the start of its use.
 func (s *ShareLease) setHeld(index, count int, from, until time.Time) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/traffic/loader/loader.go
+++ b/internal/traffic/loader/loader.go
@@ -3,7 +3,7 @@
 //
 // # Open loop
 //
-// The time at which each request is due is drawn in advance, and a request is sent
+// The times at which requests are due are drawn at random, and each request is sent
 // when it is due, whether or not earlier ones have been answered. Its latency
 // counts from that time. So a stall of the system or of the loader shows in the
 // latency of every request that was due during the stall.
