--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -75,7 +75,7 @@
 
 	// Seen is called when a member reports a configuration revision that is newer
 	// than its last one or than that of this host. It gets the address of the
-	// member. Calls may be concurrent.
+	// member. Calls may be concurrent and may repeat a revision.
 	Seen func(address string, revision int64)
 	Log  zerolog.Logger
 }
--- a/internal/peer/gossiper/gossiper_test.go
+++ b/internal/peer/gossiper/gossiper_test.go
@@ -40,7 +40,7 @@
 }
 
 // start starts a gossiper with the given name. Its seed depends on the number of
-// hosts started before it.
+// hosts in the cluster.
 func (c *cluster) start(name string, seeds ...string) *gossiper.Gossiper {
 	domain, _, _ := strings.Cut(name, "/")
 	g := gossiper.New(gossiper.Options{
--- a/internal/peer/gossiper/member.go
+++ b/internal/peer/gossiper/member.go
@@ -44,7 +44,7 @@
 	Leaving     bool     `json:"leaving,omitempty"`
 	Incarnation int64    `json:"incarnation"` // only the member itself raises it
 	State       state    `json:"state,omitempty"`
-	Revision    int64    `json:"-"` // of the configuration; only the member's own heartbeats carry it
+	Revision    int64    `json:"-"` // revision of the member's configuration; only its own heartbeats carry it
 
 	transmitsLeft int // remaining number of times to send this update to other hosts
 }
@@ -52,7 +52,7 @@
 // entry is a member other than this host.
 type entry struct {
 	member
-	since time.Time // when the last update was applied, which set the state
+	since time.Time // time of the last update applied, moved on by extendSuspicions
 }
 
 func newMember(p reducer.Peer) member {
@@ -124,7 +124,8 @@
 	return out
 }
 
-// applyUpdate applies an update from another host, unless it is stale or malformed.
+// applyUpdate applies an update about a member, unless it is stale or malformed, or
+// about an unknown member that is dead. An update about this host may be refuted.
 // g.mu is held.
 func (g *Gossiper) applyUpdate(m member) {
 	if m.Name == "" || m.State > dead {
--- a/internal/peer/gossiper/ping.go
+++ b/internal/peer/gossiper/ping.go
@@ -14,9 +14,9 @@
 
 // heartbeat is the request and the answer of the method messenger.Ping.
 type heartbeat struct {
-	Name          string   `json:"name"`               // sender
-	Incarnation   int64    `json:"incarnation"`        // of the sender
-	Revision      int64    `json:"revision,omitempty"` // of the configuration in use on the sender
+	Name          string   `json:"name"`               // name of the sender
+	Incarnation   int64    `json:"incarnation"`        // incarnation of the sender
+	Revision      int64    `json:"revision,omitempty"` // revision of the configuration in use on the sender
 	ViewDigest    uint64   `json:"sum"`                // digest of the sender's view
 	PartDigests   []uint32 `json:"parts,omitempty"`    // request: digests of the parts of the sender's view, sent when views differ
 	SenderUnknown bool     `json:"unknown,omitempty"`  // answer: the receiver lacks the sender at this incarnation
@@ -86,7 +86,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	minUpdates := 0
-	if len(h.PartDigests) == 1 {
+	if len(h.PartDigests) == 1 { // the sender knows fewer than membersPerPart others
 		minUpdates = minJoinUpdates
 	}
 	out := g.newHeartbeat(h.Name, g.inDifferingPart(h.PartDigests), minUpdates)
@@ -181,8 +181,8 @@
 			rest = append(rest, &e.member)
 		}
 	}
-	// The stable sort keeps the shuffled order among equals; without it, all hosts
-	// would send the same names first.
+	// Without the shuffle, all hosts would send the same names first. The stable sort
+	// keeps the shuffled order among equals.
 	g.random.Shuffle(len(fresh), func(i, j int) { fresh[i], fresh[j] = fresh[j], fresh[i] })
 	slices.SortStableFunc(fresh, func(a, b *member) int { return b.transmitsLeft - a.transmitsLeft })
 	g.random.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
--- a/internal/peer/gossiper/probe.go
+++ b/internal/peer/gossiper/probe.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// run starts one probe each interval until Close. If the process was paused, it
-// extends the suspicions by the time of the pause.
+// run starts one probe each interval until Close. If two ticks are more than two
+// intervals apart, as when the process was paused, it extends the suspicions by the
+// excess.
 func (g *Gossiper) run() {
 	ticker := time.NewTicker(g.options.Interval)
 	defer ticker.Stop()
@@ -46,8 +47,8 @@
 	}
 }
 
-// canAffordPing reports whether the budget allows a ping without updates. g.mu is
-// held.
+// canAffordPing reports whether the budget allows a ping without updates, estimated
+// as twice the bytes that surround a heartbeat. g.mu is held.
 func (g *Gossiper) canAffordPing() bool {
 	return g.limiter.TokensAt(time.Now()) > 2*(envelopeSize+transportOverhead)
 }
--- a/internal/peer/messenger/connection.go
+++ b/internal/peer/messenger/connection.go
@@ -138,8 +138,8 @@
 // before its body, with a limit that is checked before the body is read.
 type boundedCodec struct {
 	jsonrpc2.VarintObjectCodec
-	maxSize  int64 // of a message body, in bytes
-	lastSize int64 // of the last message read, in bytes, including its length prefix
+	maxSize  int64 // maximum size of a message body, in bytes
+	lastSize int64 // size of the last message read, in bytes, including its length prefix
 }
 
 // ReadObject implements jsonrpc2.ObjectCodec.
--- a/internal/peer/messenger/counter.go
+++ b/internal/peer/messenger/counter.go
@@ -14,10 +14,10 @@
 const (
 	sent direction = iota
 	received
-	numDirections // number of directions
+	numDirections
 )
 
-// byteCounter counts the bytes sent and received by method. It is safe for
+// byteCounter counts the bytes sent and received, by method. It is safe for
 // concurrent use.
 type byteCounter struct {
 	mu    sync.Mutex
@@ -56,7 +56,7 @@
 	sendMethod string // method being written; guarded by the sending lock of jsonrpc2.Conn
 
 	mu             sync.Mutex
-	requestMethods map[jsonrpc2.ID]string // by id, of the requests that are not answered yet
+	requestMethods map[jsonrpc2.ID]string // methods of the requests not answered yet, by id
 }
 
 // WriteObject implements jsonrpc2.ObjectStream.
--- a/internal/peer/messenger/messenger.go
+++ b/internal/peer/messenger/messenger.go
@@ -90,8 +90,8 @@
 	tasks    sync.WaitGroup
 
 	mu       sync.Mutex
-	handlers map[string]Handler
-	outgoing map[string]*connection   // by the address that was dialed
+	handlers map[string]Handler       // handlers by method
+	outgoing map[string]*connection   // connections that this node dialed, by address
 	incoming map[*connection]struct{} // connections accepted by the listener
 	closed   bool
 }
