--- a/internal/platform/runner/runner.go
+++ b/internal/platform/runner/runner.go
@@ -35,7 +35,7 @@
 	Class      string              `json:"class"`
 	Kind       describer.Kind      `json:"kind"`
 	Granted    describer.Resources `json:"granted"`              // limit that the worker enforces by throttling
-	Lease      time.Duration       `json:"lease"`                // time from the arrival after which the worker stops the task unless the lease is renewed
+	Lease      time.Duration       `json:"lease"`                // duration of the lease from the arrival; the worker stops the task when it expires
 	Until      time.Time           `json:"until,omitzero"`       // latest end of the lease by the worker's clock; see SyncRequest
 	RunTime    time.Duration       `json:"runtime"`              // run time that the job declares
 	Checkpoint string              `json:"checkpoint,omitempty"` // checkpoint to resume from
@@ -43,8 +43,8 @@
 }
 
 // StopRequest asks a worker to end a run. The run may have been started by a former
-// owner of the shard, so Epoch is that of the caller's ownership. It fences, like the
-// epochs of other calls.
+// owner of the shard, so Epoch is that of the caller's ownership. The worker uses it
+// for fencing, like the epochs of other calls.
 type StopRequest struct {
 	Epoch      int64            `json:"epoch"`
 	Task       describer.TaskID `json:"task"`
@@ -62,9 +62,9 @@
 }
 
 // ThrottleRequest sets the CPU that is granted to a run. Epoch is that of the caller's
-// ownership, and it fences. A worker ignores a call unless its Epoch and Sequence are
-// later than those of the last call for the run, so that a delayed message cannot
-// undo a newer one.
+// ownership, and the worker uses it for fencing. A worker ignores a call unless its
+// Epoch and Sequence are later than those of the last call for the run, so that a
+// delayed message cannot undo a newer one.
 type ThrottleRequest struct {
 	Epoch    int64            `json:"epoch"`
 	Sequence int64            `json:"sequence"`
--- a/internal/platform/storer/storer.go
+++ b/internal/platform/storer/storer.go
@@ -37,7 +37,7 @@
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
-	Revision int64  `json:"revision"`          // of the last write of the key
+	Revision int64  `json:"revision"`          // revision of the last write of the key
 	Lease    int64  `json:"lease,omitempty"`   // id of the lease that the key is attached to; 0 for none
 	Deleted  bool   `json:"deleted,omitempty"` // whether the write deleted the key; set by Watch only
 }
@@ -54,8 +54,8 @@
 	// revision. It returns ErrConflict if the key has another revision. If lease is
 	// not 0, the key is deleted when that lease ends.
 	Swap(ctx context.Context, key string, value []byte, expected, lease int64) (int64, error)
-	// Delete deletes the key if its revision is expected. It returns ErrConflict if
-	// the key has another revision.
+	// Delete deletes the key if its revision is expected. It returns ErrNotFound if
+	// the key does not exist, and ErrConflict if it has another revision.
 	Delete(ctx context.Context, key string, expected int64) error
 	// Grant creates a lease that expires after ttl by the store's clock, and returns
 	// its id.
