--- a/internal/standin/auditor/auditor.go
+++ b/internal/standin/auditor/auditor.go
@@ -6,8 +6,9 @@
 // All workers of a deployment share one [Auditor]. A worker reports when each
 // run of a task starts and ends, and each request that it executes. From these
 // reports the auditor finds tasks that ran on two workers at once or started
-// again after completion, requests that must not be repeated but were, and
-// workers whose grants exceeded their capacity:
+// again after completion, requests that must not be repeated but were, requests
+// that reached a leaving worker late, and workers whose grants exceeded their
+// capacity:
 //
 //	a := auditor.New()
 //	a.RunStarted(task, "worker-1")
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	callDeadline     = 2 * time.Second // sent with each request
-	callTimeout      = 4 * time.Second // of the HTTP client
+	callDeadline     = 2 * time.Second // deadline that each request asks entry hosts to meet
+	callTimeout      = 4 * time.Second // timeout of an attempt, set on the HTTP client
 	chargeShare      = 0.3             // share of requests that are charges, 0 to 1
-	maxResponseSize  = 20_000          // bytes
+	maxResponseSize  = 20_000          // largest response asked for, in bytes
 	maxLatencyMicros = 60_000_000      // highest latency that the histogram holds, in microseconds
 	idleConnsPerHost = 16
 )
@@ -53,8 +53,8 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	latency  *hdrhistogram.Histogram   // of answered requests, in microseconds
-	attempts map[string]*attemptCounts // by request id
+	latency  *hdrhistogram.Histogram   // latencies of answered requests, in microseconds
+	attempts map[string]*attemptCounts // keyed by request id
 	counts   Report
 	serial   int // number of the latest request, part of its id
 }
@@ -186,7 +186,8 @@
 	counts.add(outcome)
 }
 
-// attemptCounts counts the attempts of one request by their outcome.
+// attemptCounts counts the attempts of one request by their outcome. Generator.Call
+// counts once, with its final outcome, even if it sends the request twice.
 type attemptCounts struct {
 	charge bool // the request is a charge, which runs at most once for each attempt
 	denied int  // attempts refused as not run
@@ -217,7 +218,8 @@
 }
 
 // sendToBalancer sends a request to the domain's balancer once. A connection
-// error while its entry host is in a planned stop counts as a violation.
+// error counts as a violation if the entry host of the connection is in a planned
+// stop or last ended with one.
 func (g *Generator) sendToBalancer(client *http.Client, domain *deployer.Domain, q Request) Outcome {
 	a := q.send(client, domain.Balancer.Address)
 	g.recordAttempt(q, a)
--- a/internal/standin/caller/caller_test.go
+++ b/internal/standin/caller/caller_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestIsUntrue checks hasFalseDenial: a request counts as falsely denied if it was
+// executed more often than its other attempts can explain.
 func TestIsUntrue(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/internal/standin/delayer/delayer.go
+++ b/internal/standin/delayer/delayer.go
@@ -23,7 +23,8 @@
 // chunkSize is the most that is read from a connection at once, in bytes.
 const chunkSize = 16 << 10
 
-// maxChunksInFlight bounds the data on the link in one direction of a connection.
+// maxChunksInFlight is the maximum number of chunks on the link in one direction of a
+// connection.
 const maxChunksInFlight = 256
 
 // dialTimeout bounds how long connecting to the target may take.
--- a/internal/standin/delayer/hub.go
+++ b/internal/standin/delayer/hub.go
@@ -17,7 +17,7 @@
 	server *listener.Listener
 
 	mu     sync.Mutex
-	links  map[string]*Link // by name
+	links  map[string]*Link // links by name
 	relays []*Relay
 }
 
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -22,7 +22,7 @@
 // Link is a network link between two failure domains, as seen from one of its
 // ends.
 type Link struct {
-	delay time.Duration // one way
+	delay time.Duration // one-way delay
 	rate  float64       // bytes a second each way; 0 is unlimited
 	up    *direction    // towards the relays' targets
 	down  *direction    // back to the clients
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -41,11 +41,11 @@
 	loopback      = "127.0.0.1:0"          // lets the system choose a free port
 	hostListDelay = time.Second            // time until readers of the host list see a change
 	reportDelay   = time.Second            // time until workers report usage and latency
-	serviceTime   = 8 * time.Millisecond   // of a request on an otherwise idle worker
-	checkInterval = 200 * time.Millisecond // between readiness checks by the balancers
+	serviceTime   = 8 * time.Millisecond   // time to serve a request on an otherwise idle worker
+	checkInterval = 200 * time.Millisecond // time between readiness checks by the balancers
 
-	domainDelay = time.Millisecond      // one way, between failure domains of a region
-	regionDelay = 30 * time.Millisecond // one way, between regions
+	domainDelay = time.Millisecond      // one-way delay between failure domains of a region
+	regionDelay = 30 * time.Millisecond // one-way delay between regions
 	regionRate  = 30e6 / 8              // bytes a second each way between regions
 )
 
@@ -54,8 +54,8 @@
 
 // Options describes a deployment.
 type Options struct {
-	EntryHosts    int           // number in each failure domain
-	Workers       int           // number in each failure domain
+	EntryHosts    int           // entry hosts in each failure domain
+	Workers       int           // workers in each failure domain
 	LatencyTarget time.Duration // latency target of the service; 60 ms if 0
 
 	// Launch starts an entry daemon with the settings.
@@ -77,12 +77,12 @@
 	Audit       *auditor.Auditor
 	Store       *keeper.Keeper
 	HostList    *registrar.Registrar
-	InterRegion *delayer.Link // between the regions
-	IntraRegion *delayer.Link // between the failure domains of one region
+	InterRegion *delayer.Link // link between the regions
+	IntraRegion *delayer.Link // link between the failure domains of one region
 
 	options Options
 	relays  []*delayer.Relay
-	client  *http.Client // for calls to the operators' ports and probes
+	client  *http.Client // client for calls to the operators' ports and for probes
 }
 
 // Domain is a failure domain with its hosts.
--- a/internal/standin/deployer/entry.go
+++ b/internal/standin/deployer/entry.go
@@ -27,7 +27,7 @@
 }
 
 // newEntry returns the entry host with index i in the domain, with free addresses
-// and with leases and timeouts of a few seconds at most.
+// and with shorter leases and timeouts than the defaults.
 func newEntry(domain *Domain, i int, launch func(context.Context, parser.Settings) (Daemon, error)) (*Entry, error) {
 	s := parser.Defaults()
 	s.Name = fmt.Sprintf("%s-e%d", domain.Name, i+1)
--- a/internal/standin/hoster/fleet.go
+++ b/internal/standin/hoster/fleet.go
@@ -16,7 +16,7 @@
 	Address string        // ip:port of the HTTP interface
 	Done    chan struct{} // closed once Close has ended the interface and all workers
 	Audit   *auditor.Auditor
-	Workers map[string]*Worker // by name
+	Workers map[string]*Worker // workers by name
 
 	server *listener.Listener
 }
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -37,7 +37,7 @@
 	ServiceTime time.Duration  // service time of a request that doesn't set its own
 	ReportDelay time.Duration  // time until usage and latency are reported
 
-	// Interference is the slow-down of requests by each class of tasks, if such tasks
+	// Interference is the slowdown of requests by each class of tasks, if such tasks
 	// hold the whole CPU. A value of 1 doubles the service time.
 	Interference map[string]float64
 
@@ -89,8 +89,9 @@
 	return w, nil
 }
 
-// Restart starts a killed worker again on the same addresses, without any state of
-// its earlier life. New uses it for the first start.
+// Restart starts a killed worker again on the same addresses, without its earlier
+// runs, tokens, results and latencies. Counts, DropResponses and MarkLeaving stay in
+// effect. New uses it for the first start.
 func (w *Worker) Restart() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/keeper/keeper.go
+++ b/internal/standin/keeper/keeper.go
@@ -35,11 +35,13 @@
 	Address string        // ip:port
 	Done    chan struct{} // closed once the server has ended
 
+	// mu guards the fields below, apart from server. Unexported methods are called
+	// with it held, except routes, and admit, watch and expireLease, which lock it.
 	mu            sync.Mutex
-	revision      int64                  // of the latest change
-	items         map[string]storer.Item // by key, with the tombstones of deleted ones
+	revision      int64                  // revision of the latest change
+	items         map[string]storer.Item // items by key, including tombstones
 	changed       chan struct{}          // closed and replaced at each change
-	leases        map[int64]*lease       // by lease id
+	leases        map[int64]*lease       // leases in force by id
 	lastLease     int64                  // id of the lease granted last
 	faults        faults
 	counts        Counts
--- a/internal/standin/registrar/registrar.go
+++ b/internal/standin/registrar/registrar.go
@@ -30,7 +30,7 @@
 
 	mu       sync.Mutex
 	versions []version                    // oldest first; readers get the first
-	views    map[string]map[string]string // by view name, the replacement of each address
+	views    map[string]map[string]string // replacement of each address, by view name
 	outage   bool
 	reads    int64
 }
@@ -96,7 +96,8 @@
 	r.addVersion(slices.Clone(hosts))
 }
 
-// SetState sets the state of the named host. An empty state removes the host.
+// SetState sets the state of the named host, if the list contains it. An empty state
+// removes the host.
 func (r *Registrar) SetState(name string, state describer.HostState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
