--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -210,8 +210,7 @@
 }
 
 // Leave announces to other hosts that this one is leaving, and returns when they
-// have answered or their pings have timed out. The host goes on answering pings
-// until Close.
+// have answered or their pings have timed out. The host goes on answering pings.
 func (g *Gossiper) Leave() {
 	g.mu.Lock()
 	g.self.Leaving = true
@@ -227,6 +226,7 @@
 }
 
 // Close stops the gossiper without announcing it. Done is closed when it has ended.
+// The handler stays registered, so pings are answered until the node is closed.
 func (g *Gossiper) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/platform/sender/sender.go
+++ b/internal/platform/sender/sender.go
@@ -35,7 +35,7 @@
 // its fields are set.
 type Sender struct {
 	ErrorPrefix  string           // prefix of error messages
-	BaseURL      string           // without trailing slash; empty if calls name whole URLs
+	BaseURL      string           // prefix of paths, without trailing slash; empty if calls name whole URLs
 	ErrorsByCode map[string]error // errors that refusals wrap, by the code in the response
 	client       *http.Client
 }
--- a/internal/standin/caller/caller.go
+++ b/internal/standin/caller/caller.go
@@ -49,7 +49,7 @@
 	ServiceTime time.Duration
 
 	deployment *deployer.Deployment
-	rate       float64 // mean requests a second in each domain
+	rate       float64 // mean requests per second in each domain
 
 	mu       sync.Mutex
 	random   *rand.Rand
@@ -75,7 +75,7 @@
 }
 
 // New returns a generator for the deployment's callers that sends nothing until
-// Run or Call. The rate is the mean number of requests a second in each failure
+// Run or Call. The rate is the mean number of requests per second in each failure
 // domain.
 func New(d *deployer.Deployment, random *rand.Rand, rate float64) *Generator {
 	return &Generator{
--- a/internal/standin/delayer/hub.go
+++ b/internal/standin/delayer/hub.go
@@ -24,7 +24,7 @@
 type linkRequest struct {
 	Name  string        `json:"name"`
 	Delay time.Duration `json:"delay"` // one-way delay
-	Rate  float64       `json:"rate"`  // bytes a second each way; 0 is unlimited
+	Rate  float64       `json:"rate"`  // bytes per second each way; 0 is unlimited
 }
 
 type relayRequest struct {
@@ -87,7 +87,7 @@
 }
 
 // Link returns the link of that name, which it makes if there is none. The rate is
-// in bytes a second; 0 is unlimited.
+// in bytes per second; 0 is unlimited.
 func (h *Hub) Link(name string, delay time.Duration, rate float64) *Link {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/delayer/link.go
+++ b/internal/standin/delayer/link.go
@@ -23,7 +23,7 @@
 // ends.
 type Link struct {
 	delay time.Duration // one-way delay
-	rate  float64       // bytes a second each way; 0 is unlimited
+	rate  float64       // bytes per second each way; 0 is unlimited
 	up    *direction    // towards the relays' targets
 	down  *direction    // back to the clients
 	state *linkState
@@ -44,7 +44,7 @@
 	bytes  int64     // bytes reserved since the link was made
 }
 
-// NewLink returns a link with a one-way delay and a rate each way, in bytes a
+// NewLink returns a link with a one-way delay and a rate each way, in bytes per
 // second; a rate of 0 is unlimited.
 func NewLink(delay time.Duration, rate float64) *Link {
 	return &Link{
--- a/internal/standin/deployer/deployer.go
+++ b/internal/standin/deployer/deployer.go
@@ -46,7 +46,7 @@
 
 	domainDelay = time.Millisecond      // one-way delay between failure domains of a region
 	regionDelay = 30 * time.Millisecond // one-way delay between regions
-	regionRate  = 30e6 / 8              // bytes a second each way between regions
+	regionRate  = 30e6 / 8              // bytes per second each way between regions
 )
 
 // defaultLatencyTarget is the latency target of the service if Options sets none.
--- a/internal/standin/hoster/agent.go
+++ b/internal/standin/hoster/agent.go
@@ -61,7 +61,8 @@
 }
 
 // Start starts a run and reports whether it did. Repeating a start is no error, but
-// starts nothing. A new token ends the task's run under an older one.
+// starts nothing. A new token ends the task's run under an older one, even if the
+// start itself is then refused as late, malformed or beyond the capacity.
 func (a *Agent) Start(s runner.StartRequest) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/hoster/hoster.go
+++ b/internal/standin/hoster/hoster.go
@@ -90,8 +90,8 @@
 }
 
 // Restart starts a killed worker again on the same addresses, without its earlier
-// runs, tokens, results and latencies. Counts, DropResponses and MarkLeaving stay in
-// effect. New uses it for the first start.
+// runs, tokens, results and latencies. Counts continue, and DropResponses and
+// MarkLeaving stay in effect. New uses it for the first start.
 func (w *Worker) Restart() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/hoster/meter.go
+++ b/internal/standin/hoster/meter.go
@@ -24,11 +24,13 @@
 	reports   []runner.LatencyReport // reports not taken yet, oldest first
 }
 
-// add records the service time of a request to the service.
-func (m *latencyMeter) add(service string, now time.Time, took time.Duration) {
+// add records the service time of a request to the service that began at start, in
+// the interval of start. An interval is reported in several parts if requests that
+// began in different intervals end out of order.
+func (m *latencyMeter) add(service string, start time.Time, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.closeInterval(now)
+	m.closeInterval(start)
 	m.service = service
 	m.durations = append(m.durations, took)
 }
--- a/internal/standin/keeper/faults.go
+++ b/internal/standin/keeper/faults.go
@@ -19,7 +19,7 @@
 // Counts holds the calls that arrived since the store was made, including those
 // during an outage.
 type Counts struct {
-	Calls            map[string]int64 `json:"calls"`   // by kind, such as get or swap
+	Calls            map[string]int64 `json:"calls"`   // calls by kind, such as get or swap
 	DroppedResponses int64            `json:"lost"`    // writes that took effect but weren't answered
 	WaitingWatches   int64            `json:"waiting"` // watches that wait now
 	PeakWatches      int64            `json:"watches"` // highest number of watches that waited at once
