--- a/internal/platform/storer/storer.go
+++ b/internal/platform/storer/storer.go
@@ -54,8 +54,9 @@
 	// revision. It returns ErrConflict if the key has another revision. If lease is
 	// not 0, the key is deleted when that lease ends.
 	Swap(ctx context.Context, key string, value []byte, expected, lease int64) (int64, error)
-	// Delete deletes the key if its revision is expected. It returns ErrNotFound if
-	// the key does not exist, and ErrConflict if it has another revision.
+	// Delete deletes the key if its revision is expected. It returns ErrConflict if
+	// the key has another revision, and ErrNotFound or ErrConflict if it does not
+	// exist.
 	Delete(ctx context.Context, key string, expected int64) error
 	// Grant creates a lease that expires after ttl by the store's clock, and returns
 	// its id.
