--- a/internal/state/journaler/flush.go
+++ b/internal/state/journaler/flush.go
@@ -51,8 +51,8 @@
 }
 
 // throttle waits until Options.Pace has passed since the last write, which
-// keeps the fleet within its write budget. It returns false when ctx ends
-// first.
+// keeps all daemons together within the write budget. It returns false when ctx
+// ends first.
 func (l *Ledger) throttle(ctx context.Context, lastWrite time.Time) bool {
 	if l.options.Pace == nil || lastWrite.IsZero() {
 		return true
@@ -142,6 +142,7 @@
 	}
 }
 
+// writeSegment writes a segment to the next slot and records it in the state.
 func (l *Ledger) writeSegment(ctx context.Context, s segment) error {
 	value, err := s.encode()
 	if err != nil {
